--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -623,8 +623,8 @@
         if (q.attempts >= most || now >= q.deadline - MARGIN) return false;
         if (q.request.pinned() != null) return q.attempts == 0;
         if (!q.mayHaveRun || q.repeatable()) return true;
-        return q.kind.of.repeat() == Repeat.KEYED && q.kind.of.scope() != RepeatScope.ZONE
-            && now < windowEnd(q);
+        if (q.kind.of.repeat() != Repeat.KEYED || q.kind.of.scope() == RepeatScope.ZONE) return false;
+        return now < windowEnd(q);
     }
 
     /** A called-off attempt was paid for when it was called off. */
--- a/src/main/java/mintstair/decision/SplitterApi.java
+++ b/src/main/java/mintstair/decision/SplitterApi.java
@@ -72,9 +72,11 @@
             boolean listTellsRole, boolean subscribe, boolean clientsMarkRepeats, double probePrice,
             double crossZonePrice, Guards guards, Limits limits) { }
 
-    /** One host as listed; {@code lastStart} is 0 where it started long ago. */
+    /** One host as listed. */
     public record HostEntry(String host, boolean primary, String zone, int group, HostState state,
-            double size, long lastStart) { }
+            double size,
+            // 0 where it started long ago
+            long lastStart) { }
 
     /**
      * A request; {@code patience} is the time until its client gives up, {@code tenant} -1 where none.
