--- a/example/Ask.java
+++ b/example/Ask.java
@@ -11,19 +11,29 @@
         try (Socket socket = new Socket("127.0.0.1", port)) {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             byte[] startup = "\0\3\0\0user\0web\0database\0orders\0\0".getBytes(StandardCharsets.UTF_8);
-            socket.getOutputStream().write(ByteBuffer.allocate(4 + startup.length).putInt(4 + startup.length)
-                .put(startup).array());
+            socket.getOutputStream()
+                    .write(ByteBuffer.allocate(4 + startup.length)
+                            .putInt(4 + startup.length)
+                            .put(startup)
+                            .array());
             answer(in);
             long now = System.currentTimeMillis();
             for (String query : new String[] {
                 "INSERT INTO entries (ref, payload) VALUES ('ann', 'e4') RETURNING payload /* id=1,c=move-write,d=2000,cluster=1 */",
-                "SELECT payload FROM entries WHERE ref = 'ann' /* id=2,c=own-move-read,d=750,cluster=1,after=" + now + " */",
+                "SELECT payload FROM entries WHERE ref = 'ann' /* id=2,c=own-move-read,d=750,cluster=1,after=" + now
+                        + " */",
                 "SELECT payload FROM entries WHERE ref = 'ann' /* id=3,c=lobby-read,d=1000,cluster=1 */",
                 "SELECT payload FROM entries WHERE ref = 'bob' /* id=4,c=season-report,d=15000,cluster=1 */",
-                "SHOW counters"}) {
+                "SHOW counters"
+            }) {
                 byte[] text = query.getBytes(StandardCharsets.UTF_8);
-                socket.getOutputStream().write(ByteBuffer.allocate(6 + text.length).put((byte) 'Q')
-                    .putInt(5 + text.length).put(text).put((byte) 0).array());
+                socket.getOutputStream()
+                        .write(ByteBuffer.allocate(6 + text.length)
+                                .put((byte) 'Q')
+                                .putInt(5 + text.length)
+                                .put(text)
+                                .put((byte) 0)
+                                .array());
                 System.out.println(query + "\n  " + answer(in));
             }
         }
--- a/example/ToyHosts.java
+++ b/example/ToyHosts.java
@@ -21,8 +21,8 @@
  */
 public final class ToyHosts {
     private static final Pattern READ = Pattern.compile("SELECT payload FROM entries WHERE ref = '([^']*)'.*");
-    private static final Pattern WRITE =
-        Pattern.compile("INSERT INTO entries \\(ref, payload\\) VALUES \\('([^']*)', '([^']*)'\\) RETURNING payload.*");
+    private static final Pattern WRITE = Pattern.compile(
+            "INSERT INTO entries \\(ref, payload\\) VALUES \\('([^']*)', '([^']*)'\\) RETURNING payload.*");
     private static final Map<String, String> TABLE = new ConcurrentHashMap<>();
 
     public static void main(String[] args) throws IOException {
@@ -55,9 +55,15 @@
     private static String list(boolean watch) {
         StringBuilder targets = new StringBuilder();
         for (int i = 1; i <= 3 && !watch; i++) {
-            targets.append(i > 1 ? "," : "").append("{\"uid\":\"db-").append(i).append("\",\"endpoint\":\"127.0.0.1:")
-                .append(6000 + i).append("\",\"az\":\"here\",\"model\":\"toy\",\"pod_group\":1,\"state\":\"SERVING\",")
-                .append("\"capacity_hint\":1.0,\"boot_ms\":0,\"rank\":\"").append(i == 1 ? "source" : "copy").append("\"}");
+            targets.append(i > 1 ? "," : "")
+                    .append("{\"uid\":\"db-")
+                    .append(i)
+                    .append("\",\"endpoint\":\"127.0.0.1:")
+                    .append(6000 + i)
+                    .append("\",\"az\":\"here\",\"model\":\"toy\",\"pod_group\":1,\"state\":\"SERVING\",")
+                    .append("\"capacity_hint\":1.0,\"boot_ms\":0,\"rank\":\"")
+                    .append(i == 1 ? "source" : "copy")
+                    .append("\"}");
         }
         return "{\"rev\":1,\"all\":" + !watch + ",\"targets\":[" + targets + "]}";
     }
--- a/src/main/java/mintstair/Main.java
+++ b/src/main/java/mintstair/Main.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
-import java.nio.file.NoSuchFileException;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
@@ -24,16 +24,17 @@
 
 /** The program's commands; what is wrong with its input ends it with one line and status 2. */
 public final class Main {
-    private static final String USAGE = "usage: java -jar mintstair.jar serve [--operator FILE] [FILE] | check FILE | adapter"
-        + " | replay [--to HOST:PORT] [--port PORT] [--mongodb] FILE | store OPERATOR_FILE get KEY"
-        + " | store OPERATOR_FILE put KEY VALUE"
-        + " | traffic info FILE..."
-        + " | members HOST:PORT"
-        + " | registry show|watch|put-host|drain|delete OPERATOR_FILE ...";
+    private static final String USAGE =
+            "usage: java -jar mintstair.jar serve [--operator FILE] [FILE] | check FILE | adapter"
+                    + " | replay [--to HOST:PORT] [--port PORT] [--mongodb] FILE | store OPERATOR_FILE get KEY"
+                    + " | store OPERATOR_FILE put KEY VALUE"
+                    + " | traffic info FILE..."
+                    + " | members HOST:PORT"
+                    + " | registry show|watch|put-host|drain|delete OPERATOR_FILE ...";
 
     private static final long LAST_LINES_MILLIS = 1_000;
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) {
         try {
@@ -49,7 +50,8 @@
             } else if (args.length >= 4 && args[0].equals("store")) {
                 store(args);
             } else if (args.length >= 1 && args[0].equals("traffic")) {
-                System.exit(TrafficCommand.run(Arrays.asList(args).subList(1, args.length), new PrintWriter(System.out)));
+                System.exit(
+                        TrafficCommand.run(Arrays.asList(args).subList(1, args.length), new PrintWriter(System.out)));
             } else if (args.length == 2 && args[0].equals("members")) {
                 System.exit(MembersCommand.run(NodeConfig.address(args[1]), System.out));
             } else if (args.length >= 3 && args[0].equals("registry")) {
@@ -99,7 +101,8 @@
                 default -> throw new ConfigException(USAGE);
             }
         }
-        int captured = port == null ? to.getPort() : NodeConfig.address("any:" + port).getPort();
+        int captured =
+                port == null ? to.getPort() : NodeConfig.address("any:" + port).getPort();
         Path file = Path.of(args.get(args.size() - 1));
         try {
             System.out.println(new Replay(to, mongo).play(file, captured));
@@ -116,7 +119,8 @@
         if (config == null) {
             throw new ConfigException(args[2] + ": no registry is set up");
         }
-        System.exit(new RegistryCommand(config, System.out).run(args[1], Arrays.asList(args).subList(3, args.length)));
+        System.exit(new RegistryCommand(config, System.out)
+                .run(args[1], Arrays.asList(args).subList(3, args.length)));
     }
 
     /** Reads or writes one entry of the store, from outside its members. */
@@ -134,7 +138,11 @@
                 System.out.println(value);
             } else if (args[2].equals("put") && args.length == 5) {
                 // A list of some hundred hosts is longer than the system lets an argument be.
-                store.put(args[3], args[4].equals("-") ? new String(System.in.readAllBytes(), StandardCharsets.UTF_8).strip() : args[4]);
+                store.put(
+                        args[3],
+                        args[4].equals("-")
+                                ? new String(System.in.readAllBytes(), StandardCharsets.UTF_8).strip()
+                                : args[4]);
             } else {
                 throw new ConfigException(USAGE);
             }
--- a/src/main/java/mintstair/adapter/Wire.java
+++ b/src/main/java/mintstair/adapter/Wire.java
@@ -11,6 +11,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import mintstair.config.ConfigException;
+import mintstair.config.Env;
+import mintstair.config.Json;
 import mintstair.decision.ReadWriteSplitter;
 import mintstair.decision.SplitterApi;
 import mintstair.decision.SplitterApi.Ending;
@@ -21,16 +24,13 @@
 import mintstair.decision.SplitterApi.Report;
 import mintstair.decision.SplitterApi.Request;
 import mintstair.decision.SplitterApi.Role;
-import mintstair.config.ConfigException;
-import mintstair.config.Env;
-import mintstair.config.Json;
 
 /** Reads batches of events, hands each to its instance, and writes one reply a batch. */
 final class Wire {
     private static final int SLOTS = 16;
 
     /** One router: its module and what translates for it; nothing is shared between two of them. */
-    private record Instance(SplitterApi.Router router, Env env) { }
+    private record Instance(SplitterApi.Router router, Env env) {}
 
     private final JsonParser in;
     private final OutputStream out;
@@ -162,8 +162,17 @@
         long patience = Env.toMicros(number(0));
         double tokenMs = number(0);
         Integer tenantIndex = tenant == null ? null : to.env.tenants.get(tenant);
-        to.router.onRequest(now, new Request(id, classIndex, group, session, tenantIndex == null ? -1 : tenantIndex,
-            (bits & 2) != 0, patience, tokenMs > 0 ? Math.round(tokenMs * 1e3) : SplitterApi.UNKNOWN));
+        to.router.onRequest(
+                now,
+                new Request(
+                        id,
+                        classIndex,
+                        group,
+                        session,
+                        tenantIndex == null ? -1 : tenantIndex,
+                        (bits & 2) != 0,
+                        patience,
+                        tokenMs > 0 ? Math.round(tokenMs * 1e3) : SplitterApi.UNKNOWN));
     }
 
     private void result() throws IOException {
@@ -248,7 +257,8 @@
         JsonToken t = in.nextToken();
         require(t == JsonToken.VALUE_NUMBER_INT, "expected a whole number");
         return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-            ? in.getBigIntegerValue().longValue() : in.getLongValue();
+                ? in.getBigIntegerValue().longValue()
+                : in.getLongValue();
     }
 
     /** The next value as a number; null and an absent one read as {@code otherwise}. */
--- a/src/main/java/mintstair/backend/Backends.java
+++ b/src/main/java/mintstair/backend/Backends.java
@@ -7,10 +7,6 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
-import org.glassfish.grizzly.filterchain.FilterChainBuilder;
-import org.glassfish.grizzly.filterchain.TransportFilter;
-import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
-import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 import mintstair.proxy.Hosts;
 import mintstair.proxy.Loop;
 import mintstair.request.ConnectionEnd;
@@ -20,6 +16,10 @@
 import mintstair.stats.Counters;
 import mintstair.wire.MessageFilter;
 import mintstair.wire.Recorder;
+import org.glassfish.grizzly.filterchain.FilterChainBuilder;
+import org.glassfish.grizzly.filterchain.TransportFilter;
+import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
+import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /** The pools of all db hosts. */
 public final class Backends implements Hosts {
@@ -38,6 +38,7 @@
     private long idleLimit;
     /** Bytes of long answers that wait for their clients, and where they become too many for the heap. */
     final AtomicLong held = new AtomicLong();
+
     static final long MOST_HELD = 6 * 1024 * 1024;
     final Random random;
     private final int most;
@@ -48,8 +49,15 @@
     private int spares;
     Recorder recorder = Recorder.NONE;
 
-    public Backends(Loop loop, Protocol protocol, TCPNIOTransport transport, long connectTimeout, long idle,
-            int most, Random random, Counters counters) {
+    public Backends(
+            Loop loop,
+            Protocol protocol,
+            TCPNIOTransport transport,
+            long connectTimeout,
+            long idle,
+            int most,
+            Random random,
+            Counters counters) {
         this.loop = loop;
         this.protocol = protocol;
         this.transport = transport;
@@ -58,7 +66,11 @@
         this.counters = counters;
         times(connectTimeout, idle);
         connector = TCPNIOConnectorHandler.builder(transport)
-            .processor(FilterChainBuilder.stateless().add(new TransportFilter()).add(filter).build()).build();
+                .processor(FilterChainBuilder.stateless()
+                        .add(new TransportFilter())
+                        .add(filter)
+                        .build())
+                .build();
         loop.every(SWEEP_EVERY, this::sweep);
     }
 
@@ -107,9 +119,11 @@
         Set<String> named = new HashSet<>();
         for (HostList.Entry entry : list.entries()) {
             named.add(entry.host());
-            pools.computeIfAbsent(entry.host(), name -> new HostPool(name, this)).listed(entry);
+            pools.computeIfAbsent(entry.host(), name -> new HostPool(name, this))
+                    .listed(entry);
         }
-        spares = Spares.each((int) pools.values().stream().filter(HostPool::isServing).count(), most);
+        spares = Spares.each(
+                (int) pools.values().stream().filter(HostPool::isServing).count(), most);
         pools.forEach((name, pool) -> {
             if (list.whole() && !named.contains(name)) {
                 pool.gone();
@@ -136,7 +150,7 @@
     private Sent start(String host, Call call) {
         HostPool pool = pools.get(host);
         if (pool == null) {
-            call.timer = loop.at(call.until, () -> { });
+            call.timer = loop.at(call.until, () -> {});
             call.end(Reply.of(ConnectionEnd.NEVER_SENT));
         } else {
             pool.send(call);
@@ -147,8 +161,10 @@
     /** Whether there is a descriptor for one more; for a call that waits, another host's idle one is given up. */
     boolean mayOpen(boolean needed) {
         if (open >= most && needed) {
-            pools.values().stream().min(Comparator.comparingLong(HostPool::idlestSince))
-                .filter(pool -> pool.idlestSince() < Long.MAX_VALUE).ifPresent(HostPool::closeIdlest);
+            pools.values().stream()
+                    .min(Comparator.comparingLong(HostPool::idlestSince))
+                    .filter(pool -> pool.idlestSince() < Long.MAX_VALUE)
+                    .ifPresent(HostPool::closeIdlest);
         }
         if (open >= most) {
             return false;
--- a/src/main/java/mintstair/backend/HostConnection.java
+++ b/src/main/java/mintstair/backend/HostConnection.java
@@ -4,13 +4,6 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
-import org.glassfish.grizzly.Buffer;
-import org.glassfish.grizzly.Connection;
-import org.glassfish.grizzly.EmptyCompletionHandler;
-import org.glassfish.grizzly.GrizzlyFuture;
-import org.glassfish.grizzly.WriteResult;
-import org.glassfish.grizzly.memory.Buffers;
-import org.glassfish.grizzly.nio.NIOConnection;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.Reply;
 import mintstair.wire.Framer;
@@ -18,15 +11,29 @@
 import mintstair.wire.MessageFilter;
 import mintstair.wire.ProtocolException;
 import mintstair.wire.Recorder;
+import org.glassfish.grizzly.Buffer;
+import org.glassfish.grizzly.Connection;
+import org.glassfish.grizzly.EmptyCompletionHandler;
+import org.glassfish.grizzly.GrizzlyFuture;
+import org.glassfish.grizzly.WriteResult;
+import org.glassfish.grizzly.memory.Buffers;
+import org.glassfish.grizzly.nio.NIOConnection;
 
 /** One connection to a db host: it greets, then carries one call at a time. All but reading is on the loop. */
 final class HostConnection implements MessageFilter.Listener {
-    private enum State { OPENING, RESTING, IDLE, BUSY, CLOSED }
+    private enum State {
+        OPENING,
+        RESTING,
+        IDLE,
+        BUSY,
+        CLOSED
+    }
 
     /** After its reply a connection waits for so long: bytes behind the reply must not meet the next call. */
     private static final long REST = 5_000;
     /** So much of a long answer may wait for its client; the second where all that waits is too much. */
     private static final int MOST_HELD = 64 * 1024;
+
     private static final int MOST_IN_NEED = 16 * 1024;
     /** A host that gives nothing of its answer for so long is not giving it any more. */
     private static final long STALL = 5_000_000;
@@ -89,7 +96,8 @@
             return;
         }
         if (backends.recorder != Recorder.NONE) {
-            record = backends.recorder.begin((InetSocketAddress) made.getLocalAddress(), (InetSocketAddress) made.getPeerAddress());
+            record = backends.recorder.begin(
+                    (InetSocketAddress) made.getLocalAddress(), (InetSocketAddress) made.getPeerAddress());
         }
         ask(backends.protocol.greeting(), false);
     }
@@ -246,7 +254,8 @@
             close();
             pool.closed(this);
             heard = heard.end() == ConnectionEnd.SERVED
-                ? new Reply(ConnectionEnd.SERVED_AND_MORE, heard.body(), heard.note()) : heard;
+                    ? new Reply(ConnectionEnd.SERVED_AND_MORE, heard.body(), heard.note())
+                    : heard;
         } else if (greeted) {
             state = State.IDLE;
             pool.opened(this);
@@ -287,8 +296,10 @@
                 if (state == State.BUSY) {
                     backends.trust.ended(backends.loop.now(), idled, true);
                 }
-                ended(written || state == State.OPENING ? ConnectionEnd.BROKEN_AFTER_WRITTEN
-                    : ConnectionEnd.BROKEN_BEFORE_WRITTEN);
+                ended(
+                        written || state == State.OPENING
+                                ? ConnectionEnd.BROKEN_AFTER_WRITTEN
+                                : ConnectionEnd.BROKEN_BEFORE_WRITTEN);
             }
         }
     }
--- a/src/main/java/mintstair/backend/HostPool.java
+++ b/src/main/java/mintstair/backend/HostPool.java
@@ -18,6 +18,7 @@
 
     /** Spare connections of a host that is new, or cannot be reached, are not opened by all proxies at once. */
     private static final long REST = 1_000_000;
+
     private static final long REST_MOST = 8_000_000;
     /** What is known of a host that is gone: where the list is only advice, it may still be sent to. */
     private static final long KEPT = 60_000_000;
@@ -52,8 +53,9 @@
             return;
         }
         int colon = entry.endpoint().lastIndexOf(':');
-        InetSocketAddress now = new InetSocketAddress(entry.endpoint().substring(0, colon),
-            Integer.parseInt(entry.endpoint().substring(colon + 1)));
+        InetSocketAddress now = new InetSocketAddress(
+                entry.endpoint().substring(0, colon),
+                Integer.parseInt(entry.endpoint().substring(colon + 1)));
         serving = entry.state() == HostList.State.SERVING;
         goneSince = backends.loop.now();
         if (!now.equals(address) || !serving) {
--- a/src/main/java/mintstair/backend/IdleTrust.java
+++ b/src/main/java/mintstair/backend/IdleTrust.java
@@ -11,6 +11,7 @@
     private static final int SPANS = 12;
     /** Spans below this are never given up: without any reuse each call would pay for a handshake. */
     private static final int FIRST_DOUBTED = 3;
+
     private static final double EVIDENCE = 3;
     private static final double OFTENER = 2;
     private static final double MARGIN = 0.1;
--- a/src/main/java/mintstair/backend/Protocol.java
+++ b/src/main/java/mintstair/backend/Protocol.java
@@ -24,7 +24,7 @@
     /** Reads one connection's replies; throws {@link ProtocolException} on what is none, however it came about. */
     interface Parser {
         /** These words were sent; what is taken in from here on must be the reply to them. */
-        default void asked(byte[] words) { }
+        default void asked(byte[] words) {}
 
         /** Takes in a message; gives the reply that it completes, or null. */
         Reply take(byte[] message);
--- a/src/main/java/mintstair/backend/Spares.java
+++ b/src/main/java/mintstair/backend/Spares.java
@@ -11,7 +11,7 @@
     /** Of all connections that may be open, this share may be idle spares; the rest is for requests. */
     private static final double SHARE = 0.5;
 
-    private Spares() { }
+    private Spares() {}
 
     /** Spare connections to each of so many serving hosts, where at most {@code most} may be open to all of them. */
     static int each(int hosts, int most) {
--- a/src/main/java/mintstair/backend/mongo/MongoProtocol.java
+++ b/src/main/java/mintstair/backend/mongo/MongoProtocol.java
@@ -37,8 +37,8 @@
 
     @Override
     public byte[] probe() {
-        return MongoMessage.opMsg(new BsonDocument("hello", new BsonInt32(1)).append("$db", new BsonString("admin")),
-            0);
+        return MongoMessage.opMsg(
+                new BsonDocument("hello", new BsonInt32(1)).append("$db", new BsonString("admin")), 0);
     }
 
     @Override
@@ -59,8 +59,10 @@
             @Override
             public Reply take(byte[] message) {
                 MongoMessage m = MongoMessage.parse(message);
-                if (m.opCode() != MongoMessage.OP_MSG || (m.flags() & MongoMessage.MORE_TO_COME) != 0
-                        || m.responseTo() != asked || !m.body().isNumber("ok")) {
+                if (m.opCode() != MongoMessage.OP_MSG
+                        || (m.flags() & MongoMessage.MORE_TO_COME) != 0
+                        || m.responseTo() != asked
+                        || !m.body().isNumber("ok")) {
                     throw new ProtocolException("not the one reply that was asked for");
                 }
                 return new Reply(end(m.body()), MongoMessage.bytes(m.body()), note(m.body()));
@@ -88,8 +90,11 @@
             return ConnectionEnd.SERVED;
         }
         int code = body.isNumber("code") ? body.getNumber("code").intValue() : 0;
-        return NOTHING_RAN.contains(code) ? ConnectionEnd.MISS : UNSEEN.contains(code) ? ConnectionEnd.TURNED_AWAY
-            : code == 0 || MAY_HAVE_RUN.contains(code) ? ConnectionEnd.HOST_ERROR : ConnectionEnd.SERVED;
+        return NOTHING_RAN.contains(code)
+                ? ConnectionEnd.MISS
+                : UNSEEN.contains(code)
+                        ? ConnectionEnd.TURNED_AWAY
+                        : code == 0 || MAY_HAVE_RUN.contains(code) ? ConnectionEnd.HOST_ERROR : ConnectionEnd.SERVED;
     }
 
     private static Note note(BsonDocument body) {
@@ -98,7 +103,8 @@
             boolean primary = body.getBoolean("isWritablePrimary").getValue();
             role = primary ? HostRole.PRIMARY : HostRole.REPLICA;
         }
-        BsonValue lastWrite = body.isDocument("lastWrite") ? body.getDocument("lastWrite").get("lastWriteDate") : null;
+        BsonValue lastWrite =
+                body.isDocument("lastWrite") ? body.getDocument("lastWrite").get("lastWriteDate") : null;
         long position = Note.UNKNOWN;
         if (role == HostRole.PRIMARY && body.isDateTime("localTime")) {
             position = body.getDateTime("localTime").getValue() * 1000;
--- a/src/main/java/mintstair/backend/pg/PgProtocol.java
+++ b/src/main/java/mintstair/backend/pg/PgProtocol.java
@@ -18,13 +18,16 @@
 /** Db hosts that speak PostgreSQL's protocol, version 3: simple queries, no password. */
 public final class PgProtocol implements Protocol {
     private static final byte[] GREETING = new PgWriter()
-        .packet(196608, "user", "web", "database", "orders", "").bytes();
+            .packet(196608, "user", "web", "database", "orders", "")
+            .bytes();
     private static final String DIGITS = "\\d{1,14}(?:\\.\\d{1,20})?(?:[eE][-+]?\\d{1,2})?";
     /** Milliseconds: what lies beyond is no position, and would make any read seem fresh enough. */
     private static final double LAST_POSITION = 1e14;
+
     private static final Pattern NUMBER = Pattern.compile(DIGITS);
     private static final Pattern FIELD = Pattern.compile("(\\w{1,32})=(" + DIGITS + ")");
-    private static final byte[] PROBE = new PgWriter().message('Q', "SHOW vitals").bytes();
+    private static final byte[] PROBE =
+            new PgWriter().message('Q', "SHOW vitals").bytes();
 
     @Override
     public byte[] greeting() {
@@ -88,7 +91,12 @@
      */
     static final class PgParser implements Parser {
         /** What a reply must bring next; an error may take the place of any of these. */
-        private enum Due { DESCRIPTION, ROW, COMPLETION, READY }
+        private enum Due {
+            DESCRIPTION,
+            ROW,
+            COMPLETION,
+            READY
+        }
 
         private static final int READY_LENGTH = 6;
         private ByteArrayOutputStream body = new ByteArrayOutputStream(256);
@@ -115,7 +123,7 @@
                 }
                 case 'S' -> parameter(m);
                 case 'K' -> check(greeting && m.length == 13, "a key out of place");
-                case 'N', 'A' -> { }
+                case 'N', 'A' -> {}
                 case 'T' -> next(m, Due.DESCRIPTION, Due.ROW, isDescription(m));
                 case 'D' -> {
                     // Of a long one this is the head, and what goes on from here on cannot be taken back.
@@ -165,8 +173,9 @@
 
         @Override
         public Reply atEnd() {
-            return end == null ? null : new Reply(end, end == ConnectionEnd.SERVED ? body.toByteArray() : null,
-                new Note(role, position));
+            return end == null
+                    ? null
+                    : new Reply(end, end == ConnectionEnd.SERVED ? body.toByteArray() : null, new Note(role, position));
         }
 
         private void next(byte[] m, Due wanted, Due then, boolean whole) {
@@ -177,7 +186,10 @@
 
         /** One column: its name, then 18 bytes, of which the last two say whether its values are text or binary. */
         private static boolean isDescription(byte[] m) {
-            return m.length >= 7 && int16(m, 5) == 1 && zero(m, 7) == m.length - 19 && int16(m, m.length - 2) >>> 1 == 0;
+            return m.length >= 7
+                    && int16(m, 5) == 1
+                    && zero(m, 7) == m.length - 19
+                    && int16(m, m.length - 2) >>> 1 == 0;
         }
 
         /** One column, whose length is that of the message's rest. */
@@ -192,8 +204,9 @@
             String name = text(m, 5, split);
             String value = text(m, split + 1, stop);
             if (name.equals("rank")) {
-                role = value.equals("source") ? HostRole.PRIMARY
-                    : value.equals("copy") ? HostRole.REPLICA : HostRole.UNTOLD;
+                role = value.equals("source")
+                        ? HostRole.PRIMARY
+                        : value.equals("copy") ? HostRole.REPLICA : HostRole.UNTOLD;
             } else if (name.equals("as_of")) {
                 check(NUMBER.matcher(value).matches(), "a position that is no number");
                 position = position(Double.parseDouble(value));
--- a/src/main/java/mintstair/config/Env.java
+++ b/src/main/java/mintstair/config/Env.java
@@ -24,6 +24,7 @@
     public final boolean listPushed;
     /** For so long a host may still be sent to once it is told to leave, in microseconds. */
     public final long drainGrace;
+
     public final Map<String, Integer> tenants = new LinkedHashMap<>();
     public final long positionZero;
     public final List<?> reportFields;
@@ -54,19 +55,32 @@
         connectTimeout = micros(map(env, "limits"), "connectTimeoutS", 0.25);
         proxies = (int) number(env, "balancers", 1);
         listPushed = string(env, "discovery", "").equals("automatic");
-        settings = new Settings(proxies, (int) number(env, "position", 0),
-            string(env, "locality", ""), kinds, shares, number(env, "overShareWorth", 1),
-            string(info, "sessionMarks", "").equals("remembered"), check(string(info, "serverChecks", "none")),
-            truth(info, "tellsPosition", false), string(info, "listRole", "none").equals("late"),
-            string(env, "discovery", "").equals("subscribe"), truth(map(env, "clients"), "marksRetry", false),
-            number(prices, "probe", 0), number(prices, "crossZone", 0), guards(map(env, "invariants")),
-            limits(map(env, "limits")));
+        settings = new Settings(
+                proxies,
+                (int) number(env, "position", 0),
+                string(env, "locality", ""),
+                kinds,
+                shares,
+                number(env, "overShareWorth", 1),
+                string(info, "sessionMarks", "").equals("remembered"),
+                check(string(info, "serverChecks", "none")),
+                truth(info, "tellsPosition", false),
+                string(info, "listRole", "none").equals("late"),
+                string(env, "discovery", "").equals("subscribe"),
+                truth(map(env, "clients"), "marksRetry", false),
+                number(prices, "probe", 0),
+                number(prices, "crossZone", 0),
+                guards(map(env, "invariants")),
+                limits(map(env, "limits")));
         drainGrace = settings.guards().drainGrace();
     }
 
     /** The longest time, in microseconds, that a request of any class may wait. */
     public long longestDeadline() {
-        return settings.classes().stream().mapToLong(RequestClass::deadline).max().orElse(0);
+        return settings.classes().stream()
+                .mapToLong(RequestClass::deadline)
+                .max()
+                .orElse(0);
     }
 
     private static RequestClass requestClass(Map<?, ?> c, Map<?, ?> info, int index) {
@@ -93,8 +107,17 @@
         };
         List<?> bounds = list(info, "classBoundS");
         long bound = index < bounds.size() ? toMicros(((Number) bounds.get(index)).doubleValue()) : 0;
-        return new RequestClass(string(c, "name", ""), freshness, repeat, scope, bound, micros(c, "sloS", 1),
-            micros(c, "deadlineS", 1), micros(c, "windowS", 0), number(c, "worth", 1), number(c, "lateValue", 0));
+        return new RequestClass(
+                string(c, "name", ""),
+                freshness,
+                repeat,
+                scope,
+                bound,
+                micros(c, "sloS", 1),
+                micros(c, "deadlineS", 1),
+                micros(c, "windowS", 0),
+                number(c, "worth", 1),
+                number(c, "lateValue", 0));
     }
 
     private static ReadCheck check(String word) {
@@ -111,16 +134,24 @@
         if (gone != null && !(gone instanceof Boolean)) {
             throw new ConfigException("goneIsAdvice must be true or false");
         }
-        return new Guards(micros(rules, "drainGraceS", 0), number(rules, "coldFrom", 1),
-            micros(rules, "warmAfterS", 0), number(rules, "fallMultiple", 1), micros(rules, "fallS", 1),
-            Boolean.TRUE.equals(gone));
+        return new Guards(
+                micros(rules, "drainGraceS", 0),
+                number(rules, "coldFrom", 1),
+                micros(rules, "warmAfterS", 0),
+                number(rules, "fallMultiple", 1),
+                micros(rules, "fallS", 1),
+                Boolean.TRUE.equals(gone));
     }
 
     private static Limits limits(Map<?, ?> limits) {
-        return new Limits((int) number(limits, "maxAttempts", 1), truth(limits, "cancelling", false),
-            truth(limits, "probing", false), truth(limits, "peerMessages", false),
-            truth(limits, "secondCopies", false), truth(limits, "retryAfter", false),
-            micros(limits, "maxRetryAfterS", 0));
+        return new Limits(
+                (int) number(limits, "maxAttempts", 1),
+                truth(limits, "cancelling", false),
+                truth(limits, "probing", false),
+                truth(limits, "peerMessages", false),
+                truth(limits, "secondCopies", false),
+                truth(limits, "retryAfter", false),
+                micros(limits, "maxRetryAfterS", 0));
     }
 
     public static long toMicros(double seconds) {
--- a/src/main/java/mintstair/config/Json.java
+++ b/src/main/java/mintstair/config/Json.java
@@ -15,7 +15,7 @@
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    private Json() { }
+    private Json() {}
 
     /** The one value that the text holds. */
     public static Object read(byte[] text) throws IOException {
@@ -52,11 +52,16 @@
                 }
                 return list;
             }
-            case VALUE_STRING: return in.getText();
-            case VALUE_TRUE: return Boolean.TRUE;
-            case VALUE_FALSE: return Boolean.FALSE;
-            case VALUE_NULL: return null;
-            default: return in.getDoubleValue();
+            case VALUE_STRING:
+                return in.getText();
+            case VALUE_TRUE:
+                return Boolean.TRUE;
+            case VALUE_FALSE:
+                return Boolean.FALSE;
+            case VALUE_NULL:
+                return null;
+            default:
+                return in.getDoubleValue();
         }
     }
 
--- a/src/main/java/mintstair/config/ListReader.java
+++ b/src/main/java/mintstair/config/ListReader.java
@@ -9,11 +9,12 @@
 public final class ListReader {
     private static final int LAST_PORT = 65_535;
 
-    private ListReader() { }
+    private ListReader() {}
 
     /** The list; throws {@link IllegalArgumentException} where the value is none. */
     public static HostList read(Object json) {
-        if (!(json instanceof Map<?, ?> map) || !(map.get("targets") instanceof List<?> targets)
+        if (!(json instanceof Map<?, ?> map)
+                || !(map.get("targets") instanceof List<?> targets)
                 || !(map.get("rev") instanceof Number revision)) {
             throw new IllegalArgumentException("a list of hosts needs rev and targets");
         }
@@ -43,8 +44,15 @@
             // It can't be reached, while what the list tells of other hosts counts all the same.
             state = HostList.State.DELETED;
         }
-        return new HostList.Entry(text(t, "uid"), endpoint, text(t, "az"), (int) number(t, "pod_group", 0), state,
-            "source".equals(t.get("rank")), number(t, "capacity_hint", 1), Math.round(number(t, "boot_ms", 0) * 1000));
+        return new HostList.Entry(
+                text(t, "uid"),
+                endpoint,
+                text(t, "az"),
+                (int) number(t, "pod_group", 0),
+                state,
+                "source".equals(t.get("rank")),
+                number(t, "capacity_hint", 1),
+                Math.round(number(t, "boot_ms", 0) * 1000));
     }
 
     private static String text(Map<?, ?> t, String key) {
--- a/src/main/java/mintstair/config/MembershipConfig.java
+++ b/src/main/java/mintstair/config/MembershipConfig.java
@@ -10,10 +10,12 @@
  * The fleet that this proxy is a member of: its name, the address where this one takes messages of the others and the one at which
  * they reach it, some that it asks first, and the period of its protocol in microseconds.
  */
-public record MembershipConfig(String fleet, InetSocketAddress listen, String advertise, List<String> seeds, long period) {
+public record MembershipConfig(
+        String fleet, InetSocketAddress listen, String advertise, List<String> seeds, long period) {
     private static final Set<String> NAMES = Set.of("fleet", "listen", "advertise", "seeds", "period_s");
     /** What goes into datagrams beside others of its kind. */
     private static final int LONGEST_ADDRESS = 64;
+
     private static final double PERIOD = 0.4;
 
     static MembershipConfig read(Map<?, ?> m) {
@@ -38,7 +40,8 @@
         for (Object each : list) {
             seeds.add(address(String.valueOf(each)));
         }
-        double period = m.get("period_s") == null ? PERIOD : m.get("period_s") instanceof Number n ? n.doubleValue() : 0;
+        double period =
+                m.get("period_s") == null ? PERIOD : m.get("period_s") instanceof Number n ? n.doubleValue() : 0;
         if (!(period >= 0.05 && period <= 60)) {
             throw new ConfigException("membership: period_s must be from 0.05 to 60");
         }
@@ -48,7 +51,8 @@
     private static String address(String text) {
         NodeConfig.address(text);
         if (!text.matches("[!-~]{1," + LONGEST_ADDRESS + "}")) {
-            throw new ConfigException("membership: an address has at most " + LONGEST_ADDRESS + " printable ASCII characters");
+            throw new ConfigException(
+                    "membership: an address has at most " + LONGEST_ADDRESS + " printable ASCII characters");
         }
         return text;
     }
--- a/src/main/java/mintstair/config/NodeConfig.java
+++ b/src/main/java/mintstair/config/NodeConfig.java
@@ -11,8 +11,16 @@
 import mintstair.request.HostList;
 
 /** What one proxy is told at its start. */
-public record NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress control,
-        long seed, int sockets, HostList known, Env env, Map<?, ?> json) {
+public record NodeConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        InetSocketAddress control,
+        long seed,
+        int sockets,
+        HostList known,
+        Env env,
+        Map<?, ?> json) {
 
     /** Reads the file; throws {@link ConfigException} with one plain line where it cannot be used. */
     public static NodeConfig read(Path file) {
@@ -31,10 +39,19 @@
             throw new ConfigException("settings are missing");
         }
         HostList known = map.get("known") == null ? null : ListReader.read(map.get("known"));
-        int sockets = map.get("limits") instanceof Map<?, ?> limits
-            && limits.get("sockets") instanceof Number n ? n.intValue() : 1024;
-        return new NodeConfig(text(map, "name"), address(text(map, "listen")), address(text(map, "discovery")),
-            control(map.get("control")), seed(map.get("seed")), sockets, known, new Env(checked(settings)), map);
+        int sockets = map.get("limits") instanceof Map<?, ?> limits && limits.get("sockets") instanceof Number n
+                ? n.intValue()
+                : 1024;
+        return new NodeConfig(
+                text(map, "name"),
+                address(text(map, "listen")),
+                address(text(map, "discovery")),
+                control(map.get("control")),
+                seed(map.get("seed")),
+                sockets,
+                known,
+                new Env(checked(settings)),
+                map);
     }
 
     /**
@@ -49,7 +66,8 @@
             asWholeAs(this, read);
             return read;
         } catch (IOException | IllegalArgumentException | ConfigException e) {
-            throw new ConfigException(place + ": " + String.valueOf(e.getMessage()).split("\n")[0]);
+            throw new ConfigException(
+                    place + ": " + String.valueOf(e.getMessage()).split("\n")[0]);
         }
     }
 
--- a/src/main/java/mintstair/config/OperatorConfig.java
+++ b/src/main/java/mintstair/config/OperatorConfig.java
@@ -10,28 +10,35 @@
 import mintstair.request.HostList;
 
 /** What an operator sets up beside the platform's front; every part is off where its name is missing. */
-public record OperatorConfig(Mongo mongodb, Recording record, Members store, RegistryConfig registry,
-        MembershipConfig membership) {
+public record OperatorConfig(
+        Mongo mongodb, Recording record, Members store, RegistryConfig registry, MembershipConfig membership) {
     /** The second front: where it listens, and its hosts, listed here or by a discovery of their own. */
-    public record Mongo(InetSocketAddress listen, InetSocketAddress discovery, HostList hosts) { }
+    public record Mongo(InetSocketAddress listen, InetSocketAddress discovery, HostList hosts) {}
 
     /** The file that client traffic is recorded to, and the bytes that it may grow to; or rotated files in a folder. */
-    public record Recording(Path file, long mostBytes, Rotated rotated) { }
+    public record Recording(Path file, long mostBytes, Rotated rotated) {}
 
     /**
      * Rotated files: bytes and age at which one is followed by the next, bytes of all and of what may wait for the disk, whether
      * connections to hosts are recorded, the share of connections that are, and whether values are replaced by digests.
      */
-    public record Rotated(Path folder, long fileBytes, long fileMicros, long totalBytes, long queueBytes, boolean hosts, double share,
-            boolean digests) { }
+    public record Rotated(
+            Path folder,
+            long fileBytes,
+            long fileMicros,
+            long totalBytes,
+            long queueBytes,
+            boolean hosts,
+            double share,
+            boolean digests) {}
 
     /** The replicated store: this daemon's member of it, all members, and the folder that this one keeps. */
-    public record Members(String member, Map<String, InetSocketAddress> members, Path folder) { }
+    public record Members(String member, Map<String, InetSocketAddress> members, Path folder) {}
 
     public static final OperatorConfig NONE = new OperatorConfig(null, null, null, null, null);
     private static final Set<String> NAMES = Set.of("mongodb", "record", "store", "registry", "membership");
-    private static final Set<String> RECORD_NAMES = Set.of("folder", "file_bytes", "file_s", "total_bytes", "queue_bytes", "hosts", "share",
-        "digests");
+    private static final Set<String> RECORD_NAMES =
+            Set.of("folder", "file_bytes", "file_s", "total_bytes", "queue_bytes", "hosts", "share", "digests");
     private static final long MOST_BYTES = 64 << 20;
 
     /** Reads the file; throws {@link ConfigException} with one plain line where it cannot be used. */
@@ -50,18 +57,20 @@
             if (listed && map.get("mongodb") == null) {
                 throw new ConfigException("registry lists hosts of mongodb, which is not set up");
             }
-            return new OperatorConfig(map.get("mongodb") instanceof Map<?, ?> m ? mongo(m, listed) : null,
-                map.get("record") instanceof Map<?, ?> m ? recording(m) : null,
-                map.get("store") instanceof Map<?, ?> m ? members(m) : null, registry,
-                map.get("membership") instanceof Map<?, ?> m ? MembershipConfig.read(m) : null);
+            return new OperatorConfig(
+                    map.get("mongodb") instanceof Map<?, ?> m ? mongo(m, listed) : null,
+                    map.get("record") instanceof Map<?, ?> m ? recording(m) : null,
+                    map.get("store") instanceof Map<?, ?> m ? members(m) : null,
+                    registry,
+                    map.get("membership") instanceof Map<?, ?> m ? MembershipConfig.read(m) : null);
         } catch (IOException | IllegalArgumentException | ConfigException e) {
             throw NodeConfig.unusable(file, e);
         }
     }
 
     private static Mongo mongo(Map<?, ?> m, boolean listed) throws IOException {
-        InetSocketAddress discovery = m.get("discovery") == null ? null
-            : NodeConfig.address(NodeConfig.text(m, "discovery"));
+        InetSocketAddress discovery =
+                m.get("discovery") == null ? null : NodeConfig.address(NodeConfig.text(m, "discovery"));
         HostList hosts = m.get("hosts") == null ? null : ListReader.read(m.get("hosts"));
         if (discovery == null && hosts == null && !listed) {
             throw new ConfigException("mongodb needs hosts or discovery, or a registry");
@@ -71,7 +80,8 @@
 
     private static Recording recording(Map<?, ?> m) {
         if (m.get("folder") == null) {
-            return new Recording(Path.of(NodeConfig.text(m, "file")), (long) number(m, "most_bytes", MOST_BYTES, 1), null);
+            return new Recording(
+                    Path.of(NodeConfig.text(m, "file")), (long) number(m, "most_bytes", MOST_BYTES, 1), null);
         }
         for (Object name : m.keySet()) {
             if (!RECORD_NAMES.contains(name)) {
@@ -79,9 +89,15 @@
             }
         }
         long fileBytes = (long) number(m, "file_bytes", MOST_BYTES, 1 << 16);
-        Rotated rotated = new Rotated(Path.of(NodeConfig.text(m, "folder")), fileBytes, (long) (number(m, "file_s", 600, 1) * 1e6),
-            (long) number(m, "total_bytes", 16 * fileBytes, fileBytes), (long) number(m, "queue_bytes", 8 << 20, 1 << 16),
-            Boolean.TRUE.equals(m.get("hosts")), number(m, "share", 1, 0), Boolean.TRUE.equals(m.get("digests")));
+        Rotated rotated = new Rotated(
+                Path.of(NodeConfig.text(m, "folder")),
+                fileBytes,
+                (long) (number(m, "file_s", 600, 1) * 1e6),
+                (long) number(m, "total_bytes", 16 * fileBytes, fileBytes),
+                (long) number(m, "queue_bytes", 8 << 20, 1 << 16),
+                Boolean.TRUE.equals(m.get("hosts")),
+                number(m, "share", 1, 0),
+                Boolean.TRUE.equals(m.get("digests")));
         if (rotated.share() > 1) {
             throw new ConfigException("record: share must be from 0 to 1");
         }
--- a/src/main/java/mintstair/control/ControlServer.java
+++ b/src/main/java/mintstair/control/ControlServer.java
@@ -35,12 +35,19 @@
     private final TCPNIOTransport transport;
     /** Those that have not sent their line yet, the oldest first. */
     private final Set<Caller> incomplete = new LinkedHashSet<>();
+
     private TCPNIOServerConnection listener;
 
     public ControlServer(Calls calls) {
         this.calls = calls;
-        transport = TCPNIOTransportBuilder.newInstance().setName("control").setIOStrategy(new AcceptRetryStrategy())
-            .setSelectorRunnersCount(1).setTcpNoDelay(true).setReuseAddress(true).setReadBufferSize(LineFramer.LONGEST).build();
+        transport = TCPNIOTransportBuilder.newInstance()
+                .setName("control")
+                .setIOStrategy(new AcceptRetryStrategy())
+                .setSelectorRunnersCount(1)
+                .setTcpNoDelay(true)
+                .setReuseAddress(true)
+                .setReadBufferSize(LineFramer.LONGEST)
+                .build();
     }
 
     /** Listens on the address, or on any free port of it for port 0; returns the port. */
@@ -54,8 +61,12 @@
             return caller;
         });
         listener = TCPNIOBindingHandler.builder(transport)
-            .processor(FilterChainBuilder.stateless().add(new TransportFilter()).add(filter).build()).build()
-            .bind(address, 64);
+                .processor(FilterChainBuilder.stateless()
+                        .add(new TransportFilter())
+                        .add(filter)
+                        .build())
+                .build()
+                .bind(address, 64);
         return ((InetSocketAddress) listener.getLocalAddress()).getPort();
     }
 
@@ -119,18 +130,20 @@
 
         @SuppressWarnings({"unchecked", "rawtypes"})
         private void write(byte[] words) {
-            ((Connection) connection).write(Buffers.wrap(transport.getMemoryManager(), words),
-                new EmptyCompletionHandler<WriteResult>() {
-                    @Override
-                    public void completed(WriteResult result) {
-                        connection.closeSilently();
-                    }
+            ((Connection) connection)
+                    .write(
+                            Buffers.wrap(transport.getMemoryManager(), words),
+                            new EmptyCompletionHandler<WriteResult>() {
+                                @Override
+                                public void completed(WriteResult result) {
+                                    connection.closeSilently();
+                                }
 
-                    @Override
-                    public void failed(Throwable why) {
-                        connection.terminateSilently();
-                    }
-                });
+                                @Override
+                                public void failed(Throwable why) {
+                                    connection.terminateSilently();
+                                }
+                            });
         }
 
         @Override
--- a/src/main/java/mintstair/control/MembersCommand.java
+++ b/src/main/java/mintstair/control/MembersCommand.java
@@ -12,7 +12,7 @@
     private static final String OK = "ok\n";
     private static final String EOF = "eof\n";
 
-    private MembersCommand() { }
+    private MembersCommand() {}
 
     /** Prints the view; returns 1 where the instance is no member of a fleet, and throws where none answers. */
     public static int run(InetSocketAddress control, PrintStream out) throws IOException {
@@ -27,7 +27,7 @@
         }
         if (!answer.startsWith(OK) || !answer.endsWith(EOF)) {
             System.err.println("mintstair: the instance at " + control.getHostString() + ":" + control.getPort()
-                + " is no member of a fleet");
+                    + " is no member of a fleet");
             return 1;
         }
         out.print(answer.substring(OK.length(), answer.length() - EOF.length()));
--- a/src/main/java/mintstair/decision/AttemptRules.java
+++ b/src/main/java/mintstair/decision/AttemptRules.java
@@ -7,7 +7,7 @@
  * before its first byte is written: in between it may have waited for a connection, and this process may have stood still.
  */
 public final class AttemptRules {
-    private AttemptRules() { }
+    private AttemptRules() {}
 
     /**
      * What is known at this moment.
@@ -19,7 +19,8 @@
      * @param beginBy until when what the decision rested on holds
      * @param hostDrains whether its host is listed as draining
      */
-    public record Facts(long now, boolean requestOver, boolean clientGone, long until, long beginBy, boolean hostDrains) { }
+    public record Facts(
+            long now, boolean requestOver, boolean clientGone, long until, long beginBy, boolean hostDrains) {}
 
     /** What holds it back, the first that applies, or that it may begin. */
     public static AttemptVerdict rule(Facts facts) {
--- a/src/main/java/mintstair/decision/ConcurrencyLimit.java
+++ b/src/main/java/mintstair/decision/ConcurrencyLimit.java
@@ -17,21 +17,26 @@
 
     /** In flight at first, of all routers together, and of one at least. */
     private static final double FIRST_OF_ALL = 16;
+
     private static final double FIRST_OF_ONE = 2;
     /** The fewest in flight, likewise: enough to see a recovery. */
     private static final double LEAST_OF_ALL = 2;
+
     private static final double LEAST_OF_ONE = 0.02;
     /** What a swift answer raises the limit by, and a slow one lowers it by. */
     private static final double STEP_UP = 0.02;
+
     private static final double STEP_DOWN = 0.03;
     private static final double FULL_STEPS = 10;
     /** A strained limit is first cut to this many times its use. */
     private static final double OVER_USE = 1;
     /** Answers that are further apart than this count more, up to tenfold. */
     private static final double EVIDENCE_SPACING = 100_000;
+
     private static final double MOST_SPAN = 10;
     /** Without answers, a limit and its evidence fade in this time. */
     private static final double FADE = 10_000_000;
+
     private static final double NEWEST = 0.1;
     private static final double NEWEST_AT_MOST = 0.4;
 
--- a/src/main/java/mintstair/decision/HostHealth.java
+++ b/src/main/java/mintstair/decision/HostHealth.java
@@ -7,9 +7,11 @@
 final class HostHealth {
     /** Past this share of failures a host gets only trial traffic. */
     private static final double FAILING = 0.5;
+
     private static final double HALF_LIFE = 4_000_000;
     /** Weight of an answer in the means. */
     private static final double NEWEST = 0.1;
+
     private static final double MOST_STRETCH = 10;
 
     private double failures;
--- a/src/main/java/mintstair/decision/InvariantMonitor.java
+++ b/src/main/java/mintstair/decision/InvariantMonitor.java
@@ -20,6 +20,7 @@
     private static final long WAIT_SLACK = 150_000;
     /** A final answer later than this behind its request's deadline is no answer. */
     private static final long ANSWER_SLACK = 500_000;
+
     private static final long NOT_OUT = Long.MAX_VALUE;
 
     /** A rule that was broken. */
@@ -39,13 +40,14 @@
     }
 
     /** A violation, with what there is to find it by. */
-    public record Finding(Violation violation, long request, String host) { }
+    public record Finding(Violation violation, long request, String host) {}
 
     private static final class Watched {
         final RequestClass requestClass;
         final long deadline;
         /** When each attempt that is out began, by its number; {@link #NOT_OUT} for the others. */
         long[] outSince = {};
+
         long firstMayHaveRun = Long.MAX_VALUE;
         boolean answered;
         boolean over;
@@ -119,7 +121,9 @@
         if (now - drainingSince.getOrDefault(host, now) > drainGrace + SLACK) {
             found.add(Violation.SENT_TO_DRAINING);
         }
-        return found.stream().map(violation -> new Finding(violation, request, host)).toList();
+        return found.stream()
+                .map(violation -> new Finding(violation, request, host))
+                .toList();
     }
 
     private static boolean repeatsWhatMayRun(long now, Watched watched) {
@@ -159,7 +163,9 @@
         }
         watched.answered = true;
         over(request);
-        return found.stream().map(violation -> new Finding(violation, request, "")).toList();
+        return found.stream()
+                .map(violation -> new Finding(violation, request, ""))
+                .toList();
     }
 
     /** No answer is owed any more: it was given, or the client has left. */
--- a/src/main/java/mintstair/decision/PositionClock.java
+++ b/src/main/java/mintstair/decision/PositionClock.java
@@ -24,6 +24,7 @@
 
     /** Of each group: the newest position that its primary told, less the own time at which it was heard. */
     private final Map<Integer, Long> evidence = new HashMap<>();
+
     private int groupsAhead;
     private int groupsOld;
     private long offset;
@@ -59,9 +60,13 @@
     }
 
     private long newestNearMedian() {
-        long[] sorted = evidence.values().stream().mapToLong(Long::longValue).sorted().toArray();
+        long[] sorted =
+                evidence.values().stream().mapToLong(Long::longValue).sorted().toArray();
         long median = sorted[sorted.length / 2];
-        return Arrays.stream(sorted).filter(each -> each <= median + CLOSE).max().orElse(median);
+        return Arrays.stream(sorted)
+                .filter(each -> each <= median + CLOSE)
+                .max()
+                .orElse(median);
     }
 
     /** The present by the clock of positions, or later. */
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -92,7 +92,8 @@
         if (settings.subscribe()) actions.subscribe();
     }
 
-    @Override public void onSettings(long at, Settings changed) {
+    @Override
+    public void onSettings(long at, Settings changed) {
         long now = clock(at);
         adopt(now, changed);
         // What was concluded by the former settings is concluded anew by these.
@@ -109,7 +110,8 @@
         actions.log("settings changed: " + kinds.length + " classes");
     }
 
-    @Override public void onFleet(long at, Fleet told) {
+    @Override
+    public void onFleet(long at, Fleet told) {
         clock(at);
         fleet = told;
     }
@@ -156,7 +158,9 @@
     }
 
     /** A clock that goes back is taken to stand. */
-    private long clock(long now) { return lastSeen = Math.max(lastSeen, now); }
+    private long clock(long now) {
+        return lastSeen = Math.max(lastSeen, now);
+    }
 
     private static void require(boolean holds, String otherwise) {
         if (!holds) throw new IllegalArgumentException(otherwise);
@@ -164,7 +168,8 @@
 
     // ---- the list ----
 
-    @Override public void onList(long at, ListKind kind, List<HostEntry> entries) {
+    @Override
+    public void onList(long at, ListKind kind, List<HostEntry> entries) {
         long now = clock(at);
         if (kind == ListKind.FAILED) {
             // The list is out of reach: the old one stands, and routers must not ask again all at once.
@@ -256,12 +261,17 @@
         logCold(h);
     }
 
-    private void logCold(Host h) { actions.log("cold " + h.name + ": ramp from its start"); }
+    private void logCold(Host h) {
+        actions.log("cold " + h.name + ": ramp from its start");
+    }
 
     /** The share of its capacity that a host can be trusted with after its start. */
-    private double warmth(Host h, long now) { return h.slowStart.share(now, settings.guards()); }
+    private double warmth(Host h, long now) {
+        return h.slowStart.share(now, settings.guards());
+    }
 
-    @Override public void onRequest(long at, Request r) {
+    @Override
+    public void onRequest(long at, Request r) {
         long now = clock(at);
         Kind kind = kinds[r.classIndex()];
         double unstrained = Math.max(0, 1 - allReplicas.answerTime() / ConcurrencyLimit.STRAIN_AIM);
@@ -271,19 +281,28 @@
         demandedPolls.earn(polls, rate(now));
         requestRate = rate(now) + 1e6 / RATE_SPAN;
         rateAt = now;
-        Open q = new Open(r, kind, now, tokenOf(now, r, kind), overShare(now, r.tenant()), luckOf(r),
-            settings.limits().maxAttempts());
+        Open q = new Open(
+                r,
+                kind,
+                now,
+                tokenOf(now, r, kind),
+                overShare(now, r.tenant()),
+                luckOf(r),
+                settings.limits().maxAttempts());
         open.put(r.id(), q);
         dispatch(now, q);
     }
 
     /** Requests a second at this router. */
-    private double rate(long now) { return requestRate * Math.exp((rateAt - now) / RATE_SPAN); }
+    private double rate(long now) {
+        return requestRate * Math.exp((rateAt - now) / RATE_SPAN);
+    }
 
     /** Where only a part may pass the lucky do; a session keeps its luck, so trying again is no way in. */
     private double luckOf(Request r) {
-        return r.session() == null ? random.nextDouble()
-            : new Random(r.session().hashCode() * 0x9E3779B97F4A7C15L).nextDouble();
+        return r.session() == null
+                ? random.nextDouble()
+                : new Random(r.session().hashCode() * 0x9E3779B97F4A7C15L).nextDouble();
     }
 
     /** The position that a session's read must see; a carried one counts back from the arrival. */
@@ -298,7 +317,8 @@
     /** Whether a tenant sends more here than this router's part of its share. */
     private boolean overShare(long now, int tenant) {
         if (tenant < 0) return false;
-        double all = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
+        double all =
+                settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
         double part = Math.max(1 / routers(), all > 0 ? requestRate / all : 0);
         double quota = settings.tenants().get(tenant).quotaPerSecond() * part;
         Share s = shares[tenant];
@@ -323,8 +343,8 @@
     }
 
     private Group groupOf(int number) {
-        return groups.computeIfAbsent(number,
-            n -> new Group(n, new ConcurrencyLimit(routers(), allReplicas, 0), REPORT_AGE));
+        return groups.computeIfAbsent(
+                number, n -> new Group(n, new ConcurrencyLimit(routers(), allReplicas, 0), REPORT_AGE));
     }
 
     private void send(long now, Open q, Host h) {
@@ -348,7 +368,9 @@
     }
 
     /** Hosts drop the repeats of a keyed request until then. */
-    private static long windowEnd(Open q) { return q.firstMayHaveRun + q.kind.of.window() - MARGIN; }
+    private static long windowEnd(Open q) {
+        return q.firstMayHaveRun + q.kind.of.window() - MARGIN;
+    }
 
     /** The ordinary path: a random replica known to be recent enough, else the primary. */
     private Host choose(long now, Open q) {
@@ -438,10 +460,14 @@
 
     /** A replica that may take this read: proven recent, or plausibly so where a guess is allowed. */
     private boolean isRecent(long now, Host h, Open q, long need, long guess, boolean sure) {
-        boolean plausible = guess > 0 && now - h.missAt > MISS_REST
-            && (h.lag <= positions.present(now) - need + guess || now - h.toldAt > LAG_KNOWN);
-        return h.ready && h != h.group.primary && (plausible || h.position >= need)
-            && (!sure || trusted(now, h)) && !q.isAt(h, q.attempts < 3);
+        boolean plausible = guess > 0
+                && now - h.missAt > MISS_REST
+                && (h.lag <= positions.present(now) - need + guess || now - h.toldAt > LAG_KNOWN);
+        return h.ready
+                && h != h.group.primary
+                && (plausible || h.position >= need)
+                && (!sure || trusted(now, h))
+                && !q.isAt(h, q.attempts < 3);
     }
 
     /** After signs of lost hosts, or against the list, only a host that was heard from is used unasked. */
@@ -487,8 +513,12 @@
 
     /** A replica whose poll could show it recent enough: not just polled, and not shown to be far behind. */
     private boolean canProve(long now, Host h, Open q, long need) {
-        if (!h.ready || h == h.group.primary || h.pollOut || h.silent && h.lost > 0
-                || now - h.polledAt < DEMAND_WAIT || q.isAt(h, q.attempts < 3)) return false;
+        if (!h.ready
+                || h == h.group.primary
+                || h.pollOut
+                || h.silent && h.lost > 0
+                || now - h.polledAt < DEMAND_WAIT
+                || q.isAt(h, q.attempts < 3)) return false;
         long present = positions.present(now);
         boolean behind = now - h.toldAt < LAG_KNOWN && h.lag > present - need + h.group.reportAge;
         return need <= present - youngestReport && !behind;
@@ -501,7 +531,9 @@
     }
 
     /** The own time at which the newest position of a group was the present. */
-    private long headAt(long now, Group g) { return positions.ownTime(g.number, now, g.head); }
+    private long headAt(long now, Group g) {
+        return positions.ownTime(g.number, now, g.head);
+    }
 
     /** No write is risked on a primary unheard of for long; advancing replicas or an error show it lives. */
     private boolean mustConfirm(long now, Group g) {
@@ -544,7 +576,9 @@
     }
 
     /** The share of the room open to a request: less for little worth, less over its tenant's share. */
-    private static double room(Open q) { return q.overShare ? OVER_SHARE_ROOM * q.kind.room : q.kind.room; }
+    private static double room(Open q) {
+        return q.overShare ? OVER_SHARE_ROOM * q.kind.room : q.kind.room;
+    }
 
     /** A replica's weight by its symptoms: silence, failures, time over its peers. */
     private double health(Host h) {
@@ -554,7 +588,8 @@
         return over > SLOW ? Math.max(TRIAL_WEIGHT, w * SLOW * SLOW / (over * over) / 2) : w;
     }
 
-    @Override public int avoided(long now) {
+    @Override
+    public int avoided(long now) {
         int count = 0;
         for (Host h : hosts.values()) {
             h.health.fade(now);
@@ -582,7 +617,8 @@
         return !cold && p.inFlight + q.luck < p.asPrimary.value(now) * part ? p : null;
     }
 
-    @Override public void onOutcome(long at, Outcome o) {
+    @Override
+    public void onOutcome(long at, Outcome o) {
         Open q = open.get(o.id());
         if (q == null || o.attempt() < 0 || o.attempt() >= q.attempts || !q.isOut[o.attempt()]) return;
         Host h = q.tried[o.attempt()];
@@ -635,8 +671,9 @@
 
     /** The final answer at once: refused where that is true and harmless, else failed. */
     private void giveUp(long now, Open q) {
-        boolean harmless = q.repeatable() || !q.mayHaveRun && q.out == 0
-            || q.kind.of.repeat() == Repeat.KEYED && q.kind.of.scope() == RepeatScope.ALL;
+        boolean harmless = q.repeatable()
+                || !q.mayHaveRun && q.out == 0
+                || q.kind.of.repeat() == Repeat.KEYED && q.kind.of.scope() == RepeatScope.ALL;
         long longest = settings.limits().maxRetryAfter();
         long soon = (long) (COME_BACK * q.kind.of.aim());
         long back = now + soon < q.arrived + q.kind.of.aim() ? Math.min(longest, soon) : longest;
@@ -645,13 +682,15 @@
         finish(q);
     }
 
-    @Override public void onHangUp(long at, long id) {
+    @Override
+    public void onHangUp(long at, long id) {
         clock(at);
         Open q = open.get(id);
         if (q != null && !q.finished) finish(q);
     }
 
-    @Override public void onEnd(long at) {
+    @Override
+    public void onEnd(long at) {
         for (Open q : List.copyOf(open.values())) if (!q.finished) giveUp(clock(at), q);
     }
 
@@ -769,7 +808,8 @@
         actions.log("group " + h.group.number + ": " + h.name + " is no longer primary");
     }
 
-    @Override public void onProbed(long at, String host, Ending ending, long latency, Report report) {
+    @Override
+    public void onProbed(long at, String host, Ending ending, long latency, Report report) {
         long now = clock(at);
         Host h = hosts.get(host);
         if (h == null) return;
@@ -813,7 +853,8 @@
         actions.timer("tick", at - now);
     }
 
-    @Override public void onTimer(long at, String name) {
+    @Override
+    public void onTimer(long at, String name) {
         long now = clock(at);
         if (name.equals("subscribe")) actions.subscribe();
         if (!name.equals("tick") || now < wakeAt - MARGIN) return;
@@ -973,5 +1014,6 @@
     }
 
     /** Nothing is asked of peers: their messages may be lost, and each router decides on its own. */
-    @Override public void onPeer(long now, int from, String text) { }
+    @Override
+    public void onPeer(long now, int from, String text) {}
 }
--- a/src/main/java/mintstair/decision/RouterState.java
+++ b/src/main/java/mintstair/decision/RouterState.java
@@ -10,7 +10,7 @@
 
 /** What a router remembers: plain facts, read and written by ReadWriteSplitter, which alone decides. */
 final class RouterState {
-    private RouterState() { }
+    private RouterState() {}
 
     /** A time before all others. */
     static final long NEVER = Long.MIN_VALUE / 4;
--- a/src/main/java/mintstair/decision/SessionTokens.java
+++ b/src/main/java/mintstair/decision/SessionTokens.java
@@ -11,7 +11,7 @@
     /** Far longer than a new host's copy is old, or than a lag lasts. */
     private static final long KEPT = 120_000_000;
 
-    private record Token(long position, long heardAt) { }
+    private record Token(long position, long heardAt) {}
 
     /** From the one heard of longest ago on. */
     private final LinkedHashMap<String, Token> tokens = new LinkedHashMap<>();
--- a/src/main/java/mintstair/decision/SlowStart.java
+++ b/src/main/java/mintstair/decision/SlowStart.java
@@ -10,6 +10,7 @@
     private boolean active;
     /** Whether it rests on the start that the list tells, and not on what this router found. */
     private boolean fromList;
+
     private long since;
 
     /** The host came back at this time, by what this router found. */
--- a/src/main/java/mintstair/decision/SplitterApi.java
+++ b/src/main/java/mintstair/decision/SplitterApi.java
@@ -8,26 +8,52 @@
  * time is microseconds too. A position is the time up to which a host has applied all commits.
  */
 public final class SplitterApi {
-    private SplitterApi() { }
+    private SplitterApi() {}
 
     /** Stands for a position, a token age or a time that is not known. */
     public static final long UNKNOWN = -1;
 
     /** How recent the data behind an answer must be. */
-    public enum Freshness { ANY, BOUNDED, SESSION, FRESH, WRITE }
+    public enum Freshness {
+        ANY,
+        BOUNDED,
+        SESSION,
+        FRESH,
+        WRITE
+    }
 
     /** Whether a request may run again: always, where its repeats are dropped, or never. */
-    public enum Repeat { SAFE, KEYED, UNSAFE }
+    public enum Repeat {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** Where the repeats of a keyed request are dropped. */
-    public enum RepeatScope { ALL, ZONE, GROUP }
+    public enum RepeatScope {
+        ALL,
+        ZONE,
+        GROUP
+    }
 
     /** What a replica does with a read for which it is too far behind. */
-    public enum ReadCheck { NONE, REFUSE, WAIT }
+    public enum ReadCheck {
+        NONE,
+        REFUSE,
+        WAIT
+    }
 
     /** How an attempt ended. */
     public enum Ending {
-        OK, ERROR, FULL, TIMEOUT, NO_ROUTE, RESET, CANCELLED, MOOT, MISS;
+        OK,
+        ERROR,
+        FULL,
+        TIMEOUT,
+        NO_ROUTE,
+        RESET,
+        CANCELLED,
+        MOOT,
+        MISS;
 
         /** Whether it is certain that the host did nothing for it. */
         public boolean neverRan() {
@@ -36,66 +62,139 @@
     }
 
     /** What an answer told of its host's role. */
-    public enum Role { UNTOLD, PRIMARY, REPLICA }
+    public enum Role {
+        UNTOLD,
+        PRIMARY,
+        REPLICA
+    }
 
     /** The state of a host as the list tells it. */
-    public enum HostState { READY, DRAINING, GONE }
+    public enum HostState {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** What an announcement of the list holds. */
-    public enum ListKind { CHANGES, WHOLE, OLD_COPY, FAILED }
+    public enum ListKind {
+        CHANGES,
+        WHOLE,
+        OLD_COPY,
+        FAILED
+    }
 
     /** A class of requests; {@code bound} counts for bounded reads, {@code window} for keyed requests. */
-    public record RequestClass(String name, Freshness freshness, Repeat repeat, RepeatScope scope, long bound,
-            long aim, long deadline, long window, double worth, double lateWorth) { }
+    public record RequestClass(
+            String name,
+            Freshness freshness,
+            Repeat repeat,
+            RepeatScope scope,
+            long bound,
+            long aim,
+            long deadline,
+            long window,
+            double worth,
+            double lateWorth) {}
 
     /** A tenant and the rate, over all routers, up to which its requests are worth their full worth. */
-    public record Tenant(String name, double quotaPerSecond) { }
+    public record Tenant(String name, double quotaPerSecond) {}
 
     /** The rules' figures; with {@code goneIsAdvice} only draining binds, and a gone host may still serve. */
-    public record Guards(long drainGrace, double coldShare, long warmAfter, double fallMultiple,
-            long fallSpan, boolean goneIsAdvice) { }
+    public record Guards(
+            long drainGrace,
+            double coldShare,
+            long warmAfter,
+            double fallMultiple,
+            long fallSpan,
+            boolean goneIsAdvice) {}
 
     /** What the site allows. */
-    public record Limits(int maxAttempts, boolean cancelling, boolean probing, boolean peerMessages,
-            boolean secondCopies, boolean retryAfter, long maxRetryAfter) { }
+    public record Limits(
+            int maxAttempts,
+            boolean cancelling,
+            boolean probing,
+            boolean peerMessages,
+            boolean secondCopies,
+            boolean retryAfter,
+            long maxRetryAfter) {}
 
     /**
      * How many routers there are, as far as this one knows: the largest number seen or told, those that may
      * run and know of each other, and whether this one is {@code settled}: only if all that are so count each
      * other.
      */
-    public record Fleet(int largest, int counted, boolean settled) { }
+    public record Fleet(int largest, int counted, boolean settled) {}
 
     /** All that a router is told at its start. */
-    public record Settings(int routers, int me, String zone, List<RequestClass> classes, List<Tenant> tenants,
-            double overShareWorth, boolean rememberedTokens, ReadCheck readCheck, boolean positionsInAnswers,
-            boolean listTellsRole, boolean subscribe, boolean clientsMarkRepeats, double probePrice,
-            double crossZonePrice, Guards guards, Limits limits) { }
+    public record Settings(
+            int routers,
+            int me,
+            String zone,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            double overShareWorth,
+            boolean rememberedTokens,
+            ReadCheck readCheck,
+            boolean positionsInAnswers,
+            boolean listTellsRole,
+            boolean subscribe,
+            boolean clientsMarkRepeats,
+            double probePrice,
+            double crossZonePrice,
+            Guards guards,
+            Limits limits) {}
 
     /** One host as listed. */
-    public record HostEntry(String host, boolean primary, String zone, int group, HostState state,
+    public record HostEntry(
+            String host,
+            boolean primary,
+            String zone,
+            int group,
+            HostState state,
             double size,
             // 0 where it started long ago
-            long lastStart) { }
+            long lastStart) {}
 
     /**
      * A request; {@code patience} is the time until its client gives up, {@code tenant} -1 where none.
      * One that is {@code pinned} goes on with what its host holds: no other host can serve it, nor it twice.
      */
-    public record Request(long id, int classIndex, int group, String session, int tenant,
-            boolean clientRepeat, long patience, long tokenAge, String pinned) {
-        public Request(long id, int classIndex, int group, String session, int tenant,
-                boolean clientRepeat, long patience, long tokenAge) {
+    public record Request(
+            long id,
+            int classIndex,
+            int group,
+            String session,
+            int tenant,
+            boolean clientRepeat,
+            long patience,
+            long tokenAge,
+            String pinned) {
+        public Request(
+                long id,
+                int classIndex,
+                int group,
+                String session,
+                int tenant,
+                boolean clientRepeat,
+                long patience,
+                long tokenAge) {
             this(id, classIndex, group, session, tenant, clientRepeat, patience, tokenAge, null);
         }
     }
 
     /** A host's report on itself; {@code position} may be {@link #UNKNOWN}. */
-    public record Report(long position, Role role) { }
+    public record Report(long position, Role role) {}
 
     /** The end of one attempt; {@code finished} when the request is over with it or was before. */
-    public record Outcome(long id, int attempt, String host, Ending ending, long latency, boolean finished,
-            Role role, long position) { }
+    public record Outcome(
+            long id,
+            int attempt,
+            String host,
+            Ending ending,
+            long latency,
+            boolean finished,
+            Role role,
+            long position) {}
 
     /** The events. One instance serves one router; calls must not overlap. */
     public interface Router {
--- a/src/main/java/mintstair/discovery/Watch.java
+++ b/src/main/java/mintstair/discovery/Watch.java
@@ -8,6 +8,13 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
+import mintstair.config.Json;
+import mintstair.config.ListReader;
+import mintstair.discovery.pace.ListPace;
+import mintstair.discovery.pace.ListPace.Failure;
+import mintstair.proxy.Loop;
+import mintstair.request.HostList;
+import mintstair.stats.Counters;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.EmptyCompletionHandler;
 import org.glassfish.grizzly.Grizzly;
@@ -26,13 +33,6 @@
 import org.glassfish.grizzly.http.Protocol;
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
-import mintstair.config.Json;
-import mintstair.config.ListReader;
-import mintstair.discovery.pace.ListPace;
-import mintstair.discovery.pace.ListPace.Failure;
-import mintstair.proxy.Loop;
-import mintstair.request.HostList;
-import mintstair.stats.Counters;
 
 /**
  * Keeps a watch on discovery: the whole list first, then one call for changes after the other. The next call
@@ -56,18 +56,27 @@
     private final TCPNIOConnectorHandler connector;
     /** Those that may still be heard, oldest first. */
     private final ArrayDeque<Line> lines = new ArrayDeque<>();
+
     private ListPace pace;
     private long revision;
     /** Whether the last call was answered with what could be used. */
     private boolean sure;
+
     private Future<?> next;
     /** Since when nothing that could be used was heard, and what was logged of that; 0 and nothing while all is well. */
     private long troubledSince;
+
     private final Set<String> named = new HashSet<>();
     private boolean ended;
 
     /** Changes are asked for from {@code revision} on, or the whole list where that is below 0. */
-    public Watch(Loop loop, TCPNIOTransport transport, InetSocketAddress address, long revision, ListPace pace, Counters counters,
+    public Watch(
+            Loop loop,
+            TCPNIOTransport transport,
+            InetSocketAddress address,
+            long revision,
+            ListPace pace,
+            Counters counters,
             Consumer<HostList> told) {
         this.loop = loop;
         this.address = address;
@@ -75,8 +84,13 @@
         this.counters = counters;
         this.revision = revision;
         this.pace = pace;
-        connector = TCPNIOConnectorHandler.builder(transport).processor(FilterChainBuilder.stateless()
-            .add(new TransportFilter()).add(new HttpClientFilter()).add(new Answers()).build()).build();
+        connector = TCPNIOConnectorHandler.builder(transport)
+                .processor(FilterChainBuilder.stateless()
+                        .add(new TransportFilter())
+                        .add(new HttpClientFilter())
+                        .add(new Answers())
+                        .build())
+                .build();
     }
 
     /** Asks at this pace from now on; what is out is missing no later than by this pace; on the loop. */
@@ -231,8 +245,11 @@
                 start();
                 return;
             }
-            HttpRequestPacket.Builder request = HttpRequestPacket.builder().method(Method.GET).uri("/registry/instances")
-                .protocol(Protocol.HTTP_1_1).header("Host", address.getHostString() + ":" + address.getPort());
+            HttpRequestPacket.Builder request = HttpRequestPacket.builder()
+                    .method(Method.GET)
+                    .uri("/registry/instances")
+                    .protocol(Protocol.HTTP_1_1)
+                    .header("Host", address.getHostString() + ":" + address.getPort());
             long held = revision < 0 ? 0 : pace.held(sure);
             if (revision >= 0) {
                 request.query("index=" + revision + "&wait=" + held / 1000);
@@ -307,9 +324,10 @@
     /** Hands whole answers and ends of connections to the loop; on the network thread. */
     private final class Answers extends BaseFilter {
         /** What has come of an answer, and whether only the end of the connection tells that it is whole. */
-        private record Part(ByteArrayOutputStream body, int status, boolean untilEnd) { }
+        private record Part(ByteArrayOutputStream body, int status, boolean untilEnd) {}
 
-        private final Attribute<Part> parts = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("answer." + System.identityHashCode(this));
+        private final Attribute<Part> parts =
+                Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("answer." + System.identityHashCode(this));
 
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
@@ -318,7 +336,10 @@
             Part part = parts.get(by);
             if (part == null) {
                 HttpResponsePacket head = (HttpResponsePacket) content.getHttpHeader();
-                part = new Part(new ByteArrayOutputStream(), head.getStatus(), !head.isChunked() && head.getContentLength() < 0);
+                part = new Part(
+                        new ByteArrayOutputStream(),
+                        head.getStatus(),
+                        !head.isChunked() && head.getContentLength() < 0);
                 parts.set(by, part);
             }
             byte[] bytes = new byte[content.getContent().remaining()];
@@ -360,7 +381,8 @@
         public NextAction handleClose(FilterChainContext ctx) {
             Connection<?> closed = ctx.getConnection();
             Part part = parts.remove(closed);
-            // Where no length is told the end of the connection is the answer's, but a reset is none, and looks the same from here:
+            // Where no length is told the end of the connection is the answer's, but a reset is none, and looks the
+            // same from here:
             // only a body that is whole by itself counts.
             if (part != null && part.untilEnd && isWhole(part.body.toByteArray())) {
                 hand(closed, part, true);
--- a/src/main/java/mintstair/discovery/pace/JitteredBackoff.java
+++ b/src/main/java/mintstair/discovery/pace/JitteredBackoff.java
@@ -19,6 +19,7 @@
     static final long LINE = 4_000;
     /** The least wait after a call that was turned away, and the longest, where lists are short and proxies few. */
     static final long RETRY = 100_000;
+
     static final long RETRY_MOST = 2_000_000;
     /** Waits are drawn from nearly their whole span: those that failed together come apart. */
     private static final double SURE = 0.1;
@@ -34,6 +35,10 @@
 
     /** Waits of no more than {@code longest}: the first spans two rounds, as the calls of all that failed may still be worked on. */
     Backoff upTo(long longest) {
-        return new Backoff(random, Math.min(longest, Math.max(RETRY, 2 * round)), Math.min(longest, Math.max(RETRY_MOST, 4 * round)), SURE);
+        return new Backoff(
+                random,
+                Math.min(longest, Math.max(RETRY, 2 * round)),
+                Math.min(longest, Math.max(RETRY_MOST, 4 * round)),
+                SURE);
     }
 }
--- a/src/main/java/mintstair/discovery/pace/ListPace.java
+++ b/src/main/java/mintstair/discovery/pace/ListPace.java
@@ -14,6 +14,7 @@
 public final class ListPace {
     /** The grace where settings tell none, or one that no proxy could keep or that would leave a silent agent unnoticed. */
     static final long GRACE = 1_000_000;
+
     private static final long GRACE_LEAST = 200_000;
     private static final long GRACE_MOST = 4_000_000;
     /** After a call that failed at the own agent; doubled up to an answer's time. */
@@ -34,6 +35,7 @@
      * that is for noticing.
      */
     private static final long LATE_HELD = 1_000_000;
+
     private static final long LATE_WHOLE = COUNTS / 2;
     /** The longest wait after a connection to it broke or a held call fell silent: most of what is then left. */
     private static final long AGAIN_MOST = 900_000;
@@ -80,7 +82,8 @@
      */
     public static ListPace asked(int proxies, int lines, Random random) {
         JitteredBackoff jittered = new JitteredBackoff(proxies, lines, random);
-        return new ListPace(false, 0, jittered.upTo(AGAIN_MOST), jittered.upTo(TURNED_AWAY_MOST), jittered.upTo(GIVEN_UP_MOST));
+        return new ListPace(
+                false, 0, jittered.upTo(AGAIN_MOST), jittered.upTo(TURNED_AWAY_MOST), jittered.upTo(GIVEN_UP_MOST));
     }
 
     /** How long a call for changes is to be held; {@code sure} where the call before it was answered well. */
--- a/src/main/java/mintstair/front/ClientSession.java
+++ b/src/main/java/mintstair/front/ClientSession.java
@@ -27,6 +27,7 @@
 public abstract class ClientSession implements MessageFilter.Listener {
     /** What a client may have sent ahead of its answers; one that goes on is not reading them. */
     private static final int MOST_PENDING = 512 * 1024;
+
     private static final int MOST_COMMANDS = 64;
     /** What was read and not yet looked at; past it nothing more is read, so that a flood waits in its own socket. */
     private static final int MOST_UNREAD = 64 * 1024;
@@ -34,6 +35,7 @@
     private static final long PATIENCE = 2_500_000;
     /** A client that takes nothing of its answer for so long is gone. */
     private static final long WRITE_PATIENCE = 5_000_000;
+
     private static final long NEVER = Long.MAX_VALUE;
     private static final int LAST_LOOK = 4 * 1024;
     /**
@@ -41,10 +43,11 @@
      * bytes resets the connection, and the words, or an answer before them, may be lost on the way.
      */
     private static final long LINGER = 250_000;
+
     private static final int MOST_LINGERED = 256 * 1024;
 
     /** One whole message, and when its last byte was read. */
-    private record Command(byte[] message, long readAt) { }
+    private record Command(byte[] message, long readAt) {}
 
     private final Front front;
     private final Connection<?> connection;
@@ -54,9 +57,11 @@
     private volatile boolean deaf;
     /** Set by the thread that sees the end of the connection: the loop may come to it late. */
     private volatile boolean left;
+
     private volatile int reads;
     /** Of the reads, those that the loop has taken in. */
     private int looked;
+
     private boolean heard;
     private boolean asked;
     private int writing;
@@ -66,6 +71,7 @@
     private boolean lingers;
     /** What is wrong with what it sent behind its commands, which come first. */
     private String fault;
+
     private volatile int dropped;
     private byte[] last;
     private int commandBytes;
@@ -76,6 +82,7 @@
     private long idleSince;
     /** When the last answer was written out, and since when the client's time for the command at hand runs. */
     private long answeredAt;
+
     private long turnSince;
     private Exchange exchange;
     private ClientEnd why = ClientEnd.LEFT;
@@ -97,8 +104,8 @@
 
     final void accepted(Recorder recorder) {
         if (recorder != null) {
-            record = recorder.begin((InetSocketAddress) connection.getPeerAddress(),
-                (InetSocketAddress) connection.getLocalAddress());
+            record = recorder.begin(
+                    (InetSocketAddress) connection.getPeerAddress(), (InetSocketAddress) connection.getLocalAddress());
         }
     }
 
@@ -152,8 +159,9 @@
         }
         partialSince = framer.pending() == 0 ? NEVER : partial ? partialSince : front.loop.now();
         goOn();
-        if (!closed && !ending && (!front.sentAhead(noteAhead()) || ahead > MOST_PENDING
-                || commands.size() > MOST_COMMANDS)) {
+        if (!closed
+                && !ending
+                && (!front.sentAhead(noteAhead()) || ahead > MOST_PENDING || commands.size() > MOST_COMMANDS)) {
             broken("too much was sent ahead of its answers");
         }
     }
@@ -252,7 +260,14 @@
 
     /** Since when nothing has been open here, or never where something is. */
     final long idleSince() {
-        boolean open = closed || closing || fault != null || exchange != null || writing > 0 || ending || framer.pending() > 0 || !commands.isEmpty();
+        boolean open = closed
+                || closing
+                || fault != null
+                || exchange != null
+                || writing > 0
+                || ending
+                || framer.pending() > 0
+                || !commands.isEmpty();
         return open ? NEVER : idleSince;
     }
 
@@ -277,7 +292,8 @@
                 linger();
                 return;
             }
-            // What was read and is still on its way here counts as heard: its request would be cut off after it was sent on.
+            // What was read and is still on its way here counts as heard: its request would be cut off after it was
+            // sent on.
             int heardThen = looked;
             ((NIOConnection) connection).executeInEventThread(IOEvent.READ, () -> closeUnlessHeard(heardThen));
         }
@@ -426,7 +442,7 @@
     }
 
     protected final void write(byte[] words) {
-        write(words, () -> { });
+        write(words, () -> {});
     }
 
     @SuppressWarnings({"unchecked", "rawtypes"})
@@ -437,23 +453,25 @@
         writing++;
         writingSince = front.loop.now();
         record.said(false, words);
-        ((Connection) connection).write(Buffers.wrap(front.transport.getMemoryManager(), words),
-            new EmptyCompletionHandler<WriteResult>() {
-                @Override
-                public void completed(WriteResult result) {
-                    // The loop may come to it late, and the time of the next command runs from here.
-                    long writtenAt = front.loop.now();
-                    front.loop.execute(() -> {
-                        taken.run();
-                        written(writtenAt);
-                    });
-                }
-
-                @Override
-                public void failed(Throwable why) {
-                    connection.terminateSilently();
-                }
-            });
+        ((Connection) connection)
+                .write(
+                        Buffers.wrap(front.transport.getMemoryManager(), words),
+                        new EmptyCompletionHandler<WriteResult>() {
+                            @Override
+                            public void completed(WriteResult result) {
+                                // The loop may come to it late, and the time of the next command runs from here.
+                                long writtenAt = front.loop.now();
+                                front.loop.execute(() -> {
+                                    taken.run();
+                                    written(writtenAt);
+                                });
+                            }
+
+                            @Override
+                            public void failed(Throwable why) {
+                                connection.terminateSilently();
+                            }
+                        });
     }
 
     private void written(long at) {
--- a/src/main/java/mintstair/front/Front.java
+++ b/src/main/java/mintstair/front/Front.java
@@ -33,12 +33,14 @@
     private static final long SHORTLY = 20_000;
     /** From this share of the most clients on, each that comes lets the one go that has been idle for longest. */
     private static final double CROWDED = 0.4;
+
     private static final int FEW = 8;
     private static final long SWEEP_EVERY = 100_000;
     private static final int BACKLOG = 1024;
     private static final long DEREGISTERED = 500;
     /** At the end whoever waits to be accepted is taken in, though that fails for so many times so long. */
     private static final int ACCEPT_TRIES = 40;
+
     private static final long ACCEPT_AGAIN = 5_000;
 
     protected final Loop loop;
@@ -53,8 +55,7 @@
     private TCPNIOServerConnection listener;
     Recorder recorder;
 
-    protected Front(Loop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters,
-            int mostClients) {
+    protected Front(Loop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters, int mostClients) {
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.transport = transport;
@@ -90,8 +91,12 @@
             return session;
         });
         listener = TCPNIOBindingHandler.builder(transport)
-            .processor(FilterChainBuilder.stateless().add(new TransportFilter()).add(filter).build()).build()
-            .bind(address, BACKLOG);
+                .processor(FilterChainBuilder.stateless()
+                        .add(new TransportFilter())
+                        .add(filter)
+                        .build())
+                .build()
+                .bind(address, BACKLOG);
         return ((InetSocketAddress) listener.getLocalAddress()).getPort();
     }
 
@@ -120,7 +125,10 @@
         long now = loop.now();
         ClientSession first = null;
         for (ClientSession session : sessions) {
-            if (session != but && now - session.idleSince() >= least && (asked || !session.hasAsked()) && (first == null || session.goesBefore(first))) {
+            if (session != but
+                    && now - session.idleSince() >= least
+                    && (asked || !session.hasAsked())
+                    && (first == null || session.goesBefore(first))) {
                 first = session;
             }
         }
@@ -140,11 +148,13 @@
     /** Of those that have asked, lets the one go that has been idle for longest. */
     private void evictIdlest() {
         long before = loop.now() - IDLE;
-        sessions.stream().filter(session -> session.hasAsked() && session.idleSince() <= before)
-            .min(Comparator.comparingLong(ClientSession::idleSince)).ifPresent(idlest -> {
-                counters.clientsIdledOut++;
-                idlest.drain(ClientEnd.IDLED_OUT);
-            });
+        sessions.stream()
+                .filter(session -> session.hasAsked() && session.idleSince() <= before)
+                .min(Comparator.comparingLong(ClientSession::idleSince))
+                .ifPresent(idlest -> {
+                    counters.clientsIdledOut++;
+                    idlest.drain(ClientEnd.IDLED_OUT);
+                });
     }
 
     /** Whether all connections that clients may have are taken; on any thread. */
@@ -160,8 +170,10 @@
     /** There is no room: one that comes brings a request, while what is idle loses nothing. */
     private void makeRoom(ClientSession newest) {
         if (!evictOne(newest, SHORTLY, true)) {
-            ClientSession mute = sessions.stream().filter(session -> session != newest && session.isMute() && !session.isLeaving())
-                .findFirst().orElse(newest);
+            ClientSession mute = sessions.stream()
+                    .filter(session -> session != newest && session.isMute() && !session.isLeaving())
+                    .findFirst()
+                    .orElse(newest);
             counters.clientsTurnedAway++;
             mute.turnAway();
         }
--- a/src/main/java/mintstair/front/RequestRules.java
+++ b/src/main/java/mintstair/front/RequestRules.java
@@ -41,8 +41,8 @@
      * @param patience how long the client waits, in milliseconds, or null for its class's deadline
      * @param writes whether the statement changes data, for which a class of reads would resend it
      */
-    public ProxyRequest request(Map<String, String> values, String patience, boolean writes, String session,
-            Statement statement) {
+    public ProxyRequest request(
+            Map<String, String> values, String patience, boolean writes, String session, Statement statement) {
         String id = values.getOrDefault("id", "");
         String requestClass = values.getOrDefault("c", "");
         if (id.isEmpty() || requestClass.isEmpty()) {
@@ -72,9 +72,16 @@
             throw new ProtocolException("the deadline must be 1 ms or more");
         }
         String after = values.get("after");
-        return new ProxyRequest(id, requestClass, (int) cluster, session, "1".equals(values.get("r")),
-            dispatcher.mayHold(wait),
-            after == null ? Note.UNKNOWN : number("after", after) * 1000, statement, null);
+        return new ProxyRequest(
+                id,
+                requestClass,
+                (int) cluster,
+                session,
+                "1".equals(values.get("r")),
+                dispatcher.mayHold(wait),
+                after == null ? Note.UNKNOWN : number("after", after) * 1000,
+                statement,
+                null);
     }
 
     private static long number(String name, String value) {
--- a/src/main/java/mintstair/front/mongo/Cursors.java
+++ b/src/main/java/mintstair/front/mongo/Cursors.java
@@ -11,11 +11,12 @@
 final class Cursors {
     /** As hosts do by themselves. */
     private static final long IDLE = 600_000_000;
+
     private static final int MOST = 1000;
 
     /** One cursor: the host and its own id there, and the request that opened it. */
-    record Cursor(long id, String host, long hostId, String database, String collection, ProxyRequest opened,
-            long usedAt) { }
+    record Cursor(
+            long id, String host, long hostId, String database, String collection, ProxyRequest opened, long usedAt) {}
 
     private final Map<Long, Cursor> byId = new LinkedHashMap<>();
     private final Consumer<Cursor> free;
@@ -26,7 +27,7 @@
     }
 
     Cursor open(String host, long hostId, String database, String collection, ProxyRequest opened, long now) {
-        for (Iterator<Cursor> i = byId.values().iterator(); i.hasNext();) {
+        for (Iterator<Cursor> i = byId.values().iterator(); i.hasNext(); ) {
             Cursor oldest = i.next();
             if (byId.size() < MOST && now - oldest.usedAt < IDLE) {
                 break;
--- a/src/main/java/mintstair/front/mongo/MongoFront.java
+++ b/src/main/java/mintstair/front/mongo/MongoFront.java
@@ -20,8 +20,7 @@
     private final Cursors cursors;
     private int connections;
 
-    public MongoFront(Loop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters,
-            int mostClients) {
+    public MongoFront(Loop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters, int mostClients) {
         super(loop, dispatcher, transport, counters, mostClients);
         rules = new RequestRules(dispatcher);
         cursors = new Cursors(this::free);
@@ -49,8 +48,10 @@
     }
 
     void free(Cursors.Cursor c) {
-        dispatcher.release(c.host(), new MongoStatement(new BsonDocument("killCursors", new BsonString(c.collection()))
-            .append("cursors", new BsonArray(List.of(new BsonInt64(c.hostId()))))
-            .append("$db", new BsonString(c.database()))));
+        dispatcher.release(
+                c.host(),
+                new MongoStatement(new BsonDocument("killCursors", new BsonString(c.collection()))
+                        .append("cursors", new BsonArray(List.of(new BsonInt64(c.hostId()))))
+                        .append("$db", new BsonString(c.database()))));
     }
 }
--- a/src/main/java/mintstair/front/mongo/MongoSession.java
+++ b/src/main/java/mintstair/front/mongo/MongoSession.java
@@ -23,14 +23,19 @@
 /** One client that speaks MongoDB's wire protocol. */
 final class MongoSession extends ClientSession {
     /** What hosts tell the proxy in a reply, and no client is to act on. */
-    private static final String[] NOTES = {"isWritablePrimary", "lastWrite", "localTime", "operationTime",
-        "$clusterTime"};
+    private static final String[] NOTES = {
+        "isWritablePrimary", "lastWrite", "localTime", "operationTime", "$clusterTime"
+    };
 
     /** An error with its code and the code's name, as MongoDB's list of errors has them. */
     private enum Fault {
-        HOST_UNREACHABLE(6, "HostUnreachable"), BAD_VALUE(2, "BadValue"), FAILED_TO_PARSE(9, "FailedToParse"),
-        ILLEGAL_OPERATION(20, "IllegalOperation"), CURSOR_NOT_FOUND(43, "CursorNotFound"),
-        MAX_TIME_MS_EXPIRED(50, "MaxTimeMSExpired"), COMMAND_NOT_FOUND(59, "CommandNotFound"),
+        HOST_UNREACHABLE(6, "HostUnreachable"),
+        BAD_VALUE(2, "BadValue"),
+        FAILED_TO_PARSE(9, "FailedToParse"),
+        ILLEGAL_OPERATION(20, "IllegalOperation"),
+        CURSOR_NOT_FOUND(43, "CursorNotFound"),
+        MAX_TIME_MS_EXPIRED(50, "MaxTimeMSExpired"),
+        COMMAND_NOT_FOUND(59, "CommandNotFound"),
         OVERLOADED(462, "IngressRequestRateLimitExceeded");
 
         final int code;
@@ -42,8 +47,10 @@
         }
 
         BsonDocument reply(String text) {
-            return new BsonDocument("ok", new BsonDouble(0)).append("errmsg", new BsonString(text))
-                .append("code", new BsonInt32(code)).append("codeName", new BsonString(codeName));
+            return new BsonDocument("ok", new BsonDouble(0))
+                    .append("errmsg", new BsonString(text))
+                    .append("code", new BsonInt32(code))
+                    .append("codeName", new BsonString(codeName));
         }
     }
 
@@ -86,8 +93,12 @@
         switch (name) {
             case "hello", "isMaster", "ismaster" -> write(words(m, hello(name)));
             case "ping", "endSessions" -> reply(m, ok());
-            case "buildInfo", "buildinfo" -> reply(m, ok().append("version", new BsonString("7.0.0"))
-                .append("versionArray", array(7, 0, 0, 0)).append("maxBsonObjectSize", new BsonInt32(longest())));
+            case "buildInfo", "buildinfo" ->
+                reply(
+                        m,
+                        ok().append("version", new BsonString("7.0.0"))
+                                .append("versionArray", array(7, 0, 0, 0))
+                                .append("maxBsonObjectSize", new BsonInt32(longest())));
             case "serverStatus" -> reply(m, ok().append("mintstair", counters()));
             case "find" -> find(m, c);
             case "getMore" -> getMore(m, c);
@@ -95,8 +106,10 @@
             case "insert", "update", "delete" -> {
                 checkPlain(c, name);
                 ProxyRequest request = request(c, true);
-                submit(request, answer -> reply(m, answer instanceof Answer.Served a ? served(a)
-                    : unserved(answer, request, true)));
+                submit(
+                        request,
+                        answer -> reply(
+                                m, answer instanceof Answer.Served a ? served(a) : unserved(answer, request, true)));
             }
             default -> {
                 front.malformed();
@@ -116,13 +129,16 @@
 
     private BsonDocument hello(String name) {
         BsonDocument hello = new BsonDocument(name.equals("hello") ? "isWritablePrimary" : "ismaster", BsonBoolean.TRUE)
-            .append("helloOk", BsonBoolean.TRUE).append("msg", new BsonString("isdbgrid"))
-            .append("maxBsonObjectSize", new BsonInt32(longest()))
-            .append("maxMessageSizeBytes", new BsonInt32(MongoFramer.LONGEST))
-            .append("maxWriteBatchSize", new BsonInt32(1000))
-            .append("localTime", new BsonDateTime(front.now() / 1000)).append("connectionId", new BsonInt32(number))
-            .append("minWireVersion", new BsonInt32(0)).append("maxWireVersion", new BsonInt32(21))
-            .append("readOnly", BsonBoolean.FALSE);
+                .append("helloOk", BsonBoolean.TRUE)
+                .append("msg", new BsonString("isdbgrid"))
+                .append("maxBsonObjectSize", new BsonInt32(longest()))
+                .append("maxMessageSizeBytes", new BsonInt32(MongoFramer.LONGEST))
+                .append("maxWriteBatchSize", new BsonInt32(1000))
+                .append("localTime", new BsonDateTime(front.now() / 1000))
+                .append("connectionId", new BsonInt32(number))
+                .append("minWireVersion", new BsonInt32(0))
+                .append("maxWireVersion", new BsonInt32(21))
+                .append("readOnly", BsonBoolean.FALSE);
         hello.putAll(ok());
         return hello;
     }
@@ -145,8 +161,14 @@
             BsonDocument body = served(a);
             long hostId = cursorId(body);
             if (hostId != 0) {
-                Cursors.Cursor opened = front.cursors().open(a.host(), hostId, c.getString("$db").getValue(),
-                    c.getString("find").getValue(), request, front.now());
+                Cursors.Cursor opened = front.cursors()
+                        .open(
+                                a.host(),
+                                hostId,
+                                c.getString("$db").getValue(),
+                                c.getString("find").getValue(),
+                                request,
+                                front.now());
                 body.getDocument("cursor").put("id", new BsonInt64(opened.id()));
             }
             reply(m, body);
@@ -192,8 +214,16 @@
         values.put("c", opened.requestClass());
         values.put("cluster", Integer.toString(opened.cluster()));
         ProxyRequest r = front.rules().request(values, maxTime(c), false, opened.session(), statement);
-        return new ProxyRequest(r.id(), r.requestClass(), r.cluster(), r.session(), r.clientRetry(),
-            r.patienceMicros(), Math.max(r.afterMicros(), opened.afterMicros()), statement, cursor.host());
+        return new ProxyRequest(
+                r.id(),
+                r.requestClass(),
+                r.cluster(),
+                r.session(),
+                r.clientRetry(),
+                r.patienceMicros(),
+                Math.max(r.afterMicros(), opened.afterMicros()),
+                statement,
+                cursor.host());
     }
 
     private void killCursors(MongoMessage m, BsonDocument c) {
@@ -206,8 +236,10 @@
             boolean known = id.isNumber() && front.cursors().kill(id.asNumber().longValue());
             (known ? killed : notFound).add(id);
         }
-        BsonDocument reply = new BsonDocument("cursorsKilled", killed).append("cursorsNotFound", notFound)
-            .append("cursorsAlive", new BsonArray()).append("cursorsUnknown", new BsonArray());
+        BsonDocument reply = new BsonDocument("cursorsKilled", killed)
+                .append("cursorsNotFound", notFound)
+                .append("cursorsAlive", new BsonArray())
+                .append("cursorsUnknown", new BsonArray());
         reply.putAll(ok());
         reply(m, reply);
     }
@@ -232,7 +264,8 @@
 
     private static String maxTime(BsonDocument c) {
         return c.isNumber("maxTimeMS") && c.getNumber("maxTimeMS").longValue() != 0
-            ? Long.toString(c.getNumber("maxTimeMS").longValue()) : null;
+                ? Long.toString(c.getNumber("maxTimeMS").longValue())
+                : null;
     }
 
     /** A comment is a text as in SQL, or a document of the same names. */
@@ -244,10 +277,19 @@
             throw new ProtocolException("the comment must be a text or a document");
         }
         Map<String, String> values = new HashMap<>();
-        c.getDocument("comment").forEach((name, value) -> values.put(name, value.isString()
-            ? value.asString().getValue() : value.isNumber() ? Long.toString(value.asNumber().longValue())
-            : value.isDateTime() ? Long.toString(value.asDateTime().getValue())
-            : value.isBoolean() ? value.asBoolean().getValue() ? "1" : "0" : ""));
+        c.getDocument("comment")
+                .forEach((name, value) -> values.put(
+                        name,
+                        value.isString()
+                                ? value.asString().getValue()
+                                : value.isNumber()
+                                        ? Long.toString(value.asNumber().longValue())
+                                        : value.isDateTime()
+                                                ? Long.toString(
+                                                        value.asDateTime().getValue())
+                                                : value.isBoolean()
+                                                        ? value.asBoolean().getValue() ? "1" : "0"
+                                                        : ""));
         return values;
     }
 
@@ -261,7 +303,8 @@
 
     private static long cursorId(BsonDocument body) {
         return body.isDocument("cursor") && body.getDocument("cursor").isNumber("id")
-            ? body.getDocument("cursor").getNumber("id").longValue() : 0;
+                ? body.getDocument("cursor").getNumber("id").longValue()
+                : 0;
     }
 
     /** Refusals carry the labels by which drivers know that a retry does no harm; failures carry none. */
@@ -273,12 +316,13 @@
             if (write) {
                 labels.add(new BsonString("RetryableWriteError"));
             }
-            BsonDocument reply = Fault.OVERLOADED.reply("no room now, try again").append("errorLabels", labels);
+            BsonDocument reply =
+                    Fault.OVERLOADED.reply("no room now, try again").append("errorLabels", labels);
             return a.comeBackMillis() > 0 ? reply.append("retryAfterMS", new BsonInt64(a.comeBackMillis())) : reply;
         }
         Answer.Failed a = (Answer.Failed) answer;
         return (a.late() ? Fault.MAX_TIME_MS_EXPIRED : Fault.HOST_UNREACHABLE)
-            .reply("request " + request.id() + ": " + a.reason());
+                .reply("request " + request.id() + ": " + a.reason());
     }
 
     private static BsonDocument ok() {
@@ -294,8 +338,9 @@
     }
 
     private static byte[] words(MongoMessage to, BsonDocument body) {
-        return to.opCode() == MongoMessage.OP_QUERY ? MongoMessage.opReply(body, to.requestId())
-            : MongoMessage.opMsg(body, to.requestId());
+        return to.opCode() == MongoMessage.OP_QUERY
+                ? MongoMessage.opReply(body, to.requestId())
+                : MongoMessage.opMsg(body, to.requestId());
     }
 
     private void reply(MongoMessage to, BsonDocument body) {
--- a/src/main/java/mintstair/front/pg/PgFront.java
+++ b/src/main/java/mintstair/front/pg/PgFront.java
@@ -13,8 +13,7 @@
 public final class PgFront extends Front {
     private final RequestRules rules;
 
-    public PgFront(Loop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters,
-            int mostClients) {
+    public PgFront(Loop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters, int mostClients) {
         super(loop, dispatcher, transport, counters, mostClients);
         rules = new RequestRules(dispatcher);
     }
@@ -30,4 +29,5 @@
 
     void malformed() {
         counters.malformed++;
-    }}
+    }
+}
--- a/src/main/java/mintstair/front/pg/PgSession.java
+++ b/src/main/java/mintstair/front/pg/PgSession.java
@@ -34,7 +34,9 @@
 
     @Override
     protected byte[] noRoomWords() {
-        return new PgWriter().error("FATAL", "53300", "too many clients already", null).bytes();
+        return new PgWriter()
+                .error("FATAL", "53300", "too many clients already", null)
+                .bytes();
     }
 
     @Override
@@ -56,7 +58,9 @@
             }
             case 'P', 'B', 'D', 'E', 'C', 'F', 'H' -> {
                 skipToSync = true;
-                write(new PgWriter().error("ERROR", "0A000", "only simple queries are served", null).bytes());
+                write(new PgWriter()
+                        .error("ERROR", "0A000", "only simple queries are served", null)
+                        .bytes());
             }
             default -> throw new ProtocolException("unknown message type " + (int) type);
         }
@@ -72,9 +76,13 @@
             throw new ProtocolException("unsupported protocol version " + (code >> 16) + "." + (code & 0xffff));
         } else {
             started = true;
-            write(new PgWriter().message('R', 0).message('S', "server_version", "15.0")
-                .message('S', "client_encoding", "UTF8").message('S', "standard_conforming_strings", "on").ready()
-                .bytes());
+            write(new PgWriter()
+                    .message('R', 0)
+                    .message('S', "server_version", "15.0")
+                    .message('S', "client_encoding", "UTF8")
+                    .message('S', "standard_conforming_strings", "on")
+                    .ready()
+                    .bytes());
         }
     }
 
@@ -90,8 +98,12 @@
         }
         if (head.equals("SHOW COUNTERS")) {
             byte[] line = front.counters().getBytes(StandardCharsets.UTF_8);
-            write(new PgWriter().message('T', '\0', '\1', "counters", 0, '\0', '\0', 25, '\377', '\377', -1, '\0', '\0')
-                .message('D', '\0', '\1', line.length, line).message('C', "SHOW").ready().bytes());
+            write(new PgWriter()
+                    .message('T', '\0', '\1', "counters", 0, '\0', '\0', 25, '\377', '\377', -1, '\0', '\0')
+                    .message('D', '\0', '\1', line.length, line)
+                    .message('C', "SHOW")
+                    .ready()
+                    .bytes());
             return;
         }
         for (String word : new String[] {"SET", "RESET", "DISCARD"}) {
@@ -105,7 +117,10 @@
             request = PgStatement.parse(text, front.rules());
         } catch (ProtocolException e) {
             front.malformed();
-            write(new PgWriter().error("ERROR", "08P01", e.getMessage(), null).ready().bytes());
+            write(new PgWriter()
+                    .error("ERROR", "08P01", e.getMessage(), null)
+                    .ready()
+                    .bytes());
             return;
         }
         submit(request, answer -> write(words(answer)));
@@ -117,8 +132,14 @@
         }
         if (answer instanceof Answer.Refused a) {
             String comeBack = a.comeBackMillis() > 0 ? Long.toString(a.comeBackMillis()) : null;
-            return new PgWriter().error("ERROR", "53300", "no room now, try again", comeBack).ready().bytes();
+            return new PgWriter()
+                    .error("ERROR", "53300", "no room now, try again", comeBack)
+                    .ready()
+                    .bytes();
         }
-        return new PgWriter().error("ERROR", "58000", ((Answer.Failed) answer).reason(), null).ready().bytes();
+        return new PgWriter()
+                .error("ERROR", "58000", ((Answer.Failed) answer).reason(), null)
+                .ready()
+                .bytes();
     }
 }
--- a/src/main/java/mintstair/front/pg/PgStatement.java
+++ b/src/main/java/mintstair/front/pg/PgStatement.java
@@ -23,8 +23,9 @@
 
     @Override
     public byte[] encode(long waitMillis) {
-        return new PgWriter().message('Q', before, Long.toString(waitMillis).getBytes(StandardCharsets.ISO_8859_1), after,
-            '\0').bytes();
+        return new PgWriter()
+                .message('Q', before, Long.toString(waitMillis).getBytes(StandardCharsets.ISO_8859_1), after, '\0')
+                .bytes();
     }
 
     /** Reads a query as a request; throws {@link ProtocolException} where it is none that can be passed on. */
@@ -55,8 +56,12 @@
             throw new ProtocolException("only SELECT and INSERT are served");
         }
         int at = open + 2;
-        return rules.request(RequestRules.comment(comment), d.group(1), writes, key(head),
-            new PgStatement(query.substring(0, at + d.start(1)), query.substring(at + d.end(1))));
+        return rules.request(
+                RequestRules.comment(comment),
+                d.group(1),
+                writes,
+                key(head),
+                new PgStatement(query.substring(0, at + d.start(1)), query.substring(at + d.end(1))));
     }
 
     /** The first quoted text names the session; one statement a query, so no semicolon outside quotes. */
--- a/src/main/java/mintstair/log/NonBlockingOutput.java
+++ b/src/main/java/mintstair/log/NonBlockingOutput.java
@@ -78,7 +78,7 @@
     public synchronized boolean drain(long millis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         try {
-            for (long left = millis; (passing || !waiting.isEmpty()) && left > 0;) {
+            for (long left = millis; (passing || !waiting.isEmpty()) && left > 0; ) {
                 wait(left);
                 left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
             }
@@ -123,7 +123,8 @@
         byte[] next = waiting.poll();
         waitingBytes -= next.length;
         if (waiting.isEmpty() && dropped > 0) {
-            byte[] told = ("log: " + dropped + " lines were dropped, as nobody read them\n").getBytes(StandardCharsets.UTF_8);
+            byte[] told =
+                    ("log: " + dropped + " lines were dropped, as nobody read them\n").getBytes(StandardCharsets.UTF_8);
             dropped = 0;
             waiting.add(told);
             waitingBytes += told.length;
--- a/src/main/java/mintstair/membership/Checks.java
+++ b/src/main/java/mintstair/membership/Checks.java
@@ -30,6 +30,7 @@
      * descriptors, each for a quarter of a second at most, one or two are in use.
      */
     static final int MOST = 1_024;
+
     private static final long GIVEN_UP_AFTER = 250_000;
 
     /** One connection out, and what it has said so far. */
@@ -86,7 +87,8 @@
             if (!from.isAnyLocalAddress()) {
                 channel.bind(new InetSocketAddress(from, 0));
             }
-            channel.register(selector, channel.connect(address) ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, check);
+            channel.register(
+                    selector, channel.connect(address) ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, check);
         } catch (IOException e) {
             // That this end has no socket or no way there tells nothing of the other.
             if (check == null) {
--- a/src/main/java/mintstair/membership/FleetMember.java
+++ b/src/main/java/mintstair/membership/FleetMember.java
@@ -29,6 +29,7 @@
 public final class FleetMember implements AutoCloseable {
     /** What is handled before time is looked at again: a flood must not keep this member from its own probes. */
     private static final int DATAGRAMS_A_TURN = 64;
+
     private static final int PORTS_TRIED = 20;
     /** A process told to end is not killed for 3.7 s: on a busy machine the thread may need some of them to say so. */
     private static final long LEAVE_MILLIS = 1_500;
@@ -60,10 +61,12 @@
      * @param size how many members the settings tell of
      * @param told takes each new view, on the member's thread
      */
-    public FleetMember(MembershipConfig config, String name, int size, long seed, Consumer<View> told, Consumer<String> log)
+    public FleetMember(
+            MembershipConfig config, String name, int size, long seed, Consumer<View> told, Consumer<String> log)
             throws IOException {
         if (!name.matches("[!-~]{1," + MessageCodec.NAME + "}")) {
-            throw new ConfigException("membership: name must have 1 to " + MessageCodec.NAME + " printable ASCII characters");
+            throw new ConfigException(
+                    "membership: name must have 1 to " + MessageCodec.NAME + " printable ASCII characters");
         }
         codec = new MessageCodec(config.fleet());
         this.told = told;
@@ -84,11 +87,11 @@
     }
 
     /** Both sockets at their one port. */
-    private record Bound(DatagramChannel datagrams, Checks checks, int port) { }
+    private record Bound(DatagramChannel datagrams, Checks checks, int port) {}
 
     /** A port that is free for datagrams may be taken for connections: where any port will do, others are tried. */
     private Bound bind(InetSocketAddress listen, String name) throws IOException {
-        for (int i = 1;; i++) {
+        for (int i = 1; ; i++) {
             DatagramChannel channel = DatagramChannel.open(StandardProtocolFamily.INET);
             int port = listen.getPort();
             try {
@@ -100,7 +103,8 @@
                 channel.close();
                 if (listen.getPort() != 0 || i == PORTS_TRIED) {
                     selector.close();
-                    throw new IOException("membership: " + listen.getHostString() + ":" + port + ": " + e.getMessage(), e);
+                    throw new IOException(
+                            "membership: " + listen.getHostString() + ":" + port + ": " + e.getMessage(), e);
                 }
             }
         }
@@ -253,8 +257,9 @@
 
         @Override
         public void changed(Rumour known, MemberState before) {
-            log.accept("membership: " + known.name() + " is " + known.state().name().toLowerCase(Locale.ROOT)
-                + (known.by().equals(known.name()) ? "" : ", says " + known.by()));
+            log.accept("membership: " + known.name() + " is "
+                    + known.state().name().toLowerCase(Locale.ROOT)
+                    + (known.by().equals(known.name()) ? "" : ", says " + known.by()));
         }
     }
 
@@ -264,16 +269,35 @@
         StringBuilder lines = new StringBuilder();
         line(lines, v.self()).append(" self\n");
         for (View.Seen m : v.members()) {
-            line(lines, m.known()).append(" for=").append(Math.max(0, now() - m.since()) / 1_000_000).append('s')
-                .append(m.dropped() ? " dropped" : "").append('\n');
+            line(lines, m.known())
+                    .append(" for=")
+                    .append(Math.max(0, now() - m.since()) / 1_000_000)
+                    .append('s')
+                    .append(m.dropped() ? " dropped" : "")
+                    .append('\n');
         }
-        return lines.append("view version=").append(v.version()).append(" settled=").append(v.standing().settled())
-            .append(" quorum=").append(v.standing().quorum()).append(" counted=").append(v.standing().counted())
-            .append(" largest=").append(v.standing().largest()).append('\n').toString();
+        return lines.append("view version=")
+                .append(v.version())
+                .append(" settled=")
+                .append(v.standing().settled())
+                .append(" quorum=")
+                .append(v.standing().quorum())
+                .append(" counted=")
+                .append(v.standing().counted())
+                .append(" largest=")
+                .append(v.standing().largest())
+                .append('\n')
+                .toString();
     }
 
     private static StringBuilder line(StringBuilder lines, Rumour r) {
-        return lines.append("member ").append(r.name()).append(' ').append(r.state().name().toLowerCase(Locale.ROOT))
-            .append(' ').append(r.address()).append(" incarnation=").append(r.incarnation());
+        return lines.append("member ")
+                .append(r.name())
+                .append(' ')
+                .append(r.state().name().toLowerCase(Locale.ROOT))
+                .append(' ')
+                .append(r.address())
+                .append(" incarnation=")
+                .append(r.incarnation());
     }
 }
--- a/src/main/java/mintstair/membership/MessageCodec.java
+++ b/src/main/java/mintstair/membership/MessageCodec.java
@@ -28,6 +28,7 @@
 final class MessageCodec {
     /** Longest name of a member, and longest address, in bytes; both of printable ASCII, so that what fits by length fits a datagram. */
     static final int NAME = 48;
+
     static final int ADDRESS = 64;
     /** No datagram of ours is longer; what is read into less room is cut and thus refused. */
     static final int MOST_BYTES = 1_472;
@@ -35,6 +36,7 @@
     private static final int MAGIC = 0x4d535701;
     /** Unix microseconds of a far future: a higher incarnation could never be refuted. */
     private static final long MOST_INCARNATION = 100_000_000_000_000_000L;
+
     private static final MemberState[] STATES = MemberState.values();
 
     private final int fleet;
--- a/src/main/java/mintstair/membership/swim/FleetStanding.java
+++ b/src/main/java/mintstair/membership/swim/FleetStanding.java
@@ -15,10 +15,11 @@
      * @param settled whether this one may take a part of what is shared among those
      * @param quorum whether it sees more than half of those that there have to be
      */
-    public record Standing(int largest, int counted, boolean settled, boolean quorum) { }
+    public record Standing(int largest, int counted, boolean settled, boolean quorum) {}
 
     /** Whom the fleet consists of, as far as it is known: falls only by those that left or were dropped. */
     private int expected;
+
     private int largest;
     private int lastMay = 1;
     private long quorumSince = Long.MAX_VALUE;
--- a/src/main/java/mintstair/membership/swim/Gossip.java
+++ b/src/main/java/mintstair/membership/swim/Gossip.java
@@ -14,11 +14,11 @@
     /** What a rumour takes in a datagram beside its names. */
     static final int RUMOUR_BYTES = 16;
 
-    private record Entry(Rumour rumour, int told, long order) { }
+    private record Entry(Rumour rumour, int told, long order) {}
 
     private final Map<String, Entry> entries = new HashMap<>();
-    private final TreeSet<Entry> queue = new TreeSet<>((a, b) -> a.told != b.told ? Integer.compare(a.told, b.told)
-        : Long.compare(b.order, a.order));
+    private final TreeSet<Entry> queue = new TreeSet<>(
+            (a, b) -> a.told != b.told ? Integer.compare(a.told, b.told) : Long.compare(b.order, a.order));
     private long orders;
 
     /** The newest news go first among those told as often. */
@@ -40,7 +40,10 @@
     }
 
     static int bytes(Rumour rumour) {
-        return RUMOUR_BYTES + rumour.name().length() + rumour.address().length() + rumour.by().length();
+        return RUMOUR_BYTES
+                + rumour.name().length()
+                + rumour.address().length()
+                + rumour.by().length();
     }
 
     /** As many as fit into so many bytes, each counted as told once more, and dropped after the {@code most}th time. */
--- a/src/main/java/mintstair/membership/swim/Member.java
+++ b/src/main/java/mintstair/membership/swim/Member.java
@@ -12,6 +12,7 @@
     final Set<String> accusers = new HashSet<>();
     /** Of a suspect: shortest and longest time until it is declared dead, as the fleet was when it was suspected. */
     long least;
+
     long most;
     /** Of a suspect: when it counts as dead as a connection to its address was turned away; never where none was. */
     long closedAt = Long.MAX_VALUE;
--- a/src/main/java/mintstair/membership/swim/MemberTable.java
+++ b/src/main/java/mintstair/membership/swim/MemberTable.java
@@ -20,6 +20,7 @@
     private final Set<Member> suspects = new LinkedHashSet<>();
     /** Dead ones that still count. */
     private final Set<Member> silent = new LinkedHashSet<>();
+
     private int alive;
     private long version;
     long refuted;
@@ -41,9 +42,17 @@
         if (m == null) {
             add(now, r);
         } else if (r.overrides(m.known)) {
-            replace(now, m, stale(m, r) ? new Rumour(r.name(), m.known.address(), r.incarnation(), MemberState.SUSPECT, r.by()) : r);
-        } else if (m.state() == MemberState.SUSPECT && r.state() == MemberState.SUSPECT && r.incarnation() == m.known.incarnation()
-                && m.accusers.size() <= settings.confirmations() && m.accusers.add(r.by())) {
+            replace(
+                    now,
+                    m,
+                    stale(m, r)
+                            ? new Rumour(r.name(), m.known.address(), r.incarnation(), MemberState.SUSPECT, r.by())
+                            : r);
+        } else if (m.state() == MemberState.SUSPECT
+                && r.state() == MemberState.SUSPECT
+                && r.incarnation() == m.known.incarnation()
+                && m.accusers.size() <= settings.confirmations()
+                && m.accusers.add(r.by())) {
             // Another's own evidence is passed on as it is, so that it counts everywhere.
             gossip.add(r);
         }
@@ -76,7 +85,8 @@
         if (r.state() == MemberState.ALIVE) {
             refuted += before == MemberState.SUSPECT ? 1 : 0;
             // A new process has a start of its own; one that lived goes on from the incarnation that was told of it.
-            falseDeaths += before == MemberState.DEAD && r.incarnation() - m.known.incarnation() < settings.period() ? 1 : 0;
+            falseDeaths +=
+                    before == MemberState.DEAD && r.incarnation() - m.known.incarnation() < settings.period() ? 1 : 0;
         }
         if (before == MemberState.SUSPECT && r.state() == MemberState.DEAD) {
             deaths++;
@@ -106,7 +116,7 @@
                 silent.add(m);
                 m.silentSince = now;
             }
-            default -> { }
+            default -> {}
         }
         gossip.add(r);
         if (before != r.state()) {
@@ -163,7 +173,8 @@
 
     /** Those that left or were dropped long ago; one that may still run is not forgotten. */
     void forget(long now) {
-        if (members.values().removeIf(m -> (m.state() == MemberState.LEFT || m.dropped) && now - m.since > settings.kept())) {
+        if (members.values()
+                .removeIf(m -> (m.state() == MemberState.LEFT || m.dropped) && now - m.since > settings.kept())) {
             version++;
         }
     }
--- a/src/main/java/mintstair/membership/swim/Message.java
+++ b/src/main/java/mintstair/membership/swim/Message.java
@@ -10,26 +10,26 @@
  */
 public record Message(Rumour sender, Body body, List<Rumour> rumours) {
     /** What the message is for; {@code seq} is the asker's own number of the question. */
-    public sealed interface Body { }
+    public sealed interface Body {}
 
     /** Are you there? {@code target} guards against an answer by another process at a member's old address. */
-    public record Ping(long seq, String target) implements Body { }
+    public record Ping(long seq, String target) implements Body {}
 
     /** I am. */
-    public record Ack(long seq) implements Body { }
+    public record Ack(long seq) implements Body {}
 
     /** The one that you asked me to ping did not answer me either: I am there, it may not be. */
-    public record Nack(long seq) implements Body { }
+    public record Nack(long seq) implements Body {}
 
     /** Ping this one for me. */
-    public record PingFor(long seq, String target, String address) implements Body { }
+    public record PingFor(long seq, String target, String address) implements Body {}
 
     /** The digest of all that I know; where yours differs, tell me yours and ask for mine. */
-    public record Compare(long digest) implements Body { }
+    public record Compare(long digest) implements Body {}
 
     /** Mine differs from yours: what I know comes as {@link News}, and I wish for yours. */
-    public record Fetch() implements Body { }
+    public record Fetch() implements Body {}
 
     /** Rumours alone. */
-    public record News() implements Body { }
+    public record News() implements Body {}
 }
--- a/src/main/java/mintstair/membership/swim/Probe.java
+++ b/src/main/java/mintstair/membership/swim/Probe.java
@@ -7,6 +7,7 @@
     final long begun;
     /** Whether others were asked to help, and how many of them said that they got no answer either. */
     boolean helped;
+
     int nacks;
     boolean answered;
     /** A connection to its address was turned away, or taken by another process. */
--- a/src/main/java/mintstair/membership/swim/Rumour.java
+++ b/src/main/java/mintstair/membership/swim/Rumour.java
@@ -29,7 +29,8 @@
 
     /** Whether this replaces what is known: a higher incarnation, or worse news at the same one. */
     public boolean overrides(Rumour known) {
-        return known == null || incarnation > known.incarnation
-            || incarnation == known.incarnation && state.compareTo(known.state) > 0;
+        return known == null
+                || incarnation > known.incarnation
+                || incarnation == known.incarnation && state.compareTo(known.state) > 0;
     }
 }
--- a/src/main/java/mintstair/membership/swim/Swim.java
+++ b/src/main/java/mintstair/membership/swim/Swim.java
@@ -1,6 +1,5 @@
 package mintstair.membership.swim;
 
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -42,6 +41,7 @@
 
     /** Bytes of news that ride on a message, and of a page of them: both fit a datagram that no link cuts into pieces. */
     static final int RIDERS = 1_000;
+
     static final int PAGE = 1_200;
     /** At most so many pings for others are out at a time; one more is not sent on, and the asker gets no nack. */
     private static final int MOST_ERRANDS = 1_024;
@@ -49,7 +49,7 @@
     private static final int SHARE_OF_COMPARES = 8;
 
     /** A ping for another: whom to tell, under which number, and by when a nack is due. */
-    private record Errand(String askerAddress, long askerSeq, long due) { }
+    private record Errand(String askerAddress, long askerSeq, long due) {}
 
     private final SwimSettings settings;
     private final Actions actions;
@@ -79,7 +79,14 @@
     private long namesakes;
 
     /** @param seeds addresses to ask first; its own among them does no harm */
-    public Swim(long now, long seed, String name, String address, List<String> seeds, SwimSettings settings, Actions actions) {
+    public Swim(
+            long now,
+            long seed,
+            String name,
+            String address,
+            List<String> seeds,
+            SwimSettings settings,
+            Actions actions) {
         this.settings = settings;
         this.actions = actions;
         this.seeds = List.copyOf(seeds);
@@ -172,7 +179,9 @@
         if (target == null) {
             return;
         }
-        for (String helper : order.few(members.names(), settings.helpers(),
+        for (String helper : order.few(
+                members.names(),
+                settings.helpers(),
                 name -> !name.equals(p.target) && members.is(name, MemberState.ALIVE))) {
             send(members.in(helper).known.address(), new PingFor(p.seq, p.target, target.known.address()), null);
         }
@@ -194,7 +203,14 @@
             if (m.state() == MemberState.ALIVE) {
                 raised++;
             }
-            take(now, new Rumour(m.known.name(), m.known.address(), m.known.incarnation(), MemberState.SUSPECT, self.name()));
+            take(
+                    now,
+                    new Rumour(
+                            m.known.name(),
+                            m.known.address(),
+                            m.known.incarnation(),
+                            MemberState.SUSPECT,
+                            self.name()));
             m.closedAt = probe.closed ? Math.min(m.closedAt, now + settings.closedSuspicion()) : m.closedAt;
         }
         probe = null;
@@ -212,7 +228,10 @@
 
     private void expire(long now) {
         for (Member m : members.due(now)) {
-            take(now, new Rumour(m.known.name(), m.known.address(), m.known.incarnation(), MemberState.DEAD, self.name()));
+            take(
+                    now,
+                    new Rumour(
+                            m.known.name(), m.known.address(), m.known.incarnation(), MemberState.DEAD, self.name()));
         }
     }
 
@@ -229,7 +248,8 @@
         } else {
             send(members.any(with.get(0)).known.address(), new Compare(digest(now)), null);
         }
-        // Of two halves that took each other for dead somebody has to ask across; all members together ask one a period or so.
+        // Of two halves that took each other for dead somebody has to ask across; all members together ask one a period
+        // or so.
         for (String dead : order.few(members.names(), 1, name -> members.is(name, MemberState.DEAD))) {
             send(members.any(dead).known.address(), new Compare(digest(now)), members.any(dead).known);
         }
@@ -253,7 +273,9 @@
     /** A message came; from {@code address}, which is where it says to answer. */
     public void received(long now, Message message) {
         long before = version();
-        if (left || message.sender().name().equals(self.name()) && message.sender().address().equals(self.address())) {
+        if (left
+                || message.sender().name().equals(self.name())
+                        && message.sender().address().equals(self.address())) {
             return;
         }
         heard++;
@@ -375,8 +397,8 @@
         }
         self = new Rumour(self.name(), self.address(), self.incarnation(), MemberState.LEFT, self.name());
         gossip.add(self);
-        for (String name : order.few(members.names(), settings.tellings(members.size()),
-                n -> members.is(n, MemberState.ALIVE))) {
+        for (String name :
+                order.few(members.names(), settings.tellings(members.size()), n -> members.is(n, MemberState.ALIVE))) {
             send(members.any(name).known.address(), new News(), null);
         }
         left = true;
@@ -405,7 +427,17 @@
     }
 
     public View.Tally tally() {
-        return new View.Tally(sent, heard, raised, members.refuted, members.falseDeaths, members.deaths, members.untilDeaths, refutations,
-            stalls, turnedAway + members.turnedAway, namesakes);
+        return new View.Tally(
+                sent,
+                heard,
+                raised,
+                members.refuted,
+                members.falseDeaths,
+                members.deaths,
+                members.untilDeaths,
+                refutations,
+                stalls,
+                turnedAway + members.turnedAway,
+                namesakes);
     }
 }
--- a/src/main/java/mintstair/membership/swim/SwimSettings.java
+++ b/src/main/java/mintstair/membership/swim/SwimSettings.java
@@ -18,8 +18,20 @@
  * @param mostMembers beyond this many no new member is taken in
  * @param told how many members the operator says that there are
  */
-public record SwimSettings(long period, long answerWithin, int helpers, double suspicion, double closed, double suspicionMost, int confirmations,
-        double retransmits, int slowMost, long compareEvery, long kept, int mostMembers, int told) {
+public record SwimSettings(
+        long period,
+        long answerWithin,
+        int helpers,
+        double suspicion,
+        double closed,
+        double suspicionMost,
+        int confirmations,
+        double retransmits,
+        int slowMost,
+        long compareEvery,
+        long kept,
+        int mostMembers,
+        int told) {
 
     private static final double SPREAD = 5;
     /** In a small fleet too many tellings go to whom the news are of, or to those that told them. */
@@ -33,14 +45,38 @@
     /** The same protocol at another pace: all times in proportion, but those that are remembered. */
     public SwimSettings withPeriod(long other) {
         double factor = (double) other / period;
-        return new SwimSettings(other, (long) (answerWithin * factor), helpers, suspicion, closed, suspicionMost, confirmations,
-            retransmits, slowMost, (long) (compareEvery * factor), kept, mostMembers, told);
+        return new SwimSettings(
+                other,
+                (long) (answerWithin * factor),
+                helpers,
+                suspicion,
+                closed,
+                suspicionMost,
+                confirmations,
+                retransmits,
+                slowMost,
+                (long) (compareEvery * factor),
+                kept,
+                mostMembers,
+                told);
     }
 
     /** The same, but those that are gone are remembered for so long. */
     public SwimSettings keeping(long time) {
-        return new SwimSettings(period, answerWithin, helpers, suspicion, closed, suspicionMost, confirmations, retransmits, slowMost,
-            compareEvery, time, mostMembers, told);
+        return new SwimSettings(
+                period,
+                answerWithin,
+                helpers,
+                suspicion,
+                closed,
+                suspicionMost,
+                confirmations,
+                retransmits,
+                slowMost,
+                compareEvery,
+                time,
+                mostMembers,
+                told);
     }
 
     /** The shortest suspicion in a fleet of this size. */
--- a/src/main/java/mintstair/membership/swim/View.java
+++ b/src/main/java/mintstair/membership/swim/View.java
@@ -12,7 +12,7 @@
  */
 public record View(long version, Rumour self, List<Seen> members, FleetStanding.Standing standing) {
     /** @param since when its state became what it is; {@code dropped}: a dead one that no longer counts as one that may run */
-    public record Seen(Rumour known, long since, boolean dropped) { }
+    public record Seen(Rumour known, long since, boolean dropped) {}
 
     /**
      * What happened since the start.
@@ -26,7 +26,16 @@
      * @param namesakes tellings of another, newer process of this one's name
      * @param stalls times that it stood still for over a period
      */
-    public record Tally(long sent, long heard, long raised, long refuted, long falseDeaths, long deaths, long untilDeaths, long refutations,
-            long stalls, long turnedAway,
-            long namesakes) { }
+    public record Tally(
+            long sent,
+            long heard,
+            long raised,
+            long refuted,
+            long falseDeaths,
+            long deaths,
+            long untilDeaths,
+            long refutations,
+            long stalls,
+            long turnedAway,
+            long namesakes) {}
 }
--- a/src/main/java/mintstair/pcap/Capture.java
+++ b/src/main/java/mintstair/pcap/Capture.java
@@ -19,7 +19,7 @@
      * One frame: its time in Unix nanoseconds (a frame without one has that of the frame before), its link type, and what was
      * captured of {@code length} bytes.
      */
-    public record Frame(long nanos, int linkType, ByteBuffer data, int length) { }
+    public record Frame(long nanos, int linkType, ByteBuffer data, int length) {}
 
     protected final InputStream in;
     protected String damage;
@@ -60,7 +60,9 @@
     protected final byte[] bytes(int n, String within) throws IOException {
         byte[] read = in.readNBytes(n);
         if (read.length < n) {
-            damage = read.length == 0 && within == null ? null : "the file ends within " + (within == null ? "a header" : within);
+            damage = read.length == 0 && within == null
+                    ? null
+                    : "the file ends within " + (within == null ? "a header" : within);
             return null;
         }
         return read;
--- a/src/main/java/mintstair/pcap/ClassicPcap.java
+++ b/src/main/java/mintstair/pcap/ClassicPcap.java
@@ -50,7 +50,10 @@
             return null;
         }
         long fraction = record.getInt(4) & 0xffffffffL;
-        return new Frame((record.getInt(0) & 0xffffffffL) * 1_000_000_000 + (nanos ? fraction : fraction * 1000), linkType,
-            ByteBuffer.wrap(data), record.getInt(12));
+        return new Frame(
+                (record.getInt(0) & 0xffffffffL) * 1_000_000_000 + (nanos ? fraction : fraction * 1000),
+                linkType,
+                ByteBuffer.wrap(data),
+                record.getInt(12));
     }
 }
--- a/src/main/java/mintstair/pcap/Connections.java
+++ b/src/main/java/mintstair/pcap/Connections.java
@@ -37,7 +37,7 @@
         void ended(long nanos);
     }
 
-    private record Ports(InetSocketAddress client, InetSocketAddress server) { }
+    private record Ports(InetSocketAddress client, InetSocketAddress server) {}
 
     /** What is known of one connection. */
     private final class Tracked {
@@ -115,8 +115,14 @@
      * Reads the files once, one after the other or merged by time; {@code clocks} gives the time line that recorded times are placed
      * on. {@code isServerPort} says which ports were connected to. What was lost is counted.
      */
-    public static void read(List<Path> files, boolean merge, Supplier<LongUnaryOperator> clocks, IntPredicate isServerPort,
-            Listener listener, Losses losses) throws IOException {
+    public static void read(
+            List<Path> files,
+            boolean merge,
+            Supplier<LongUnaryOperator> clocks,
+            IntPredicate isServerPort,
+            Listener listener,
+            Losses losses)
+            throws IOException {
         Connections all = new Connections(isServerPort, listener, losses);
         IpPackets packets = new IpPackets(losses);
         try (FrameStream in = new FrameStream(files, merge, clocks, losses)) {
@@ -203,7 +209,8 @@
         }
         if (most != null) {
             int before = most.held();
-            (most.fromClient.held() > most.fromServer.held() ? most.fromClient : most.fromServer).stop(Losses.Reason.ALL_FULL);
+            (most.fromClient.held() > most.fromServer.held() ? most.fromClient : most.fromServer)
+                    .stop(Losses.Reason.ALL_FULL);
             held += most.held() - before;
             most.tellLost(nanos);
         }
--- a/src/main/java/mintstair/pcap/Conversations.java
+++ b/src/main/java/mintstair/pcap/Conversations.java
@@ -14,7 +14,7 @@
 /** The messages that clients sent to one port, as a capture shows them: whole ones, in the order they were whole. */
 public final class Conversations {
     /** One message and the connection it came on, numbered by first sight. */
-    public record Sent(int connection, byte[] message) { }
+    public record Sent(int connection, byte[] message) {}
 
     private final List<Sent> messages = new ArrayList<>();
     private final Supplier<Framer> framers;
@@ -61,11 +61,13 @@
     /** Reads a capture; {@code port} is the one that the clients connected to. */
     public static Conversations read(Path file, int port, Supplier<Framer> framers) throws IOException {
         Conversations found = new Conversations(framers);
-        Connections.read(List.of(file), false, LongUnaryOperator::identity, at -> at == port, found::opened, new Losses());
+        Connections.read(
+                List.of(file), false, LongUnaryOperator::identity, at -> at == port, found::opened, new Losses());
         return found;
     }
 
-    private Connections.Connection opened(long nanos, InetSocketAddress client, InetSocketAddress server, boolean fromStart) {
+    private Connections.Connection opened(
+            long nanos, InetSocketAddress client, InetSocketAddress server, boolean fromStart) {
         return new Client();
     }
 
--- a/src/main/java/mintstair/pcap/FrameStream.java
+++ b/src/main/java/mintstair/pcap/FrameStream.java
@@ -25,7 +25,10 @@
 
         void advance(Losses losses) throws IOException {
             Capture.Frame frame = capture.next();
-            next = frame == null ? null : new Capture.Frame(clock.applyAsLong(frame.nanos()), frame.linkType(), frame.data(), frame.length());
+            next = frame == null
+                    ? null
+                    : new Capture.Frame(
+                            clock.applyAsLong(frame.nanos()), frame.linkType(), frame.data(), frame.length());
             losses.add(Losses.Reason.FILE_DAMAGED, frame == null && capture.damage() != null ? 1 : 0);
         }
     }
@@ -61,7 +64,9 @@
         while (true) {
             Source earliest = null;
             for (Source each : open) {
-                earliest = each.next != null && (earliest == null || each.next.nanos() < earliest.next.nanos()) ? each : earliest;
+                earliest = each.next != null && (earliest == null || each.next.nanos() < earliest.next.nanos())
+                        ? each
+                        : earliest;
             }
             if (earliest != null) {
                 Capture.Frame frame = earliest.next;
--- a/src/main/java/mintstair/pcap/IpPackets.java
+++ b/src/main/java/mintstair/pcap/IpPackets.java
@@ -17,7 +17,7 @@
     private static final long WAIT_NANOS = 30_000_000_000L;
 
     /** What belongs together: addresses and the number of the packet. */
-    private record Key(ByteBuffer source, ByteBuffer target, int id) { }
+    private record Key(ByteBuffer source, ByteBuffer target, int id) {}
 
     /** A packet in pieces; {@code length} is known with its last one. */
     private static final class Pieces {
@@ -114,8 +114,17 @@
                     next = d.get(at) & 255;
                     ByteBuffer body = d.slice(at + 8, Math.min(total, d.limit()) - at - 8);
                     if ((field & 0xfff9) != 0) {
-                        return next != TCP ? notTcp() : piece(nanos, source, target, d.getInt(at + 4), field & 0xfff8, (field & 1) != 0, body,
-                            total - at - 8);
+                        return next != TCP
+                                ? notTcp()
+                                : piece(
+                                        nanos,
+                                        source,
+                                        target,
+                                        d.getInt(at + 4),
+                                        field & 0xfff8,
+                                        (field & 1) != 0,
+                                        body,
+                                        total - at - 8);
                     }
                     at += 8;
                 }
@@ -136,7 +145,8 @@
         return Segment.parse(nanos, source, target, body, length);
     }
 
-    private Segment piece(long nanos, byte[] source, byte[] target, int id, int offset, boolean more, ByteBuffer body, int length) {
+    private Segment piece(
+            long nanos, byte[] source, byte[] target, int id, int offset, boolean more, ByteBuffer body, int length) {
         expire(nanos);
         Key key = new Key(ByteBuffer.wrap(source), ByteBuffer.wrap(target), id);
         if (body.limit() < length || offset + length > LONGEST) {
@@ -167,7 +177,7 @@
     }
 
     private void expire(long nanos) {
-        for (Iterator<Pieces> oldest = pieces.values().iterator(); oldest.hasNext();) {
+        for (Iterator<Pieces> oldest = pieces.values().iterator(); oldest.hasNext(); ) {
             Pieces p = oldest.next();
             if (pieces.size() <= MOST && Math.abs(nanos - p.since) < WAIT_NANOS) {
                 return;
--- a/src/main/java/mintstair/pcap/Link.java
+++ b/src/main/java/mintstair/pcap/Link.java
@@ -14,11 +14,12 @@
     static final int LINUX_COOKED_2 = 276;
     /** Some systems' own numbers for raw IP. */
     private static final int RAW_BSD = 12;
+
     private static final int RAW_OPENBSD = 14;
     private static final int IP_4 = 0x0800;
     private static final int IP_6 = 0x86dd;
 
-    private Link() { }
+    private Link() {}
 
     /** Whether frames of this type are understood. */
     static boolean isKnown(int type) {
@@ -34,7 +35,8 @@
             case NULL, LOOP -> 4;
             case ETHERNET -> ether(d, 12);
             case LINUX_COOKED -> ether(d, 14);
-            case LINUX_COOKED_2 -> isIp(d.getShort(0) & 0xffff) ? 20 : vlan(d.getShort(0) & 0xffff) ? ether(d, 20 + 2) : -1;
+            case LINUX_COOKED_2 ->
+                isIp(d.getShort(0) & 0xffff) ? 20 : vlan(d.getShort(0) & 0xffff) ? ether(d, 20 + 2) : -1;
             default -> 0;
         };
         if (at < 0) {
--- a/src/main/java/mintstair/pcap/Losses.java
+++ b/src/main/java/mintstair/pcap/Losses.java
@@ -56,8 +56,10 @@
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
-        counts.forEach((reason, n) -> text.append(text.length() == 0 ? "" : " ").append(reason.name().toLowerCase(java.util.Locale.ROOT))
-            .append('=').append(n));
+        counts.forEach((reason, n) -> text.append(text.length() == 0 ? "" : " ")
+                .append(reason.name().toLowerCase(java.util.Locale.ROOT))
+                .append('=')
+                .append(n));
         return text.toString();
     }
 }
--- a/src/main/java/mintstair/pcap/PcapNg.java
+++ b/src/main/java/mintstair/pcap/PcapNg.java
@@ -104,7 +104,9 @@
             return null;
         }
         byte[] body = bytes(length - 8, "a block");
-        return body == null ? null : ByteBuffer.wrap(body, 0, body.length - 4).slice().order(order);
+        return body == null
+                ? null
+                : ByteBuffer.wrap(body, 0, body.length - 4).slice().order(order);
     }
 
     private void skip(int n) throws IOException {
@@ -145,7 +147,7 @@
     private Interface described(ByteBuffer b) {
         long units = 1_000_000;
         long offset = 0;
-        for (int at = 8; at + 4 <= b.limit();) {
+        for (int at = 8; at + 4 <= b.limit(); ) {
             int code = b.getShort(at) & 0xffff;
             int length = b.getShort(at + 2) & 0xffff;
             if (code == OPTION_END) {
--- a/src/main/java/mintstair/pcap/Replay.java
+++ b/src/main/java/mintstair/pcap/Replay.java
@@ -116,7 +116,7 @@
             }
         }
         return "connections=" + found.connections() + " incomplete=" + found.incomplete() + " sent=" + sent
-            + " answered=" + answered;
+                + " answered=" + answered;
     }
 
     private Framer framer() {
--- a/src/main/java/mintstair/pcap/Rotation.java
+++ b/src/main/java/mintstair/pcap/Rotation.java
@@ -10,7 +10,7 @@
  * times in microseconds. Not safe for use by several threads.
  */
 public final class Rotation {
-    private record Old(String name, long bytes) { }
+    private record Old(String name, long bytes) {}
 
     private final long fileBytes;
     private final long fileMicros;
@@ -24,7 +24,8 @@
     /** A file is closed before it is larger or older than this; all together stay within {@code totalBytes}. */
     public Rotation(long fileBytes, long fileMicros, long totalBytes) {
         if (fileBytes < 1 || fileMicros < 1 || totalBytes < fileBytes) {
-            throw new IllegalArgumentException("a file's bytes and age must be above 0, and all may hold one file at least");
+            throw new IllegalArgumentException(
+                    "a file's bytes and age must be above 0, and all may hold one file at least");
         }
         this.fileBytes = fileBytes;
         this.fileMicros = fileMicros;
--- a/src/main/java/mintstair/pcap/Segment.java
+++ b/src/main/java/mintstair/pcap/Segment.java
@@ -6,7 +6,15 @@
 import java.nio.ByteBuffer;
 
 /** One TCP segment; {@code missing} counts payload bytes that the capture left out at its end. */
-record Segment(long nanos, InetSocketAddress from, InetSocketAddress to, int sequence, int ack, int flags, byte[] payload, int missing) {
+record Segment(
+        long nanos,
+        InetSocketAddress from,
+        InetSocketAddress to,
+        int sequence,
+        int ack,
+        int flags,
+        byte[] payload,
+        int missing) {
     static final int FIN = 1;
     static final int SYN = 2;
     static final int RST = 4;
@@ -32,9 +40,15 @@
             d.get(start, payload);
         }
         try {
-            return new Segment(nanos, new InetSocketAddress(InetAddress.getByAddress(source), d.getShort(0) & 0xffff),
-                new InetSocketAddress(InetAddress.getByAddress(target), d.getShort(2) & 0xffff), d.getInt(4), d.getInt(8),
-                d.get(13) & 63, payload, length - start - there);
+            return new Segment(
+                    nanos,
+                    new InetSocketAddress(InetAddress.getByAddress(source), d.getShort(0) & 0xffff),
+                    new InetSocketAddress(InetAddress.getByAddress(target), d.getShort(2) & 0xffff),
+                    d.getInt(4),
+                    d.getInt(8),
+                    d.get(13) & 63,
+                    payload,
+                    length - start - there);
         } catch (UnknownHostException e) {
             throw new IllegalArgumentException(e);
         }
--- a/src/main/java/mintstair/pcap/StreamHalf.java
+++ b/src/main/java/mintstair/pcap/StreamHalf.java
@@ -21,7 +21,7 @@
     /** Segments given out of which is remembered what they held, to notice those sent again with other bytes. */
     private static final int REMEMBERED = 16;
 
-    private record Given(long at, int length, int hash) { }
+    private record Given(long at, int length, int hash) {}
 
     private final Out out;
     private final Losses losses;
@@ -132,11 +132,14 @@
 
     private static boolean differ(Map.Entry<Long, byte[]> kept, long from, long to, long at, byte[] payload) {
         long base = kept.getKey();
-        return !Arrays.equals(kept.getValue(), (int) (from - base), (int) (to - base), payload, (int) (from - at), (int) (to - at));
+        return !Arrays.equals(
+                kept.getValue(), (int) (from - base), (int) (to - base), payload, (int) (from - at), (int) (to - at));
     }
 
     private void giveOut(long nanos) {
-        for (Map.Entry<Long, byte[]> e = early.firstEntry(); e != null && e.getKey() == next && next < end; e = early.firstEntry()) {
+        for (Map.Entry<Long, byte[]> e = early.firstEntry();
+                e != null && e.getKey() == next && next < end;
+                e = early.firstEntry()) {
             early.pollFirstEntry();
             byte[] bytes = e.getValue();
             held -= bytes.length;
--- a/src/main/java/mintstair/pcap/TcpConversation.java
+++ b/src/main/java/mintstair/pcap/TcpConversation.java
@@ -33,8 +33,15 @@
 
     /** The head of a file of such records. */
     static byte[] head() {
-        return ByteBuffer.allocate(24).putInt(ClassicPcap.MICROS).putShort((short) 2).putShort((short) 4).putInt(0).putInt(0).putInt(SNAP)
-            .putInt(Link.RAW).array();
+        return ByteBuffer.allocate(24)
+                .putInt(ClassicPcap.MICROS)
+                .putShort((short) 2)
+                .putShort((short) 4)
+                .putInt(0)
+                .putInt(0)
+                .putInt(SNAP)
+                .putInt(Link.RAW)
+                .array();
     }
 
     /** The connection is made at this time, in Unix microseconds. */
@@ -47,7 +54,13 @@
     void said(long time, boolean byClient, byte[] bytes) throws IOException {
         for (int at = 0; at < bytes.length; at += MOST_PAYLOAD) {
             byte[] part = Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + MOST_PAYLOAD));
-            packet(time, byClient, Segment.PSH | Segment.ACK, byClient ? fromClient : fromServer, byClient ? fromServer : fromClient, part);
+            packet(
+                    time,
+                    byClient,
+                    Segment.PSH | Segment.ACK,
+                    byClient ? fromClient : fromServer,
+                    byClient ? fromServer : fromClient,
+                    part);
             lost(byClient, part.length);
         }
     }
@@ -64,7 +77,8 @@
         packet(time, true, Segment.ACK, fromClient + 1, fromServer + 1, new byte[0]);
     }
 
-    private void packet(long time, boolean byClient, int flags, int sequence, int ack, byte[] payload) throws IOException {
+    private void packet(long time, boolean byClient, int flags, int sequence, int ack, byte[] payload)
+            throws IOException {
         InetSocketAddress from = byClient ? client : server;
         InetSocketAddress to = byClient ? server : client;
         byte[] source = from.getAddress().getAddress();
@@ -73,17 +87,37 @@
         int head = v4 ? 20 : 40;
         int tcp = 20 + payload.length;
         ByteBuffer p = ByteBuffer.allocate(RECORD + head + tcp);
-        p.putInt((int) (time / 1_000_000)).putInt((int) (time % 1_000_000)).putInt(head + tcp).putInt(head + tcp);
+        p.putInt((int) (time / 1_000_000))
+                .putInt((int) (time % 1_000_000))
+                .putInt(head + tcp)
+                .putInt(head + tcp);
         if (v4) {
-            p.putShort((short) 0x4500).putShort((short) (head + tcp)).putInt(0x4000).put((byte) 64).put((byte) 6).putShort((short) 0)
-                .put(source).put(target);
+            p.putShort((short) 0x4500)
+                    .putShort((short) (head + tcp))
+                    .putInt(0x4000)
+                    .put((byte) 64)
+                    .put((byte) 6)
+                    .putShort((short) 0)
+                    .put(source)
+                    .put(target);
             p.putShort(RECORD + 10, checksum(p, RECORD, 20, 0));
         } else {
-            p.putInt(0x60000000).putShort((short) tcp).put((byte) 6).put((byte) 64).put(source).put(target);
+            p.putInt(0x60000000)
+                    .putShort((short) tcp)
+                    .put((byte) 6)
+                    .put((byte) 64)
+                    .put(source)
+                    .put(target);
         }
         int at = p.position();
-        p.putShort((short) from.getPort()).putShort((short) to.getPort()).putInt(sequence).putInt(ack)
-            .putShort((short) (5 << 12 | flags)).putShort((short) 0xffff).putInt(0).put(payload);
+        p.putShort((short) from.getPort())
+                .putShort((short) to.getPort())
+                .putInt(sequence)
+                .putInt(ack)
+                .putShort((short) (5 << 12 | flags))
+                .putShort((short) 0xffff)
+                .putInt(0)
+                .put(payload);
         int pseudo = RECORD + head - 2 * source.length;
         p.putShort(at + 16, checksum(p, pseudo, 2 * source.length + tcp, 6 + tcp));
         out.record(p.array());
--- a/src/main/java/mintstair/pcap/TrafficLog.java
+++ b/src/main/java/mintstair/pcap/TrafficLog.java
@@ -24,7 +24,8 @@
  * counters for any.
  */
 public final class TrafficLog implements AutoCloseable {
-    private static final DateTimeFormatter NAME = DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss-SSS").withZone(ZoneOffset.UTC);
+    private static final DateTimeFormatter NAME =
+            DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss-SSS").withZone(ZoneOffset.UTC);
     private static final String PREFIX = "traffic-";
     private static final String ENDING = ".pcap";
     /** What a record holds beside its bytes, about. */
@@ -37,7 +38,7 @@
         void write() throws IOException;
     }
 
-    private record Waiting(Task task, int bytes) { }
+    private record Waiting(Task task, int bytes) {}
 
     private final Path folder;
     private final Rotation rotation;
@@ -54,6 +55,7 @@
     private final AtomicLong lostBytes = new AtomicLong();
     /** On the writing thread: whether the last try to write failed, and when the next one is made. */
     private boolean failing;
+
     private long retryAt;
     private volatile long writtenBytes;
     private volatile String broken;
@@ -69,7 +71,9 @@
         this.mostQueued = mostQueued;
         this.clock = clock;
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path file : files.filter(f -> f.getFileName().toString().startsWith(PREFIX)).sorted().toList()) {
+            for (Path file : files.filter(f -> f.getFileName().toString().startsWith(PREFIX))
+                    .sorted()
+                    .toList()) {
                 rotation.found(file.getFileName().toString(), Files.size(file));
             }
         }
@@ -85,12 +89,17 @@
         private final UnaryOperator<byte[]> server;
         /** Lost since the last record that was taken; on the writing thread they are left out of the sequence. */
         private int lostByClient;
+
         private int lostByServer;
         private final boolean redacted;
         /** On the writing thread: with a part missing, what is a value can't be told any more. */
         private boolean blind;
 
-        private Conversation(InetSocketAddress from, InetSocketAddress to, UnaryOperator<byte[]> client, UnaryOperator<byte[]> server,
+        private Conversation(
+                InetSocketAddress from,
+                InetSocketAddress to,
+                UnaryOperator<byte[]> client,
+                UnaryOperator<byte[]> server,
                 boolean redacted) {
             this.redacted = redacted;
             records = new TcpConversation(from, to, TrafficLog.this::write);
@@ -103,17 +112,19 @@
             long time = clock.getAsLong();
             int lostC = lostByClient;
             int lostS = lostByServer;
-            boolean taken = offer(() -> {
-                records.lost(true, lostC);
-                records.lost(false, lostS);
-                blind |= redacted && lostC + lostS > 0;
-                if (blind) {
-                    records.lost(byClient, bytes.length);
-                    return;
-                }
-                byte[] written = (byClient ? client : server).apply(bytes);
-                records.said(time, byClient, written);
-            }, bytes.length);
+            boolean taken = offer(
+                    () -> {
+                        records.lost(true, lostC);
+                        records.lost(false, lostS);
+                        blind |= redacted && lostC + lostS > 0;
+                        if (blind) {
+                            records.lost(byClient, bytes.length);
+                            return;
+                        }
+                        byte[] written = (byClient ? client : server).apply(bytes);
+                        records.said(time, byClient, written);
+                    },
+                    bytes.length);
             lostByClient = taken ? 0 : lostC + (byClient ? bytes.length : 0);
             lostByServer = taken ? 0 : lostS + (byClient ? 0 : bytes.length);
         }
@@ -129,8 +140,12 @@
      * many, but those of a message that is not whole yet may come with the next. Where they are {@code redacted}, nothing is written
      * of a connection any more once some of it was lost.
      */
-    public Conversation begin(InetSocketAddress client, InetSocketAddress server, Supplier<UnaryOperator<byte[]>> ofClient,
-            Supplier<UnaryOperator<byte[]>> ofServer, boolean redacted) {
+    public Conversation begin(
+            InetSocketAddress client,
+            InetSocketAddress server,
+            Supplier<UnaryOperator<byte[]>> ofClient,
+            Supplier<UnaryOperator<byte[]>> ofServer,
+            boolean redacted) {
         long time = clock.getAsLong();
         Conversation c = new Conversation(client, server, ofClient.get(), ofServer.get(), redacted);
         offer(() -> c.records.begin(time), 0);
@@ -225,7 +240,8 @@
     /** What follows the failure goes to a new file, as this one may end within a record. */
     private void failed(long now, IOException why) {
         if (!failing) {
-            System.err.println("the recording can't be written to " + folder + ", tried again each second: " + why.getMessage());
+            System.err.println(
+                    "the recording can't be written to " + folder + ", tried again each second: " + why.getMessage());
         }
         failing = true;
         retryAt = now + RETRY_MICROS;
--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -32,6 +32,7 @@
 public final class Dispatcher {
     /** Past its deadline by this much a request that is still held is failed, whatever the reason. */
     private static final long OVERDUE = 10_000;
+
     private static final long RELEASE = 1_000_000;
 
     private final Loop loop;
@@ -108,7 +109,7 @@
     public void release(String host, Statement statement) {
         if (serving.contains(host)) {
             long until = loop.now() + RELEASE;
-            hosts.send(host, statement, until, until, reply -> { });
+            hosts.send(host, statement, until, until, reply -> {});
         }
     }
 
@@ -190,8 +191,9 @@
     /** Adds what the people on call are told of requests and hosts. */
     public void addTo(Figures.Sum sum) {
         counters.addTo(sum);
-        sum.add("in_flight", held()).add("db_hosts_known", known.size())
-            .add("db_hosts_excluded", router.avoided(loop.now()));
+        sum.add("in_flight", held())
+                .add("db_hosts_known", known.size())
+                .add("db_hosts_excluded", router.avoided(loop.now()));
     }
 
     private void tick() {
@@ -256,13 +258,15 @@
         } else if (directive instanceof Directive.Probe d) {
             long sentAt = loop.now();
             counters.probes++;
-            hosts.probe(d.host(), reply -> carryOut(router.report(loop.now(),
-                new News.ProbeEnd(d.host(), reply.end(), loop.now() - sentAt, reply.note()))));
+            hosts.probe(
+                    d.host(),
+                    reply -> carryOut(router.report(
+                            loop.now(), new News.ProbeEnd(d.host(), reply.end(), loop.now() - sentAt, reply.note()))));
         } else if (directive instanceof Directive.RuleBroken d) {
             counters.ruleBroken(d.rule());
             Taken t = taken.get(d.request());
-            log.accept("rule broken: " + d.rule() + " request=" + d.request() + " id=" + (t == null ? "?" : t.exchange.request().id())
-                + " host=" + d.host());
+            log.accept("rule broken: " + d.rule() + " request=" + d.request() + " id="
+                    + (t == null ? "?" : t.exchange.request().id()) + " host=" + d.host());
         } else if (directive instanceof Directive.Log d) {
             log.accept("router: " + d.text());
         }
@@ -291,36 +295,38 @@
             counters.retried(t.out.isEmpty() ? t.lastEnd : null);
         }
         boolean[] ended = new boolean[1];
-        Hosts.Sent sent = hosts.send(d.host(), t.exchange.request().statement(), d.writeBy(), until, new Hosts.Receiver() {
-            @Override
-            public void end(Reply reply) {
-                ended[0] = true;
-                attemptEnded(t, d, sentAt, reply);
-            }
-
-            @Override
-            public AttemptVerdict mayBegin(long now) {
-                return router.mayBegin(now, d, t.exchange, until);
-            }
-
-            @Override
-            public void begun(long now, long wait) {
-                carryOut(router.begun(now, d, wait));
-            }
-
-            @Override
-            public void part(byte[] bytes, Runnable taken) {
-                attemptGives(t, d, sentAt, bytes, taken);
-            }
-        });
+        Hosts.Sent sent =
+                hosts.send(d.host(), t.exchange.request().statement(), d.writeBy(), until, new Hosts.Receiver() {
+                    @Override
+                    public void end(Reply reply) {
+                        ended[0] = true;
+                        attemptEnded(t, d, sentAt, reply);
+                    }
+
+                    @Override
+                    public AttemptVerdict mayBegin(long now) {
+                        return router.mayBegin(now, d, t.exchange, until);
+                    }
+
+                    @Override
+                    public void begun(long now, long wait) {
+                        carryOut(router.begun(now, d, wait));
+                    }
+
+                    @Override
+                    public void part(byte[] bytes, Runnable taken) {
+                        attemptGives(t, d, sentAt, bytes, taken);
+                    }
+                });
         if (!ended[0]) {
             t.out.put(d.attempt(), sent);
         }
     }
 
     private void neverSent(long now, Directive.Send d, boolean over) {
-        carryOut(router.report(now, new News.AttemptEnd(d.request(), d.attempt(), d.host(), ConnectionEnd.NEVER_SENT, 0, over,
-            Note.NONE)));
+        carryOut(router.report(
+                now,
+                new News.AttemptEnd(d.request(), d.attempt(), d.host(), ConnectionEnd.NEVER_SENT, 0, over, Note.NONE)));
     }
 
     /** A long answer goes on as it comes. With its first bytes it is the only one, and no deadline counts any more. */
@@ -331,8 +337,16 @@
             t.guard.cancel(false);
             carryOut(router.answered(loop.now(), d.request()));
             // Its host has done the work: how long the client takes to read says nothing of hosts, and keeps none busy.
-            carryOut(router.report(loop.now(), new News.AttemptEnd(d.request(), d.attempt(), d.host(), ConnectionEnd.SERVED,
-                loop.now() - sentAt, true, Reply.of(null).note())));
+            carryOut(router.report(
+                    loop.now(),
+                    new News.AttemptEnd(
+                            d.request(),
+                            d.attempt(),
+                            d.host(),
+                            ConnectionEnd.SERVED,
+                            loop.now() - sentAt,
+                            true,
+                            Reply.of(null).note())));
         }
         if (t.flows == sent) {
             t.exchange.part(bytes, taken);
@@ -359,8 +373,16 @@
             over(t);
         }
         if (!flowed) {
-            carryOut(router.report(now, new News.AttemptEnd(d.request(), d.attempt(), d.host(), reply.end(),
-                now - sentAt, over || t.flows != null, reply.note())));
+            carryOut(router.report(
+                    now,
+                    new News.AttemptEnd(
+                            d.request(),
+                            d.attempt(),
+                            d.host(),
+                            reply.end(),
+                            now - sentAt,
+                            over || t.flows != null,
+                            reply.note())));
         }
     }
 
--- a/src/main/java/mintstair/proxy/Hosts.java
+++ b/src/main/java/mintstair/proxy/Hosts.java
@@ -18,7 +18,7 @@
         }
 
         /** It is about to be written, and its host is told to work for so many microseconds at most. */
-        default void begun(long now, long wait) { }
+        default void begun(long now, long wait) {}
 
         /** A part of an answer too long to be held, in order, before the end; {@code taken} is run when it has gone on. */
         default void part(byte[] bytes, Runnable taken) {
--- a/src/main/java/mintstair/proxy/Loop.java
+++ b/src/main/java/mintstair/proxy/Loop.java
@@ -25,7 +25,7 @@
         thread = new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "loop"));
         thread.setRemoveOnCancelPolicy(true);
         // What the network still has to say after the end is of no interest.
-        thread.setRejectedExecutionHandler((task, ended) -> { });
+        thread.setRejectedExecutionHandler((task, ended) -> {});
     }
 
     /** Microseconds on the loop's clock, which never goes back; on any thread. */
--- a/src/main/java/mintstair/registry/RegistryClient.java
+++ b/src/main/java/mintstair/registry/RegistryClient.java
@@ -62,8 +62,9 @@
         Names names = new Names(config.prefix(), config.fronts());
         int endpoints = config.endpoints().size();
         boolean etcd = config.kind() == RegistryConfig.Kind.ETCD;
-        view = etcd ? new WatchView(names, Limits.USUAL, times, endpoints, seed)
-            : new PollView(names, Limits.USUAL, times, endpoints, seed);
+        view = etcd
+                ? new WatchView(names, Limits.USUAL, times, endpoints, seed)
+                : new PollView(names, Limits.USUAL, times, endpoints, seed);
         if (config.tls() != null) {
             // Files that can't be used are told now, not at the first connection.
             new TlsFiles(config.tls());
@@ -76,7 +77,7 @@
         });
         thread.setRemoveOnCancelPolicy(true);
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        thread.setRejectedExecutionHandler((task, ended) -> { });
+        thread.setRejectedExecutionHandler((task, ended) -> {});
         Executor executor = task -> thread.execute(() -> guarded(task));
         wire = etcd ? new EtcdWire(config, executor, this::event) : new ConsulWire(config, executor, this::event);
         figures = view.figures(now());
@@ -94,13 +95,16 @@
             if (kept != null) {
                 keptRevision = kept.revision();
                 line("registry: starting from " + config.snapshot() + ", revision " + kept.revision() + ", "
-                    + Math.max(0, now() - kept.heard()) / 1_000_000 + " s old");
+                        + Math.max(0, now() - kept.heard()) / 1_000_000 + " s old");
             }
             carryOut(view.start(now(), kept));
         }));
         if (file != null) {
-            thread.scheduleWithFixedDelay(() -> guarded(this::keep), config.snapshotEveryMicros(), config.snapshotEveryMicros(),
-                TimeUnit.MICROSECONDS);
+            thread.scheduleWithFixedDelay(
+                    () -> guarded(this::keep),
+                    config.snapshotEveryMicros(),
+                    config.snapshotEveryMicros(),
+                    TimeUnit.MICROSECONDS);
         }
     }
 
@@ -174,8 +178,19 @@
     public ViewFigures figures() {
         ViewFigures f = figures;
         long passed = Math.max(0, now() - figuresAt);
-        return f.age() < 0 ? f : new ViewFigures(f.cluster(), f.revision(), f.age() + passed, f.live(), f.hosts(), f.digest(),
-            f.endpoint(), f.brokenAt(), f.brokenWhy(), f.counts());
+        return f.age() < 0
+                ? f
+                : new ViewFigures(
+                        f.cluster(),
+                        f.revision(),
+                        f.age() + passed,
+                        f.live(),
+                        f.hosts(),
+                        f.digest(),
+                        f.endpoint(),
+                        f.brokenAt(),
+                        f.brokenWhy(),
+                        f.counts());
     }
 
     /** Where the last whole view is kept, or null. */
--- a/src/main/java/mintstair/registry/RegistryCommand.java
+++ b/src/main/java/mintstair/registry/RegistryCommand.java
@@ -28,6 +28,7 @@
 public final class RegistryCommand {
     /** A race that was lost: nothing was changed. */
     public static final int LOST = 1;
+
     private static final long PATIENCE_MILLIS = 3_000;
 
     private final RegistryConfig config;
@@ -61,7 +62,7 @@
             return delete(front, rest.get(0));
         }
         throw new ConfigException("registry: show | watch | put-host [--front FRONT] [--if-revision N] JSON"
-            + " | drain [--front FRONT] UID | delete [--front FRONT] UID");
+                + " | drain [--front FRONT] UID | delete [--front FRONT] UID");
     }
 
     private static String option(List<String> words, String name, String otherwise) {
@@ -90,7 +91,9 @@
             if (expected >= 0 && read != expected) {
                 return lost(uid + " is at revision " + read + ", not " + expected);
             }
-            return change(editor.put(names.host(front, uid), value, read), uid + (before == null ? " is added" : " is changed"));
+            return change(
+                    editor.put(names.host(front, uid), value, read),
+                    uid + (before == null ? " is added" : " is changed"));
         }
     }
 
@@ -147,8 +150,8 @@
     /** One line a change, until the program is ended. */
     private int watch() {
         CountDownLatch never = new CountDownLatch(1);
-        try (RegistryClient client = new RegistryClient(apart(), Times.USUAL, System.nanoTime(), (told, view) ->
-                told.forEach(this::print))) {
+        try (RegistryClient client = new RegistryClient(
+                apart(), Times.USUAL, System.nanoTime(), (told, view) -> told.forEach(this::print))) {
             client.start();
             never.await();
         } catch (InterruptedException e) {
@@ -160,8 +163,8 @@
     private void print(Told told) {
         if (told instanceof Told.Hosts h) {
             for (HostList.Entry e : h.list().entries()) {
-                out.println(h.list().revision() + " " + h.front() + " " + e.host() + " " + e.state() + " " + e.endpoint()
-                    + " group=" + e.cluster() + (e.primary() ? " primary" : ""));
+                out.println(h.list().revision() + " " + h.front() + " " + e.host() + " " + e.state() + " "
+                        + e.endpoint() + " group=" + e.cluster() + (e.primary() ? " primary" : ""));
             }
         } else if (told instanceof Told.Settings s) {
             out.println(s.revision() + " settings " + s.text().length + " bytes");
@@ -189,8 +192,9 @@
                 out.println("the registry is not reached; last break: " + figures.brokenWhy());
                 fromSnapshot();
             } else {
-                out.println("revision " + figures.revision() + ", cluster " + Long.toUnsignedString(figures.cluster(), 16)
-                    + ", " + figures.hosts() + " hosts, age " + figures.age() / 1000 + " ms, digest " + figures.digest());
+                out.println("revision " + figures.revision() + ", cluster "
+                        + Long.toUnsignedString(figures.cluster(), 16) + ", " + figures.hosts() + " hosts, age "
+                        + figures.age() / 1000 + " ms, digest " + figures.digest());
                 hosts.forEach((name, line) -> out.println(name + " " + line));
             }
             if (figures.brokenAt() >= 0) {
@@ -219,7 +223,7 @@
         }
         long age = Math.max(0, WallClock.millis() - kept.heard() / 1000);
         out.println("as kept: revision " + kept.revision() + ", " + kept.items().size() + " entries, age "
-            + String.format(Locale.ROOT, "%.1f s", age / 1e3));
+                + String.format(Locale.ROOT, "%.1f s", age / 1e3));
         kept.items().forEach(item -> out.println(item.key() + " at " + item.modified()));
     }
 
@@ -228,8 +232,16 @@
     }
 
     private String state(InetSocketAddress endpoint) {
-        RegistryConfig only = new RegistryConfig(config.kind(), List.of(endpoint), config.prefix(), config.fronts(), config.user(),
-            config.secret(), config.tls(), null, config.snapshotEveryMicros());
+        RegistryConfig only = new RegistryConfig(
+                config.kind(),
+                List.of(endpoint),
+                config.prefix(),
+                config.fronts(),
+                config.user(),
+                config.secret(),
+                config.tls(),
+                null,
+                config.snapshotEveryMicros());
         try (RegistryEditor editor = RegistryClient.editor(only)) {
             editor.get(names.settings());
             return "answers";
@@ -240,7 +252,15 @@
 
     /** The same registry, with nothing kept: the daemon's file is the daemon's. */
     private RegistryConfig apart() {
-        return new RegistryConfig(config.kind(), config.endpoints(), config.prefix(), config.fronts(), config.user(), config.secret(),
-            config.tls(), null, config.snapshotEveryMicros());
+        return new RegistryConfig(
+                config.kind(),
+                config.endpoints(),
+                config.prefix(),
+                config.fronts(),
+                config.user(),
+                config.secret(),
+                config.tls(),
+                null,
+                config.snapshotEveryMicros());
     }
 }
--- a/src/main/java/mintstair/registry/RegistryWire.java
+++ b/src/main/java/mintstair/registry/RegistryWire.java
@@ -12,7 +12,7 @@
 
         /** An event after which nothing waits. */
         default void tell(Event event) {
-            tell(event, () -> { });
+            tell(event, () -> {});
         }
     }
 
--- a/src/main/java/mintstair/registry/SnapshotFile.java
+++ b/src/main/java/mintstair/registry/SnapshotFile.java
@@ -41,10 +41,15 @@
         CRC32C sum = new CRC32C();
         sum.update(view);
         ByteBuffer whole = ByteBuffer.allocate(HEAD + view.length);
-        whole.put(MARK).putInt(VERSION).putInt(view.length).putLong(sum.getValue()).put(view).flip();
+        whole.put(MARK)
+                .putInt(VERSION)
+                .putInt(view.length)
+                .putLong(sum.getValue())
+                .put(view)
+                .flip();
         Path beside = beside(".new");
-        try (FileChannel out = FileChannel.open(beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel out = FileChannel.open(
+                beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
             while (whole.hasRemaining()) {
                 out.write(whole);
             }
@@ -65,7 +70,8 @@
                 Files.move(file, beside(".bad"), StandardCopyOption.REPLACE_EXISTING);
                 lines.accept("registry: " + file + " is set aside: " + e.getMessage());
             } catch (IOException f) {
-                lines.accept("registry: " + file + " is not used: " + e.getMessage() + "; it can't be set aside: " + f.getMessage());
+                lines.accept("registry: " + file + " is not used: " + e.getMessage() + "; it can't be set aside: "
+                        + f.getMessage());
             }
             return null;
         }
@@ -142,7 +148,8 @@
         long heard = in.readLong();
         List<Item> items = new ArrayList<>();
         for (int n = in.readInt(); n > 0; n--) {
-            items.add(new Item(new String(take(in), StandardCharsets.ISO_8859_1), take(in), in.readLong(), in.readLong()));
+            items.add(new Item(
+                    new String(take(in), StandardCharsets.ISO_8859_1), take(in), in.readLong(), in.readLong()));
         }
         return new Snapshot(prefix, cluster, revision, term, heard, items);
     }
--- a/src/main/java/mintstair/registry/consul/Consul.java
+++ b/src/main/java/mintstair/registry/consul/Consul.java
@@ -21,7 +21,7 @@
 
 /** Consul's HTTP API as far as it is used: its key-value store and its status. Source: the API's published documentation. */
 final class Consul {
-    private Consul() { }
+    private Consul() {}
 
     /** A client whose callbacks run on {@code executor}, or on threads of its own for null. */
     static HttpClient client(RegistryConfig config, Executor executor) {
@@ -37,8 +37,8 @@
 
     /** A call of one endpoint; {@code query} is empty or begins with a question mark. */
     static HttpRequest.Builder call(RegistryConfig config, InetSocketAddress endpoint, String path, String query) {
-        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create((config.tls() == null ? "http" : "https") + "://"
-            + endpoint.getHostString() + ":" + endpoint.getPort() + path + query));
+        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create((config.tls() == null ? "http" : "https")
+                + "://" + endpoint.getHostString() + ":" + endpoint.getPort() + path + query));
         return config.secret() == null ? request : request.header("X-Consul-Token", config.secret());
     }
 
@@ -46,7 +46,8 @@
     static String key(String key) {
         StringBuilder path = new StringBuilder("/v1/kv");
         for (String part : key.split("/", -1)) {
-            path.append('/').append(URLEncoder.encode(part, StandardCharsets.ISO_8859_1).replace("+", "%20"));
+            path.append('/')
+                    .append(URLEncoder.encode(part, StandardCharsets.ISO_8859_1).replace("+", "%20"));
         }
         return path.toString();
     }
@@ -58,13 +59,19 @@
         }
         List<Item> items = new ArrayList<>(list.size());
         for (Object each : list) {
-            if (!(each instanceof Map<?, ?> m) || !(m.get("Key") instanceof String key)
-                    || !(m.get("CreateIndex") instanceof Number created) || !(m.get("ModifyIndex") instanceof Number modified)) {
+            if (!(each instanceof Map<?, ?> m)
+                    || !(m.get("Key") instanceof String key)
+                    || !(m.get("CreateIndex") instanceof Number created)
+                    || !(m.get("ModifyIndex") instanceof Number modified)) {
                 throw new IllegalArgumentException("an entry without Key, CreateIndex or ModifyIndex");
             }
-            byte[] value = m.get("Value") instanceof String text ? Base64.getDecoder().decode(text) : new byte[0];
-            items.add(new Item(new String(key.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1), value,
-                created.longValue(), modified.longValue()));
+            byte[] value =
+                    m.get("Value") instanceof String text ? Base64.getDecoder().decode(text) : new byte[0];
+            items.add(new Item(
+                    new String(key.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1),
+                    value,
+                    created.longValue(),
+                    modified.longValue()));
         }
         return items;
     }
@@ -72,9 +79,11 @@
     /** What an answer that is none of a list means. */
     static Event.Ended refused(long call, int status, byte[] body) {
         String text = new String(body, 0, Math.min(body.length, 200), StandardCharsets.UTF_8).split("\n")[0];
-        Event.Reason reason = status == 403 || status == 401 ? Event.Reason.DENIED
-            : status >= 500 && text.toLowerCase(java.util.Locale.ROOT).contains("leader") ? Event.Reason.NO_LEADER
-            : status == 429 || status >= 500 ? Event.Reason.BUSY : Event.Reason.MALFORMED;
+        Event.Reason reason = status == 403 || status == 401
+                ? Event.Reason.DENIED
+                : status >= 500 && text.toLowerCase(java.util.Locale.ROOT).contains("leader")
+                        ? Event.Reason.NO_LEADER
+                        : status == 429 || status >= 500 ? Event.Reason.BUSY : Event.Reason.MALFORMED;
         return new Event.Ended(call, reason, "status " + status + " " + text);
     }
 
--- a/src/main/java/mintstair/registry/consul/ConsulEditor.java
+++ b/src/main/java/mintstair/registry/consul/ConsulEditor.java
@@ -51,7 +51,8 @@
 
     private static HttpResponse<byte[]> whole(HttpResponse<byte[]> answer) throws IOException {
         if (answer.statusCode() != 200) {
-            throw new IOException(Consul.refused(0, answer.statusCode(), answer.body()).why());
+            throw new IOException(
+                    Consul.refused(0, answer.statusCode(), answer.body()).why());
         }
         return answer;
     }
@@ -64,8 +65,11 @@
         String why = "";
         for (InetSocketAddress each : config.endpoints()) {
             try {
-                return client.send(method.of(Consul.call(config, each, Consul.key(key), query)).timeout(WAIT).build(),
-                    info -> new BoundedBody(MOST_BODY));
+                return client.send(
+                        method.of(Consul.call(config, each, Consul.key(key), query))
+                                .timeout(WAIT)
+                                .build(),
+                        info -> new BoundedBody(MOST_BODY));
             } catch (ConnectException e) {
                 why = "refused";
             } catch (IOException e) {
--- a/src/main/java/mintstair/registry/consul/ConsulWire.java
+++ b/src/main/java/mintstair/registry/consul/ConsulWire.java
@@ -26,6 +26,7 @@
 public final class ConsulWire implements RegistryWire {
     /** All entries, with a third more for base64, and the words around them. */
     private static final long MOST_BODY = 64L << 20;
+
     private static final int MOST_STATUS = 1 << 10;
 
     private final RegistryConfig config;
@@ -66,9 +67,14 @@
     private void poll(Order.Poll poll) {
         long begun = number;
         String query = "?recurse=true" + (poll.sure() ? "&consistent" : "")
-            + (poll.index() > 0 ? "&index=" + poll.index() + "&wait=" + PollView.WAIT / 1000 + "ms" : "");
-        call = send(Consul.call(config, endpoint, Consul.key(config.prefix()), query).GET().build(), MOST_BODY, begun,
-            answer -> answered(begun, answer));
+                + (poll.index() > 0 ? "&index=" + poll.index() + "&wait=" + PollView.WAIT / 1000 + "ms" : "");
+        call = send(
+                Consul.call(config, endpoint, Consul.key(config.prefix()), query)
+                        .GET()
+                        .build(),
+                MOST_BODY,
+                begun,
+                answer -> answered(begun, answer));
     }
 
     private void answered(long begun, HttpResponse<byte[]> answer) {
@@ -81,41 +87,62 @@
         }
         try {
             List<Item> items = empty ? List.of() : Consul.items(answer.body());
-            boolean leads = answer.headers().firstValue("X-Consul-KnownLeader").map(Boolean::parseBoolean).orElse(false);
-            events.tell(new Event.Whole(begun, Consul.number(answer, "X-Consul-Index"), items,
-                leads && Consul.number(answer, "X-Consul-LastContact") <= 0));
+            boolean leads = answer.headers()
+                    .firstValue("X-Consul-KnownLeader")
+                    .map(Boolean::parseBoolean)
+                    .orElse(false);
+            events.tell(new Event.Whole(
+                    begun,
+                    Consul.number(answer, "X-Consul-Index"),
+                    items,
+                    leads && Consul.number(answer, "X-Consul-LastContact") <= 0));
         } catch (IOException | IllegalArgumentException e) {
-            events.tell(new Event.Ended(begun, Event.Reason.MALFORMED, String.valueOf(e.getMessage()).split("\n")[0]));
+            events.tell(new Event.Ended(
+                    begun,
+                    Event.Reason.MALFORMED,
+                    String.valueOf(e.getMessage()).split("\n")[0]));
         }
     }
 
     private void askForLeader(long begun) {
-        status = send(Consul.call(config, endpoint, "/v1/status/leader", "").GET().build(), MOST_STATUS, begun, answer -> {
-            status = null;
-            if (answer.statusCode() != 200) {
-                fail(Consul.refused(begun, answer.statusCode(), answer.body()));
-            } else if (new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8).strip().replace("\"", "").isEmpty()) {
-                fail(new Event.Ended(begun, Event.Reason.NO_LEADER, "no leader is known"));
-            } else {
-                events.tell(new Event.Progress(begun, new Header(0, 0, 0)));
-            }
-        });
+        status = send(
+                Consul.call(config, endpoint, "/v1/status/leader", "").GET().build(), MOST_STATUS, begun, answer -> {
+                    status = null;
+                    if (answer.statusCode() != 200) {
+                        fail(Consul.refused(begun, answer.statusCode(), answer.body()));
+                    } else if (new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8)
+                            .strip()
+                            .replace("\"", "")
+                            .isEmpty()) {
+                        fail(new Event.Ended(begun, Event.Reason.NO_LEADER, "no leader is known"));
+                    } else {
+                        events.tell(new Event.Progress(begun, new Header(0, 0, 0)));
+                    }
+                });
     }
 
-    private CompletableFuture<?> send(HttpRequest request, long most, long begun, Consumer<HttpResponse<byte[]>> answered) {
+    private CompletableFuture<?> send(
+            HttpRequest request, long most, long begun, Consumer<HttpResponse<byte[]>> answered) {
         CompletableFuture<HttpResponse<byte[]>> sent = client.sendAsync(request, info -> new BoundedBody(most));
-        sent.whenCompleteAsync((answer, why) -> {
-            if (begun != number || sent.isCancelled()) {
-                return;
-            }
-            if (why == null) {
-                answered.accept(answer);
-            } else {
-                Throwable cause = why instanceof CompletionException && why.getCause() != null ? why.getCause() : why;
-                fail(new Event.Ended(begun, Event.Reason.BROKEN, cause instanceof ConnectException ? "refused"
-                    : String.valueOf(cause.getMessage()).split("\n")[0]));
-            }
-        }, executor);
+        sent.whenCompleteAsync(
+                (answer, why) -> {
+                    if (begun != number || sent.isCancelled()) {
+                        return;
+                    }
+                    if (why == null) {
+                        answered.accept(answer);
+                    } else {
+                        Throwable cause =
+                                why instanceof CompletionException && why.getCause() != null ? why.getCause() : why;
+                        fail(new Event.Ended(
+                                begun,
+                                Event.Reason.BROKEN,
+                                cause instanceof ConnectException
+                                        ? "refused"
+                                        : String.valueOf(cause.getMessage()).split("\n")[0]));
+                    }
+                },
+                executor);
         return sent;
     }
 
