--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -4,8 +4,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.Test;
 import mintstair.decision.SplitterApi.*;
+import org.junit.jupiter.api.Test;
 
 /** Many routers with a trickle of traffic each, and routers that are told what is not so. */
 class FleetTest {
@@ -24,7 +24,10 @@
     }
 
     private static long sentTo(List<Bed> fleet, String host) {
-        return fleet.stream().flatMap(b -> b.sends.stream()).filter(s -> s.host().equals(host)).count();
+        return fleet.stream()
+                .flatMap(b -> b.sends.stream())
+                .filter(s -> s.host().equals(host))
+                .count();
     }
 
     private static HostEntry started(String host, long at) {
@@ -48,8 +51,12 @@
     void groupThatIsColdAltogetherShedsEarly() {
         List<Bed> fleet = fleet(300);
         for (Bed bed : fleet) {
-            bed.list(ListKind.CHANGES, started("p", bed.now), started("r1", bed.now), started("r2", bed.now),
-                started("r3", bed.now));
+            bed.list(
+                    ListKind.CHANGES,
+                    started("p", bed.now),
+                    started("r1", bed.now),
+                    started("r2", bed.now),
+                    started("r3", bed.now));
             bed.request(1, Bed.ANY);
             bed.request(2, Bed.UNSAFE_WRITE);
         }
@@ -77,10 +84,13 @@
                         bed.request(i, Bed.UNSAFE_WRITE, 1200 * MS, SplitterApi.UNKNOWN);
                     }
                     bed.pass(20 * MS);
-                    polls[i < 800 ? 0 : 1] += bed.probes.subList(bed.answered, bed.probes.size()).stream().filter("r1"::equals).count();
+                    polls[i < 800 ? 0 : 1] += bed.probes.subList(bed.answered, bed.probes.size()).stream()
+                            .filter("r1"::equals)
+                            .count();
                 }
             }
-            // Writes, as reads have polls on demand as well, which their price bounds. What each router sends at first soon ends.
+            // Writes, as reads have polls on demand as well, which their price bounds. What each router sends at first
+            // soon ends.
             assertTrue(polls[1] / 16 <= 11, routers + " routers: " + polls[1] / 16 + " polls a second");
             assertTrue(polls[1] > 0, "they go on looking");
         }
@@ -167,7 +177,9 @@
             bed.pass(5 * MS);
             if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, Ending.OK);
         }
-        long primary = bed.sends.stream().filter(s -> s.id() >= 100 && s.host().equals("p")).count();
+        long primary = bed.sends.stream()
+                .filter(s -> s.id() >= 100 && s.host().equals("p"))
+                .count();
         assertTrue(primary < 60, "the primary got " + primary + " of 300 reads");
     }
 
@@ -232,8 +244,19 @@
         Bed bed = new Bed().start().group();
         bed.request(1, Bed.ANY);
         Settings old = bed.settings();
-        List<RequestClass> unsafe = old.classes().stream().map(c -> new RequestClass(c.name(), c.freshness(), Repeat.UNSAFE,
-            c.scope(), c.bound(), c.aim(), c.deadline(), c.window(), c.worth(), c.lateWorth())).toList();
+        List<RequestClass> unsafe = old.classes().stream()
+                .map(c -> new RequestClass(
+                        c.name(),
+                        c.freshness(),
+                        Repeat.UNSAFE,
+                        c.scope(),
+                        c.bound(),
+                        c.aim(),
+                        c.deadline(),
+                        c.window(),
+                        c.worth(),
+                        c.lateWorth()))
+                .toList();
         bed.router.onSettings(bed.now, with(old, unsafe, old.limits()));
         bed.outcome(bed.sendsOf(1).get(0), 0, Ending.RESET);
         assertEquals(2, bed.sendsOf(1).size());
@@ -242,19 +265,36 @@
         assertEquals(1, bed.sendsOf(2).size());
         assertEquals(List.of(2L), bed.failed);
         bed.request(3, Bed.ANY);
-        bed.router.onSettings(bed.now, with(old, old.classes(), new Limits(1, true, true, false, true, true, 500 * MS)));
+        bed.router.onSettings(
+                bed.now, with(old, old.classes(), new Limits(1, true, true, false, true, true, 500 * MS)));
         bed.outcome(bed.sendsOf(3).get(0), 0, Ending.NO_ROUTE);
         assertEquals(1, bed.sendsOf(3).size());
-        assertThrows(IllegalArgumentException.class, () -> bed.router.onSettings(bed.now, with(old, old.classes(),
-            new Limits(0, true, true, false, true, true, 500 * MS))));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> bed.router.onSettings(
+                        bed.now, with(old, old.classes(), new Limits(0, true, true, false, true, true, 500 * MS))));
         bed.request(4, Bed.ANY);
         assertEquals(1, bed.sendsOf(4).size(), "what makes no sense changes nothing");
     }
 
     private static Settings with(Settings s, List<RequestClass> classes, Limits limits) {
-        return new Settings(s.routers(), s.me(), s.zone(), classes, s.tenants(), s.overShareWorth(), s.rememberedTokens(),
-            s.readCheck(), s.positionsInAnswers(), s.listTellsRole(), s.subscribe(), s.clientsMarkRepeats(), s.probePrice(),
-            s.crossZonePrice(), s.guards(), limits);
+        return new Settings(
+                s.routers(),
+                s.me(),
+                s.zone(),
+                classes,
+                s.tenants(),
+                s.overShareWorth(),
+                s.rememberedTokens(),
+                s.readCheck(),
+                s.positionsInAnswers(),
+                s.listTellsRole(),
+                s.subscribe(),
+                s.clientsMarkRepeats(),
+                s.probePrice(),
+                s.crossZonePrice(),
+                s.guards(),
+                limits);
     }
 
     /** What the people on call are told is what the decisions go by. */
@@ -317,8 +357,11 @@
     @Test
     void listThatNamesAHostTwiceOrMovesItDoesNoHarm() {
         Bed bed = new Bed().start().group();
-        bed.list(ListKind.CHANGES, Bed.ready("r1"), Bed.ready("r1"),
-            new HostEntry("r2", false, "z", 7, HostState.READY, 1, 0));
+        bed.list(
+                ListKind.CHANGES,
+                Bed.ready("r1"),
+                Bed.ready("r1"),
+                new HostEntry("r2", false, "z", 7, HostState.READY, 1, 0));
         for (int i = 0; i < 60; i++) {
             bed.request(i, Bed.ANY);
             bed.outcome(bed.last(), 0, Ending.OK);
@@ -393,8 +436,8 @@
             Bed.Sent s = bed.last();
             long time = s.host().equals("r1") ? 150 * MS : 30 * MS;
             bed.now += 30 * MS;
-            bed.router.onOutcome(bed.now, new Outcome(i, 0, s.host(), Ending.OK, time, true, Role.REPLICA,
-                SplitterApi.UNKNOWN));
+            bed.router.onOutcome(
+                    bed.now, new Outcome(i, 0, s.host(), Ending.OK, time, true, Role.REPLICA, SplitterApi.UNKNOWN));
             if (i == 300) bed.sends.clear();
         }
         long slow = bed.sends.stream().filter(s -> s.host().equals("r1")).count();
@@ -465,13 +508,17 @@
         for (Bed bed : fleet) {
             for (int i = 0; i < 12; i++) {
                 bed.request(i, Bed.ANY);
-                for (int k = 0; k < bed.sendsOf(i).size(); k++) bed.outcome(bed.sendsOf(i).get(k), k, Ending.FULL);
+                for (int k = 0; k < bed.sendsOf(i).size(); k++)
+                    bed.outcome(bed.sendsOf(i).get(k), k, Ending.FULL);
                 bed.pass(120 * MS);
             }
             bed.sends.clear();
             bed.request(99, Bed.ANY);
         }
-        long sent = fleet.stream().flatMap(b -> b.sends.stream()).filter(s -> !s.host().equals("p")).count();
+        long sent = fleet.stream()
+                .flatMap(b -> b.sends.stream())
+                .filter(s -> !s.host().equals("p"))
+                .count();
         assertTrue(sent < 85, "sent " + sent + " of 100 to the full replicas");
     }
 
--- a/src/test/java/mintstair/decision/InvariantMonitorTest.java
+++ b/src/test/java/mintstair/decision/InvariantMonitorTest.java
@@ -23,8 +23,10 @@
     private final InvariantMonitor monitor = new InvariantMonitor();
 
     private void taken(Repeat repeat) {
-        monitor.taken(REQUEST, new RequestClass("c", Freshness.WRITE, repeat, RepeatScope.ALL, 0, SECOND, 2 * SECOND, WINDOW, 1, 0),
-            2 * SECOND);
+        monitor.taken(
+                REQUEST,
+                new RequestClass("c", Freshness.WRITE, repeat, RepeatScope.ALL, 0, SECOND, 2 * SECOND, WINDOW, 1, 0),
+                2 * SECOND);
     }
 
     private List<Violation> begun(long now, int attempt) {
@@ -32,7 +34,9 @@
     }
 
     private List<Violation> begun(long now, int attempt, long wait) {
-        return monitor.begun(now, REQUEST, attempt, HOST, wait, GRACE).stream().map(Finding::violation).toList();
+        return monitor.begun(now, REQUEST, attempt, HOST, wait, GRACE).stream()
+                .map(Finding::violation)
+                .toList();
     }
 
     @Test
@@ -99,7 +103,9 @@
     void answersAreGivenOnceAndInTime() {
         taken(Repeat.SAFE);
         begun(0, 0);
-        assertEquals(List.of(new Finding(Violation.ANSWERED_LATE, REQUEST, "")), monitor.answered(2 * SECOND + 501 * MS, REQUEST));
+        assertEquals(
+                List.of(new Finding(Violation.ANSWERED_LATE, REQUEST, "")),
+                monitor.answered(2 * SECOND + 501 * MS, REQUEST));
         assertEquals(2, monitor.answered(2 * SECOND + 502 * MS, REQUEST).size());
     }
 
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -11,10 +11,25 @@
 class OtherSettingsTest {
     private static final long MS = Bed.MS;
 
-    private static Settings with(Settings s, int routers, List<RequestClass> classes, List<Tenant> tenants, Guards guards) {
-        return new Settings(routers, s.me(), s.zone(), classes, tenants, s.overShareWorth(), s.rememberedTokens(), s.readCheck(),
-            s.positionsInAnswers(), s.listTellsRole(), s.subscribe(), s.clientsMarkRepeats(), s.probePrice(), s.crossZonePrice(),
-            guards, s.limits());
+    private static Settings with(
+            Settings s, int routers, List<RequestClass> classes, List<Tenant> tenants, Guards guards) {
+        return new Settings(
+                routers,
+                s.me(),
+                s.zone(),
+                classes,
+                tenants,
+                s.overShareWorth(),
+                s.rememberedTokens(),
+                s.readCheck(),
+                s.positionsInAnswers(),
+                s.listTellsRole(),
+                s.subscribe(),
+                s.clientsMarkRepeats(),
+                s.probePrice(),
+                s.crossZonePrice(),
+                guards,
+                s.limits());
     }
 
     private static Settings guarded(Settings s, Guards guards) {
@@ -26,7 +41,8 @@
     }
 
     /** So many of 200 fresh routers that go over to these settings send their read to r1. */
-    private static long readsAt(String host, HostEntry listed, boolean advice, java.util.function.Function<Settings, Settings> change) {
+    private static long readsAt(
+            String host, HostEntry listed, boolean advice, java.util.function.Function<Settings, Settings> change) {
         long sent = 0;
         for (int i = 0; i < 200; i++) {
             Bed bed = new Bed();
@@ -47,7 +63,8 @@
     void hostThatIsColdByTheNewSettingsIsRampedByThem() {
         HostEntry listed = started("r1", 1_000_000_000L - 15_000 * MS);
         long warm = readsAt("r1", listed, false, s -> s);
-        long cold = readsAt("r1", listed, false, s -> guarded(s, new Guards(250 * MS, 0.1, 60_000 * MS, 3, 2_000 * MS, false)));
+        long cold = readsAt(
+                "r1", listed, false, s -> guarded(s, new Guards(250 * MS, 0.1, 60_000 * MS, 3, 2_000 * MS, false)));
         assertTrue(warm > 50, warm + " of 200 while it is warm");
         // Of three equal replicas one with a warmth of 0.1 + 0.9 / 4 has its part of 2.3.
         assertTrue(cold < warm * 2 / 3, cold + " of 200 once it is cold, " + warm + " before");
@@ -58,7 +75,13 @@
     void hostKeptByAdviceIsLeftWhereGoneBinds() {
         HostEntry gone = new HostEntry("r1", false, "z", 0, HostState.GONE, 1, 0);
         assertTrue(readsAt("r1", gone, true, s -> s) > 50);
-        assertEquals(0, readsAt("r1", gone, true, s -> guarded(s, new Guards(250 * MS, 0.2, 10_000 * MS, 3, 2_000 * MS, false))));
+        assertEquals(
+                0,
+                readsAt(
+                        "r1",
+                        gone,
+                        true,
+                        s -> guarded(s, new Guards(250 * MS, 0.2, 10_000 * MS, 3, 2_000 * MS, false))));
     }
 
     /** What is assumed of a class until its answers have shown it goes by its own aim, not by that of a class of that name before. */
@@ -71,9 +94,28 @@
             bed.start().group();
             if (i == 1) {
                 Settings old = bed.settings();
-                bed.router = new ReadWriteSplitter(bed.now, 7, with(old, 1, old.classes().stream().map(c -> new RequestClass(c.name(),
-                    c.freshness(), c.repeat(), c.scope(), c.bound(), 20 * c.aim(), 20 * c.deadline(), c.window(), c.worth(),
-                    c.lateWorth())).toList(), old.tenants(), old.guards()), bed);
+                bed.router = new ReadWriteSplitter(
+                        bed.now,
+                        7,
+                        with(
+                                old,
+                                1,
+                                old.classes().stream()
+                                        .map(c -> new RequestClass(
+                                                c.name(),
+                                                c.freshness(),
+                                                c.repeat(),
+                                                c.scope(),
+                                                c.bound(),
+                                                20 * c.aim(),
+                                                20 * c.deadline(),
+                                                c.window(),
+                                                c.worth(),
+                                                c.lateWorth()))
+                                        .toList(),
+                                old.tenants(),
+                                old.guards()),
+                        bed);
                 bed.group();
                 bed.router.onSettings(bed.now, old);
             }
@@ -118,7 +160,8 @@
             bed.oneSession = false;
             bed.start();
             Settings old = bed.settings();
-            Settings both = with(old, 1, old.classes(), List.of(new Tenant("small", 1), new Tenant("large", 1_000)), old.guards());
+            Settings both = with(
+                    old, 1, old.classes(), List.of(new Tenant("small", 1), new Tenant("large", 1_000)), old.guards());
             bed.router = new ReadWriteSplitter(bed.now, 7, both, bed);
             bed.group();
             // One uses up its share long before; the other has sent nothing yet.
@@ -134,7 +177,9 @@
             sent[i] = bed.sends.size();
         }
         assertTrue(sent[0] > 20, sent[0] + "");
-        assertTrue(Math.abs(sent[0] - sent[1]) <= sent[0] / 10, "the second tenant's " + sent[1] + " beside a loud first, " + sent[0] + " alone");
+        assertTrue(
+                Math.abs(sent[0] - sent[1]) <= sent[0] / 10,
+                "the second tenant's " + sent[1] + " beside a loud first, " + sent[0] + " alone");
     }
 
     private static Request read(long id, int tenant) {
@@ -151,7 +196,12 @@
         bed.request(2, Bed.UNSAFE_WRITE);
         bed.state("p", HostState.DRAINING);
         bed.request(3, Bed.UNSAFE_WRITE);
-        assertEquals(List.of(1, 1, 0), List.of(bed.sendsOf(1).size(), bed.sendsOf(2).size(), bed.sendsOf(3).size()));
+        assertEquals(
+                List.of(1, 1, 0),
+                List.of(
+                        bed.sendsOf(1).size(),
+                        bed.sendsOf(2).size(),
+                        bed.sendsOf(3).size()));
         bed.router.onEnd(bed.now);
         bed.router.onEnd(bed.now);
         assertEquals(List.of(1L, 3L), bed.refused);
--- a/src/test/java/mintstair/decision/RulesTest.java
+++ b/src/test/java/mintstair/decision/RulesTest.java
@@ -4,8 +4,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.Test;
 import mintstair.decision.SplitterApi.*;
+import org.junit.jupiter.api.Test;
 
 /** The five rules, each able to fail without the bench. */
 class RulesTest {
@@ -138,7 +138,7 @@
             bed.request(kind, kind, deadline, SplitterApi.UNKNOWN);
         }
         int[] told = new int[5];
-        for (int ended = 0; bed.now <= began + deadline + 5 * MS;) {
+        for (int ended = 0; bed.now <= began + deadline + 5 * MS; ) {
             bed.now += MS;
             for (; ended < bed.sends.size() && bed.now >= endOf(bed.sends.get(ended), end, began + deadline); ended++) {
                 Bed.Sent sent = bed.sends.get(ended);
@@ -149,7 +149,9 @@
         List<Long> answers = new ArrayList<>(bed.refused);
         answers.addAll(bed.failed);
         assertEquals(List.of(0L, 1L, 2L, 3L, 4L), answers.stream().sorted().toList(), what);
-        assertTrue(bed.sends.stream().allMatch(s -> s.at() <= began + deadline && s.abandonAt() <= began + deadline), what + ": " + bed.sends);
+        assertTrue(
+                bed.sends.stream().allMatch(s -> s.at() <= began + deadline && s.abandonAt() <= began + deadline),
+                what + ": " + bed.sends);
         if (end != Ending.FULL) {
             assertTrue(bed.sendsOf(Bed.UNSAFE_WRITE).size() <= 1, what);
             List<Bed.Sent> keyed = bed.sendsOf(Bed.KEYED_WRITE);
@@ -210,7 +212,8 @@
             bed.request(10 + i, Bed.ANY);
         }
         bed.pass(400 * MS);
-        assertTrue(bed.sends.stream().noneMatch(s -> s.host().equals("p") || s.host().equals("r1")));
+        assertTrue(bed.sends.stream()
+                .noneMatch(s -> s.host().equals("p") || s.host().equals("r1")));
         assertFalse(bed.sends.isEmpty());
     }
 
@@ -221,7 +224,8 @@
         for (int i = 0; i < 40; i++) {
             bed.request(10 + i, Bed.ANY);
         }
-        assertTrue(bed.sends.stream().allMatch(s -> s.host().equals("r2") || s.host().equals("p")));
+        assertTrue(bed.sends.stream()
+                .allMatch(s -> s.host().equals("r2") || s.host().equals("p")));
     }
 
     @Test
@@ -307,7 +311,8 @@
     @Test
     void pinnedReadGoesToItsHostOnceOrNowhere() {
         Bed bed = new Bed().start().group();
-        bed.router.onRequest(bed.now, new Request(1, Bed.ANY, 0, "s", -1, false, 1000 * Bed.MS, SplitterApi.UNKNOWN, "r2"));
+        bed.router.onRequest(
+                bed.now, new Request(1, Bed.ANY, 0, "s", -1, false, 1000 * Bed.MS, SplitterApi.UNKNOWN, "r2"));
         assertEquals("r2", bed.last().host());
         bed.outcome(bed.last(), 0, Ending.RESET);
         assertEquals(List.of(1L), bed.failed);
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/SplitterTest.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.Test;
 import mintstair.decision.SplitterApi.*;
+import org.junit.jupiter.api.Test;
 
 /** The departures from the ordinary path, and the module's own limits. */
 class SplitterTest {
@@ -85,8 +85,12 @@
         bed.list(ListKind.FAILED);
         bed.list(ListKind.FAILED);
         bed.list(ListKind.FAILED);
-        long[] waits = bed.trace.toString().lines().filter(l -> l.startsWith("timer subscribe"))
-            .mapToLong(l -> Long.parseLong(l.split(" ")[2])).toArray();
+        long[] waits = bed.trace
+                .toString()
+                .lines()
+                .filter(l -> l.startsWith("timer subscribe"))
+                .mapToLong(l -> Long.parseLong(l.split(" ")[2]))
+                .toArray();
         assertEquals(3, waits.length);
         assertTrue(waits[0] >= 500 * MS && waits[2] >= 2_000 * MS);
         bed.router.onTimer(bed.now, "subscribe");
@@ -145,8 +149,10 @@
         for (int i = 0; i < 40 && bed.logs.stream().noneMatch(l -> l.startsWith("silent")); i++) {
             bed.request(i, Bed.ANY);
             bed.now += 10 * MS;
-            bed.outcome(bed.last(), bed.sendsOf(bed.last().id()).size() - 1,
-                bed.last().host().equals("r2") ? Ending.NO_ROUTE : Ending.OK);
+            bed.outcome(
+                    bed.last(),
+                    bed.sendsOf(bed.last().id()).size() - 1,
+                    bed.last().host().equals("r2") ? Ending.NO_ROUTE : Ending.OK);
             // A poll that was not even sent is no sign of life.
             bed.router.onProbed(bed.now, "r2", Ending.MOOT, 0, null);
         }
@@ -259,13 +265,16 @@
                 }
             }
             bed.list(ListKind.WHOLE, hosts.toArray(HostEntry[]::new));
-            hosts.forEach(h -> bed.poll(h.host(), bed.now - (h.host().startsWith("p") ? 0 : 9_000 * MS),
-                h.host().startsWith("p") ? Role.PRIMARY : Role.REPLICA));
+            hosts.forEach(h -> bed.poll(
+                    h.host(),
+                    bed.now - (h.host().startsWith("p") ? 0 : 9_000 * MS),
+                    h.host().startsWith("p") ? Role.PRIMARY : Role.REPLICA));
             for (int i = 0; i < 60; i++) {
                 bed.router.onRequest(bed.now, new Request(i, Bed.SESSION, 1, "s" + i, 0, false, 1200 * MS, 5 * MS));
                 bed.now += latency;
                 if (!bed.sends.isEmpty() && bed.last().id() == i) {
-                    bed.router.onOutcome(bed.now, new Outcome(i, 0, "p1", Ending.OK, latency, true, Role.PRIMARY, bed.now));
+                    bed.router.onOutcome(
+                            bed.now, new Outcome(i, 0, "p1", Ending.OK, latency, true, Role.PRIMARY, bed.now));
                 }
             }
             bed.router.onRequest(bed.now, new Request(99, Bed.SESSION, 0, "of " + n, 0, false, 1200 * MS, 5 * MS));
@@ -289,7 +298,10 @@
         bed.router.onTimer(bed.now + 1_000 * MS, "tick");
         bed.now -= 500 * MS;
         bed.request(1, Bed.BOUNDED);
-        assertEquals(List.of("p"), bed.sends.stream().map(Bed.Sent::host).toList(), "replicas known 1 s before the last time");
+        assertEquals(
+                List.of("p"),
+                bed.sends.stream().map(Bed.Sent::host).toList(),
+                "replicas known 1 s before the last time");
     }
 
     @Test
@@ -347,17 +359,22 @@
     void impossibleSettingsAreRefusedByName() {
         Bed bed = new Bed();
         bed.routers = 0;
-        assertTrue(assertThrows(IllegalArgumentException.class, bed::start).getMessage().contains("routers"));
+        assertTrue(assertThrows(IllegalArgumentException.class, bed::start)
+                .getMessage()
+                .contains("routers"));
         Bed other = new Bed();
         other.maxAttempts = 0;
-        assertTrue(assertThrows(IllegalArgumentException.class, other::start).getMessage().contains("maxAttempts"));
+        assertTrue(assertThrows(IllegalArgumentException.class, other::start)
+                .getMessage()
+                .contains("maxAttempts"));
     }
 
     @Test
     void moduleStaysShortEnoughToReadAloud() throws IOException {
         List<String> lines = Files.readAllLines(Path.of("src/main/java/mintstair/decision/ReadWriteSplitter.java"));
         assertTrue(lines.stream().filter(l -> !l.isBlank()).count() <= 940);
-        for (Path file : List.of(Path.of("src/main/java/mintstair/decision/ReadWriteSplitter.java"),
+        for (Path file : List.of(
+                Path.of("src/main/java/mintstair/decision/ReadWriteSplitter.java"),
                 Path.of("src/main/java/mintstair/decision/SplitterApi.java"))) {
             for (String line : Files.readAllLines(file)) {
                 assertTrue(line.length() <= 110, file + ": " + line);
--- a/src/test/java/mintstair/decision/WrongClockTest.java
+++ b/src/test/java/mintstair/decision/WrongClockTest.java
@@ -36,7 +36,10 @@
         for (; bed.answered < bed.probes.size(); bed.answered++) {
             boolean primary = bed.probes.get(bed.answered).equals("p");
             bed.now += MS;
-            bed.poll(bed.probes.get(bed.answered), bed.now + ahead - (primary ? 0 : lag), primary ? Role.PRIMARY : Role.REPLICA);
+            bed.poll(
+                    bed.probes.get(bed.answered),
+                    bed.now + ahead - (primary ? 0 : lag),
+                    primary ? Role.PRIMARY : Role.REPLICA);
         }
     }
 
@@ -93,8 +96,10 @@
         bed.now = 100 * HOUR;
         bed.start();
         long started = bed.now + HOUR - 600 * SECOND;
-        bed.list(ListKind.WHOLE, new HostEntry("p", false, "z", 0, HostState.READY, 1, started),
-            new HostEntry("r1", false, "z", 0, HostState.READY, 1, started));
+        bed.list(
+                ListKind.WHOLE,
+                new HostEntry("p", false, "z", 0, HostState.READY, 1, started),
+                new HostEntry("r1", false, "z", 0, HostState.READY, 1, started));
         bed.poll("p", bed.now + HOUR, Role.PRIMARY);
         bed.poll("r1", bed.now + HOUR, Role.REPLICA);
         // 40 at once: a cold replica would be given its fifth of them at most.
@@ -118,7 +123,10 @@
     void slowStartThatAClockAheadHidBeginsWithTheFirstPositions() {
         bed.now = 100 * HOUR;
         bed.start();
-        bed.list(ListKind.WHOLE, Bed.ready("p"), new HostEntry("r1", false, "z", 0, HostState.READY, 1, bed.now - HOUR - SECOND));
+        bed.list(
+                ListKind.WHOLE,
+                Bed.ready("p"),
+                new HostEntry("r1", false, "z", 0, HostState.READY, 1, bed.now - HOUR - SECOND));
         bed.poll("p", bed.now - HOUR, Role.PRIMARY);
         bed.poll("r1", bed.now - HOUR, Role.REPLICA);
         assertTrue(bed.logs.contains("cold r1: ramp from its start"), bed.logs.toString());
--- a/src/test/java/mintstair/discovery/AnswerEndsTest.java
+++ b/src/test/java/mintstair/discovery/AnswerEndsTest.java
@@ -29,9 +29,11 @@
 
 /** How answers of discovery end, on sockets, by a script of one step for each connection; the last goes for all further ones. */
 class AnswerEndsTest {
-    private static final String LIST = "{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"h1\",\"endpoint\":\"127.0.0.1:1\",\"az\":\"a\",\"model\":\"m\","
-        + "\"pod_group\":1,\"state\":\"SERVING\",\"capacity_hint\":1.0,\"boot_ms\":0}]}";
-    private static final String NO_LENGTH = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n";
+    private static final String LIST =
+            "{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"h1\",\"endpoint\":\"127.0.0.1:1\",\"az\":\"a\",\"model\":\"m\","
+                    + "\"pod_group\":1,\"state\":\"SERVING\",\"capacity_hint\":1.0,\"boot_ms\":0}]}";
+    private static final String NO_LENGTH =
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n";
     private static final String WITH_LENGTH = "HTTP/1.1 200 OK\r\nContent-Length: " + LIST.length() + "\r\n\r\n";
 
     /** What one connection does once it was asked. */
@@ -40,7 +42,8 @@
     }
 
     private final Loop loop = new Loop();
-    private final TCPNIOTransport transport = TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
+    private final TCPNIOTransport transport =
+            TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
     private final List<HostList> told = new CopyOnWriteArrayList<>();
     private final List<String> asked = new CopyOnWriteArrayList<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
@@ -76,7 +79,8 @@
                 }
             }
         });
-        Watch watch = new Watch(loop, transport, (InetSocketAddress) server.getLocalSocketAddress(), -1, pace, counters, told::add);
+        Watch watch = new Watch(
+                loop, transport, (InetSocketAddress) server.getLocalSocketAddress(), -1, pace, counters, told::add);
         loop.execute(watch::start);
     }
 
@@ -124,8 +128,12 @@
         steps.add(says(WITH_LENGTH + LIST));
         watch(own(), steps.toArray(Step[]::new));
         Program.await(() -> !told.isEmpty(), "the list");
-        assertEquals(steps.size(), asked.size() - (asked.get(asked.size() - 1).contains("index=7") ? 1 : 0), "one call for each: " + asked);
-        assertEquals(List.of(1), told.stream().map(list -> list.entries().size()).toList());
+        assertEquals(
+                steps.size(),
+                asked.size() - (asked.get(asked.size() - 1).contains("index=7") ? 1 : 0),
+                "one call for each: " + asked);
+        assertEquals(
+                List.of(1), told.stream().map(list -> list.entries().size()).toList());
         assertTrue(asked.subList(0, steps.size()).stream().noneMatch(line -> line.contains("index")), asked.toString());
     }
 
@@ -144,7 +152,12 @@
     @Test
     void answerThatFallsSilentIsAskedForAnewWithinTheGrace() {
         long began = System.nanoTime();
-        watch(own(), (socket, out) -> { }, says(WITH_LENGTH.substring(0, 20)), says(WITH_LENGTH + LIST.substring(0, 50)), says(WITH_LENGTH + LIST));
+        watch(
+                own(),
+                (socket, out) -> {},
+                says(WITH_LENGTH.substring(0, 20)),
+                says(WITH_LENGTH + LIST.substring(0, 50)),
+                says(WITH_LENGTH + LIST));
         Program.await(() -> !told.isEmpty(), "the list");
         // A quarter of the grace for each of three.
         long took = (System.nanoTime() - began) / 1_000_000;
@@ -154,7 +167,7 @@
     /** After a whole list it says nothing more, for good, on any connection: it is asked on and on, and its list stands. */
     @Test
     void agentThatFallsSilentForGoodIsAskedOnAndOn() {
-        watch(own(), says(WITH_LENGTH + LIST), (socket, out) -> { });
+        watch(own(), says(WITH_LENGTH + LIST), (socket, out) -> {});
         Program.await(() -> asked.size() > 8, "further calls");
         assertEquals(1, told.size());
         assertTrue(asked.get(asked.size() - 1).contains("index=7&wait=1"), "by the revision that it has");
@@ -164,14 +177,17 @@
     @Test
     void answerWithoutEndIsCutOff() {
         AtomicLong written = new AtomicLong();
-        watch(ListPace.asked(3, 12, new Random(1)), (socket, out) -> {
-            byte[] more = " ".repeat(64 * 1024).getBytes(StandardCharsets.UTF_8);
-            out.write(NO_LENGTH.getBytes(StandardCharsets.UTF_8));
-            while (true) {
-                out.write(more);
-                written.addAndGet(more.length);
-            }
-        }, says(WITH_LENGTH + LIST));
+        watch(
+                ListPace.asked(3, 12, new Random(1)),
+                (socket, out) -> {
+                    byte[] more = " ".repeat(64 * 1024).getBytes(StandardCharsets.UTF_8);
+                    out.write(NO_LENGTH.getBytes(StandardCharsets.UTF_8));
+                    while (true) {
+                        out.write(more);
+                        written.addAndGet(more.length);
+                    }
+                },
+                says(WITH_LENGTH + LIST));
         Program.await(() -> !told.isEmpty(), "the list");
         assertTrue(written.get() < 16L * 1024 * 1024, written + " bytes");
     }
@@ -192,7 +208,7 @@
         watch(ListPace.asked(120, 120, new Random(1)), reset, reset, (socket, out) -> {
             away.play(socket, out);
             // The next call comes on the same connection.
-            while (socket.getInputStream().read() != '\n') { }
+            while (socket.getInputStream().read() != '\n') {}
             says(WITH_LENGTH + LIST).play(socket, out);
         });
         Program.await(() -> !told.isEmpty(), "the list");
--- a/src/test/java/mintstair/discovery/WatchTest.java
+++ b/src/test/java/mintstair/discovery/WatchTest.java
@@ -32,7 +32,8 @@
      * Watches a scripted discovery that is asked, from this revision on, one of three proxies, until {@code done}. The script has the number of the
      * call, from 1 on, and its query; null turns it away.
      */
-    private void watch(long revision, int lines, BiFunction<Integer, String, String> script, BooleanSupplier done) throws Exception {
+    private void watch(long revision, int lines, BiFunction<Integer, String, String> script, BooleanSupplier done)
+            throws Exception {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), 50);
         server.createContext("/registry/instances", exchange -> {
             times.add(System.nanoTime());
@@ -48,10 +49,18 @@
             exchange.close();
         });
         server.start();
-        TCPNIOTransport transport = TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
+        TCPNIOTransport transport =
+                TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
         transport.start();
         try (Loop loop = new Loop()) {
-            Watch watch = new Watch(loop, transport, server.getAddress(), revision, ListPace.asked(3, lines, new Random(1)), counters, told::add);
+            Watch watch = new Watch(
+                    loop,
+                    transport,
+                    server.getAddress(),
+                    revision,
+                    ListPace.asked(3, lines, new Random(1)),
+                    counters,
+                    told::add);
             loop.execute(watch::start);
             Program.await(done, "the calls");
             loop.execute(watch::end);
@@ -64,7 +73,11 @@
     /** Guards against adding to a herd: turned away, it asks again later, on its connection, and for no more than before. */
     @Test
     void turnedAwayItKeepsItsRevisionAndItsConnection() throws Exception {
-        watch(-1, 0, (call, query) -> call == 1 || call == 3 || call == 4 ? null : LIST, () -> asked.size() > 4 && told.size() > 1);
+        watch(
+                -1,
+                0,
+                (call, query) -> call == 1 || call == 3 || call == 4 ? null : LIST,
+                () -> asked.size() > 4 && told.size() > 1);
         assertEquals(3, counters.listCallsFailed);
         assertTrue(counters.listCalls >= 5);
         assertEquals("null", asked.get(0));
@@ -78,8 +91,11 @@
     /** Guards against a whole list for each proxy of a herd, and against changes of another service taken for this list's. */
     @Test
     void knownRevisionIsAskedFromAndAnOlderAnswerAsksForTheWhole() throws Exception {
-        watch(41, 0, (call, query) -> query.startsWith("index=41&") ? "{\"rev\":3,\"all\":false,\"targets\":[]}" : LIST,
-            () -> told.size() > 0 && asked.size() > 2);
+        watch(
+                41,
+                0,
+                (call, query) -> query.startsWith("index=41&") ? "{\"rev\":3,\"all\":false,\"targets\":[]}" : LIST,
+                () -> told.size() > 0 && asked.size() > 2);
         assertEquals("index=41&wait=2000", asked.get(0));
         assertEquals("null", asked.get(1));
         assertEquals(7, told.get(0).revision());
--- a/src/test/java/mintstair/discovery/pace/JitteredBackoffTest.java
+++ b/src/test/java/mintstair/discovery/pace/JitteredBackoffTest.java
@@ -14,11 +14,12 @@
     private static final int LINES = 60;
     /** What a line costs the service, and after which time in its queue a call is turned away; the work is done all the same. */
     private static final long COST = 7_000;
+
     private static final long PATIENCE = 2_000_000;
 
     private static final long END = 120_000_000;
 
-    private record Ask(long at, int proxy) { }
+    private record Ask(long at, int proxy) {}
 
     /** The mean time until a proxy has its list; two minutes for one that has none by then. */
     private static long meanServed(int proxies, long[] first, List<Backoff> retries) {
@@ -81,15 +82,21 @@
                     int atOnce = 10 + (int) (2 * proxies * 100_000 / meanWait(why));
                     List<Long> calls = new ArrayList<>();
                     for (int p = 0; p < proxies; p++) {
-                        calls.add(firstCallAfter(60_000_000, ListPace.asked(proxies, 120, new Random(seed * 5_000 + p)), why));
+                        calls.add(firstCallAfter(
+                                60_000_000, ListPace.asked(proxies, 120, new Random(seed * 5_000 + p)), why));
                     }
                     calls.sort(null);
                     long free = 60_000_000;
                     for (int i = 0; i < proxies; i++) {
                         free = Math.max(free, calls.get(i)) + cost;
-                        assertTrue(free < 60_000_000 + ListPace.COUNTS, why + ": the " + i + "th of " + proxies + " after " + (free - 60_000_000) / 1e6 + " s");
-                        // Within a tenth of a second no more than twice what comes in the mean of the waits, and some by chance.
-                        assertTrue(i < atOnce || calls.get(i) - calls.get(i - atOnce) > 100_000, why + ": a herd of " + proxies);
+                        assertTrue(
+                                free < 60_000_000 + ListPace.COUNTS,
+                                why + ": the " + i + "th of " + proxies + " after " + (free - 60_000_000) / 1e6 + " s");
+                        // Within a tenth of a second no more than twice what comes in the mean of the waits, and some
+                        // by chance.
+                        assertTrue(
+                                i < atOnce || calls.get(i) - calls.get(i - atOnce) > 100_000,
+                                why + ": a herd of " + proxies);
                     }
                 }
             }
@@ -129,7 +136,10 @@
     @Test
     void spanFollowsProxiesAndLinesWithinBounds() {
         for (int i = 0; i < 100; i++) {
-            assertTrue(new JitteredBackoff(3, 12, new Random(i)).upTo(ListPace.TURNED_AWAY_MOST).next() < 300_000);
+            assertTrue(new JitteredBackoff(3, 12, new Random(i))
+                            .upTo(ListPace.TURNED_AWAY_MOST)
+                            .next()
+                    < 300_000);
             Backoff retries = new JitteredBackoff(1000, 100_000, new Random(i)).upTo(2_000_000);
             for (int n = 0; n < 10; n++) {
                 long wait = retries.next();
--- a/src/test/java/mintstair/discovery/pace/ListPaceTest.java
+++ b/src/test/java/mintstair/discovery/pace/ListPaceTest.java
@@ -18,12 +18,15 @@
         for (long grace : new long[] {500_000, GRACE, 2 * GRACE, 30 * GRACE}) {
             ListPace pace = ListPace.pushed(grace, new Random(1));
             long held = pace.held(true);
-            assertTrue(pace.missingAfter(pace.held(false)) <= pace.missingAfter(0) + 1_000, "silence shows at once before it has answered");
+            assertTrue(
+                    pace.missingAfter(pace.held(false)) <= pace.missingAfter(0) + 1_000,
+                    "silence shows at once before it has answered");
             assertTrue(pace.missingAfter(held) + ANEW <= grace, grace + "");
             // Also where grace is long a silent watch is noticed long before what it misses counts.
             assertTrue(pace.missingAfter(held) <= 3_000_000, grace + "");
             for (int n = 0; n < 50; n++) {
-                assertTrue(pace.retry(n % 2 == 0 ? Failure.BROKEN : Failure.TURNED_AWAY) + ANEW <= grace / 2, grace + "");
+                assertTrue(
+                        pace.retry(n % 2 == 0 ? Failure.BROKEN : Failure.TURNED_AWAY) + ANEW <= grace / 2, grace + "");
             }
             pace.answered();
             assertTrue(pace.retry(Failure.BROKEN) <= 10_000);
@@ -32,7 +35,9 @@
 
     @Test
     void graceThatIsMissingOrTooShortAsksNoOftenerThanTenTimesASecond() {
-        assertEquals(ListPace.pushed(GRACE, new Random(1)).held(true), ListPace.pushed(0, new Random(1)).held(true));
+        assertEquals(
+                ListPace.pushed(GRACE, new Random(1)).held(true),
+                ListPace.pushed(0, new Random(1)).held(true));
         assertEquals(100_000, ListPace.pushed(1, new Random(1)).held(true));
     }
 
@@ -61,7 +66,8 @@
             for (int n = 0; n < 200; n++) {
                 assertTrue(pace.retry(Failure.TURNED_AWAY) + 10 * ANEW <= ListPace.COUNTS);
                 assertTrue(pace.missingAfter(0) + pace.retry(Failure.GIVEN_UP) + 4 * ANEW <= ListPace.COUNTS);
-                assertTrue(pace.missingAfter(pace.held(false)) + pace.retry(Failure.BROKEN) + 10 * ANEW <= ListPace.COUNTS);
+                assertTrue(pace.missingAfter(pace.held(false)) + pace.retry(Failure.BROKEN) + 10 * ANEW
+                        <= ListPace.COUNTS);
             }
         }
     }
--- a/src/test/java/mintstair/front/DrainTest.java
+++ b/src/test/java/mintstair/front/DrainTest.java
@@ -30,17 +30,17 @@
     private static final class Mute implements Hosts {
         @Override
         public Sent send(String host, Statement statement, long writeBy, long until, Receiver end) {
-            return () -> { };
+            return () -> {};
         }
 
         @Override
-        public void probe(String host, Receiver end) { }
+        public void probe(String host, Receiver end) {}
 
         @Override
-        public void listed(HostList list) { }
+        public void listed(HostList list) {}
 
         @Override
-        public void turnBack() { }
+        public void turnBack() {}
     }
 
     /**
@@ -49,12 +49,15 @@
      */
     @Test
     void aRequestOnItsWayToTheLoopIsNotCutOff() throws Exception {
-        TCPNIOTransport transport = TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
+        TCPNIOTransport transport =
+                TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
         transport.start();
-        Env env = new Env((Map<?, ?>) Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
+        Env env = new Env((Map<?, ?>)
+                Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
         Counters counters = new Counters();
         try (Loop loop = new Loop()) {
-            Dispatcher dispatcher = new Dispatcher(loop, new RequestRouter(loop.now(), 1, env), new Mute(), counters, line -> { });
+            Dispatcher dispatcher =
+                    new Dispatcher(loop, new RequestRouter(loop.now(), 1, env), new Mute(), counters, line -> {});
             HostList.Entry primary = new HostList.Entry("p", "127.0.0.1:9", "z", 1, HostList.State.SERVING, true, 1, 0);
             loop.execute(() -> dispatcher.listed(new HostList(1, true, List.of(primary)), false));
             PgFront front = new PgFront(loop, dispatcher, transport, counters, 10);
@@ -86,7 +89,8 @@
             long taken = counters.taken;
             blocked.countDown();
             String answer = client.answer();
-            assertEquals(true, counters.taken > taken && !answer.equals("nothing"), "taken and cut off without an answer");
+            assertEquals(
+                    true, counters.taken > taken && !answer.equals("nothing"), "taken and cut off without an answer");
         } catch (IOException e) {
             throw new AssertionError("cut off", e);
         }
--- a/src/test/java/mintstair/log/NonBlockingOutputTest.java
+++ b/src/test/java/mintstair/log/NonBlockingOutputTest.java
@@ -13,7 +13,8 @@
 
 /** What nobody reads is dropped past a bound, counted and told; what is read comes whole and in order. */
 class NonBlockingOutputTest {
-    private static final byte[] LINE = "a line of the log that is as long as most of them are, more or less\n".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] LINE =
+            "a line of the log that is as long as most of them are, more or less\n".getBytes(StandardCharsets.UTF_8);
 
     /** Takes nothing until it is let go. */
     private static final class Blocked extends OutputStream {
@@ -56,12 +57,14 @@
 
     @Test
     void targetThatIsBrokenHoldsUpNobody() {
-        NonBlockingOutput output = new NonBlockingOutput(new OutputStream() {
-            @Override
-            public void write(int oneByte) throws IOException {
-                throw new IOException("nobody reads");
-            }
-        }, "test");
+        NonBlockingOutput output = new NonBlockingOutput(
+                new OutputStream() {
+                    @Override
+                    public void write(int oneByte) throws IOException {
+                        throw new IOException("nobody reads");
+                    }
+                },
+                "test");
         output.write(LINE, 0, LINE.length);
         assertTrue(output.drain(20_000));
         output.write(LINE, 0, LINE.length);
--- a/src/test/java/mintstair/membership/ChecksTest.java
+++ b/src/test/java/mintstair/membership/ChecksTest.java
@@ -19,7 +19,8 @@
     void thousandChecksAreOutAtOnceAndNoMoreThanThat() throws IOException {
         InetAddress local = InetAddress.getByName("127.0.0.1");
         Map<Long, Swim.Check> results = new HashMap<>();
-        try (Selector selector = Selector.open(); ServerSocket mute = new ServerSocket(0, 2_000, local)) {
+        try (Selector selector = Selector.open();
+                ServerSocket mute = new ServerSocket(0, 2_000, local)) {
             Checks checks = new Checks(selector, "me", new InetSocketAddress(local, 0), results::put);
             InetSocketAddress address = new InetSocketAddress(local, mute.getLocalPort());
             for (long i = 0; i < 1_024; i++) {
--- a/src/test/java/mintstair/membership/FleetMemberTest.java
+++ b/src/test/java/mintstair/membership/FleetMemberTest.java
@@ -28,8 +28,13 @@
 
     private FleetMember member(String fleet, String name, List<String> seeds) throws IOException {
         InetSocketAddress free = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
-        FleetMember member = new FleetMember(new MembershipConfig(fleet, free, null, seeds, 100_000), name, 3, members.size(),
-            view -> { }, line -> { });
+        FleetMember member = new FleetMember(
+                new MembershipConfig(fleet, free, null, seeds, 100_000),
+                name,
+                3,
+                members.size(),
+                view -> {},
+                line -> {});
         members.add(member);
         member.start();
         return member;
@@ -40,7 +45,9 @@
     }
 
     private static long count(FleetMember member, MemberState state) {
-        return member.view().members().stream().filter(m -> m.known().state() == state).count();
+        return member.view().members().stream()
+                .filter(m -> m.known().state() == state)
+                .count();
     }
 
     @AfterEach
@@ -54,7 +61,8 @@
         FleetMember a = member("one", "a", List.of());
         FleetMember b = member("one", "b", List.of(address(a)));
         FleetMember stranger = member("two", "c", List.of(address(a), address(b)));
-        Program.await(() -> count(a, MemberState.ALIVE) == 1 && count(b, MemberState.ALIVE) == 1, "both to know each other");
+        Program.await(
+                () -> count(a, MemberState.ALIVE) == 1 && count(b, MemberState.ALIVE) == 1, "both to know each other");
         Program.await(() -> a.garbled() > 0 && b.garbled() > 0, "the stranger to be turned away");
         Random random = new Random(1);
         InetSocketAddress to = NodeConfig.address(address(a));
@@ -86,8 +94,13 @@
     void viewsAreToldWhenTheyChange() throws IOException {
         AtomicInteger told = new AtomicInteger();
         InetSocketAddress free = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
-        FleetMember a = new FleetMember(new MembershipConfig("one", free, null, List.of(), 50_000), "a", 2, 1, view -> told.incrementAndGet(),
-            line -> { });
+        FleetMember a = new FleetMember(
+                new MembershipConfig("one", free, null, List.of(), 50_000),
+                "a",
+                2,
+                1,
+                view -> told.incrementAndGet(),
+                line -> {});
         members.add(a);
         a.start();
         FleetMember b = member("one", "b", List.of(address(a)));
@@ -123,8 +136,15 @@
         assertThrows(ConfigException.class, () -> member("one", "n".repeat(49), List.of()));
         FleetMember a = member("one", "a", List.of());
         InetSocketAddress taken = NodeConfig.address(address(a));
-        IOException e = assertThrows(IOException.class, () -> new FleetMember(
-            new MembershipConfig("one", taken, null, List.of(), 100_000), "b", 3, 1, view -> { }, line -> { }));
+        IOException e = assertThrows(
+                IOException.class,
+                () -> new FleetMember(
+                        new MembershipConfig("one", taken, null, List.of(), 100_000),
+                        "b",
+                        3,
+                        1,
+                        view -> {},
+                        line -> {}));
         assertTrue(e.getMessage().startsWith("membership: 127.0.0.1:" + taken.getPort()), e.getMessage());
     }
 }
--- a/src/test/java/mintstair/membership/FleetPlay.java
+++ b/src/test/java/mintstair/membership/FleetPlay.java
@@ -33,6 +33,7 @@
         public Swim swim;
         /** Its process runs; a machine that is lost does not even turn connections away. */
         public boolean runs;
+
         public boolean machine = true;
         private long stillUntil;
         private long wakes = Long.MAX_VALUE;
@@ -78,7 +79,12 @@
                 if (runs && swim == asker && now >= stillUntil) {
                     boolean closed = up && !to.runs;
                     boolean answered = up && to.runs && now >= to.stillUntil && network.connects(to.number, number);
-                    swim.checked(now, seq, took > 250_000 ? Swim.Check.SILENT : closed ? Swim.Check.CLOSED : answered ? Swim.Check.ANSWERED : Swim.Check.SILENT);
+                    swim.checked(
+                            now,
+                            seq,
+                            took > 250_000
+                                    ? Swim.Check.SILENT
+                                    : closed ? Swim.Check.CLOSED : answered ? Swim.Check.ANSWERED : Swim.Check.SILENT);
                 }
             });
         }
@@ -136,21 +142,24 @@
         }
     }
 
-    private record Event(long at, long order, Runnable what) { }
+    private record Event(long at, long order, Runnable what) {}
 
     public final List<Node> nodes = new ArrayList<>();
     /** Of each member declared dead: when each other member took it for that. */
     public final Map<Integer, Map<Integer, Long>> deaths = new HashMap<>();
+
     public final Map<Integer, Map<Integer, Long>> suspicions = new HashMap<>();
     /** Running members declared dead, counted where it is declared and not where it is heard; and those suspected. */
     public long falseDeaths;
+
     public long falseSuspicions;
     public long now = 1_000_000_000L;
     public Network network;
     /** Whether connections can be tried at all; without, a crash is as silent as a cut. */
     public boolean connections = true;
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
-        a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final Random chance;
     private final SwimSettings settings;
     private long orders;
@@ -227,7 +236,7 @@
     }
 
     public void pass(long time) {
-        for (long end = now + time;;) {
+        for (long end = now + time; ; ) {
             Event next = events.peek();
             if (next == null || next.at > end) {
                 now = end;
@@ -250,9 +259,12 @@
     /** Whether all that run take exactly each other for alive. */
     public boolean agrees() {
         long alive = running().size();
-        return running().stream().allMatch(n -> n.view().members().stream()
-            .filter(m -> m.known().state() == MemberState.ALIVE).count() == alive - 1
-            && n.view().members().stream().noneMatch(m -> m.known().state() == MemberState.SUSPECT));
+        return running().stream()
+                .allMatch(n -> n.view().members().stream()
+                                        .filter(m -> m.known().state() == MemberState.ALIVE)
+                                        .count()
+                                == alive - 1
+                        && n.view().members().stream().noneMatch(m -> m.known().state() == MemberState.SUSPECT));
     }
 
     /** Lets time pass until all agree; how long that took, or -1 where it takes longer than {@code most}. */
--- a/src/test/java/mintstair/membership/MessageCodecTest.java
+++ b/src/test/java/mintstair/membership/MessageCodecTest.java
@@ -25,10 +25,18 @@
     }
 
     private static List<Message> all() {
-        List<Rumour> rumours = List.of(rumour("x", 1_800_000_000_000_000L, MemberState.SUSPECT, 0), rumour("y", 0, MemberState.LEFT, 5_000_000));
+        List<Rumour> rumours = List.of(
+                rumour("x", 1_800_000_000_000_000L, MemberState.SUSPECT, 0),
+                rumour("y", 0, MemberState.LEFT, 5_000_000));
         List<Message> all = new ArrayList<>();
-        for (Body body : List.of(new Message.Ping(3, "x"), new Message.Ack(-1), new Message.Nack(4), new Message.PingFor(5, "x", "h:1"),
-                new Message.Compare(-9), new Message.Fetch(), new Message.News())) {
+        for (Body body : List.of(
+                new Message.Ping(3, "x"),
+                new Message.Ack(-1),
+                new Message.Nack(4),
+                new Message.PingFor(5, "x", "h:1"),
+                new Message.Compare(-9),
+                new Message.Fetch(),
+                new Message.News())) {
             all.add(new Message(SELF, body, rumours));
             all.add(new Message(SELF, body, List.of()));
         }
@@ -60,19 +68,22 @@
     @Test
     void rumoursOutOfBoundsAreRefused() {
         for (long incarnation : new long[] {-1, Long.MAX_VALUE, Long.MAX_VALUE - 5}) {
-            Message message = new Message(SELF, new Message.News(), List.of(rumour("x", incarnation, MemberState.DEAD, 0)));
+            Message message =
+                    new Message(SELF, new Message.News(), List.of(rumour("x", incarnation, MemberState.DEAD, 0)));
             assertNull(codec.decode(ByteBuffer.wrap(codec.encode(message))));
         }
-        assertNull(codec.decode(ByteBuffer.wrap(codec.encode(new Message(rumour("", 1, MemberState.ALIVE, 0), new Message.News(), List.of())))));
-        assertNull(codec.decode(ByteBuffer.wrap(codec.encode(
-            new Message(rumour("n".repeat(MessageCodec.NAME + 1), 1, MemberState.ALIVE, 0), new Message.News(), List.of())))));
+        assertNull(codec.decode(ByteBuffer.wrap(
+                codec.encode(new Message(rumour("", 1, MemberState.ALIVE, 0), new Message.News(), List.of())))));
+        assertNull(codec.decode(ByteBuffer.wrap(codec.encode(new Message(
+                rumour("n".repeat(MessageCodec.NAME + 1), 1, MemberState.ALIVE, 0), new Message.News(), List.of())))));
     }
 
     /** A name with a line's end would forge lines of the log and of the members command; one beyond ASCII overflows a page. */
     @Test
     void namesOfOtherThanPrintableAsciiAreRefused() {
         for (String name : List.of("a\nmember b alive", "a b", "a\u0000", "\u00e4")) {
-            byte[] bytes = codec.encode(new Message(rumour("x".repeat(name.length()), 1, MemberState.ALIVE, 0), new Message.News(), List.of()));
+            byte[] bytes = codec.encode(new Message(
+                    rumour("x".repeat(name.length()), 1, MemberState.ALIVE, 0), new Message.News(), List.of()));
             byte[] put = name.getBytes(StandardCharsets.ISO_8859_1);
             System.arraycopy(put, 0, bytes, 9, put.length);
             assertNull(codec.decode(ByteBuffer.wrap(bytes)), name);
--- a/src/test/java/mintstair/membership/SwimTest.java
+++ b/src/test/java/mintstair/membership/SwimTest.java
@@ -30,7 +30,8 @@
         play.deaths.remove(dead);
         while (play.now - begun < most) {
             play.pass(50_000);
-            if (play.deaths.getOrDefault(dead, Map.of()).size() >= play.running().size()) {
+            if (play.deaths.getOrDefault(dead, Map.of()).size()
+                    >= play.running().size()) {
                 return play.now - begun;
             }
         }
@@ -55,8 +56,9 @@
             detected[i] = knownToAll(play, 7, 20 * S);
         }
         assertTrue(load[1] < 1.1 * load[0], load[0] + " messages a second and member, then " + load[1]);
-        assertTrue(detected[0] > 0 && detected[0] < 3.5 * S && detected[1] > 0 && detected[1] < 4 * S,
-            detected[0] + " us, then " + detected[1]);
+        assertTrue(
+                detected[0] > 0 && detected[0] < 3.5 * S && detected[1] > 0 && detected[1] < 4 * S,
+                detected[0] + " us, then " + detected[1]);
     }
 
     /** Guards against a bound below fleets to come, of what a member takes in and of what it hands on to a newcomer. */
@@ -85,7 +87,9 @@
         play.pass(100 * S);
         assertTrue(play.falseSuspicions > 0, "some were suspected, or this test shows nothing");
         assertEquals(0, play.falseDeaths);
-        assertEquals(0, play.nodes.stream().mapToLong(n -> n.swim.tally().falseDeaths()).sum());
+        assertEquals(
+                0,
+                play.nodes.stream().mapToLong(n -> n.swim.tally().falseDeaths()).sum());
     }
 
     @Test
@@ -122,7 +126,11 @@
         assertEquals(8, play.deaths.get(4).size());
         assertTrue(play.untilAgreed(15 * S) >= 0);
         assertFalse(play.nodes.get(4).swim.standing().settled());
-        assertEquals(8, play.nodes.stream().filter(n -> n.number != 4 && n.swim.tally().falseDeaths() == 1).count());
+        assertEquals(
+                8,
+                play.nodes.stream()
+                        .filter(n -> n.number != 4 && n.swim.tally().falseDeaths() == 1)
+                        .count());
     }
 
     @Test
@@ -141,15 +149,18 @@
                 break;
             }
         }
-        assertTrue(fenced > 0 && play.now - fenced > 20 * S, "fenced at " + fenced + ", no longer counted at " + play.now);
+        assertTrue(
+                fenced > 0 && play.now - fenced > 20 * S, "fenced at " + fenced + ", no longer counted at " + play.now);
         play.pass(30 * S);
-        assertTrue(many.stream().allMatch(n -> n.swim.standing().settled() && n.swim.standing().counted() == 30));
+        assertTrue(many.stream()
+                .allMatch(n -> n.swim.standing().settled() && n.swim.standing().counted() == 30));
         assertTrue(few.stream().noneMatch(n -> n.swim.standing().settled()));
         play.network = FleetPlay.losing(0.01);
         long healed = play.untilAgreed(30 * S);
         assertTrue(healed >= 0 && healed < 20 * S, "healed in " + healed);
         play.pass(40 * S);
-        assertTrue(play.nodes.stream().allMatch(n -> n.swim.standing().settled() && n.swim.standing().counted() == 50));
+        assertTrue(play.nodes.stream()
+                .allMatch(n -> n.swim.standing().settled() && n.swim.standing().counted() == 50));
     }
 
     @Test
@@ -188,7 +199,11 @@
     }
 
     private static MemberState state(View view, String name) {
-        return view.members().stream().filter(m -> m.known().name().equals(name)).map(m -> m.known().state()).findFirst().orElse(null);
+        return view.members().stream()
+                .filter(m -> m.known().name().equals(name))
+                .map(m -> m.known().state())
+                .findFirst()
+                .orElse(null);
     }
 
     /** Two processes of one name: the older yields, and does not share what it is not counted for. */
--- a/src/test/java/mintstair/pcap/CaptureTest.java
+++ b/src/test/java/mintstair/pcap/CaptureTest.java
@@ -26,7 +26,8 @@
 
 /** Captures of every format and link type, and TCP as captures have it: late, again, overlapping, cut, and without its beginning. */
 class CaptureTest {
-    private static final byte[] ASKED = "the quick brown fox asks for a page of the list, and for another one".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] ASKED =
+            "the quick brown fox asks for a page of the list, and for another one".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] GIVEN = "and is given what there is of it".getBytes(StandardCharsets.US_ASCII);
 
     /** What connections said, as the capture shows them. */
@@ -39,7 +40,8 @@
         int lost;
 
         @Override
-        public Connections.Connection opened(long nanos, InetSocketAddress from, InetSocketAddress to, boolean fromStart) {
+        public Connections.Connection opened(
+                long nanos, InetSocketAddress from, InetSocketAddress to, boolean fromStart) {
             int n = client.size();
             opened.add(nanos);
             client.add(new ByteArrayOutputStream());
@@ -72,7 +74,13 @@
         try {
             Files.write(path, file);
             Heard heard = new Heard();
-            Connections.read(List.of(path), false, LongUnaryOperator::identity, port -> port == Frames.PORT, heard, heard.losses);
+            Connections.read(
+                    List.of(path),
+                    false,
+                    LongUnaryOperator::identity,
+                    port -> port == Frames.PORT,
+                    heard,
+                    heard.losses);
             return heard;
         } finally {
             Files.delete(path);
@@ -88,7 +96,8 @@
         for (int i = 0; i < segments.size(); i++) {
             frames.addAll(Frames.ip4(segments.get(i)[2] == (byte) (Frames.PORT >> 8), i, segments.get(i), 0));
         }
-        return hear(Frames.classic(ByteOrder.LITTLE_ENDIAN, false, Link.RAW, 65535, frames, Frames.times(frames.size())));
+        return hear(
+                Frames.classic(ByteOrder.LITTLE_ENDIAN, false, Link.RAW, 65535, frames, Frames.times(frames.size())));
     }
 
     private static List<byte[]> conversation(Random dice) {
@@ -102,7 +111,17 @@
 
     @Example
     void everyFormatLinkTypeAndKindOfPacketIsRead() throws IOException {
-        int[] links = {Link.NULL, Link.ETHERNET, Link.RAW, Link.LOOP, Link.LINUX_COOKED, Link.LINUX_COOKED_2, Link.RAW_4, Link.RAW_6, 12};
+        int[] links = {
+            Link.NULL,
+            Link.ETHERNET,
+            Link.RAW,
+            Link.LOOP,
+            Link.LINUX_COOKED,
+            Link.LINUX_COOKED_2,
+            Link.RAW_4,
+            Link.RAW_6,
+            12
+        };
         for (int link : links) {
             for (boolean six : new boolean[] {false, true}) {
                 for (int piece : new int[] {0, 16}) {
@@ -110,7 +129,9 @@
                     int id = 0;
                     for (byte[] segment : conversation(new Random(link))) {
                         boolean byClient = segment[2] == (byte) (Frames.PORT >> 8);
-                        for (byte[] packet : six ? Frames.ip6(byClient, id, segment, piece) : Frames.ip4(byClient, id, segment, piece)) {
+                        for (byte[] packet : six
+                                ? Frames.ip6(byClient, id, segment, piece)
+                                : Frames.ip4(byClient, id, segment, piece)) {
                             frames.add(Frames.frame(link, packet, id % 3));
                         }
                         id++;
@@ -141,9 +162,13 @@
     @Example
     void everyOrderOfASmallStreamGivesTheSame() throws IOException {
         byte[] said = "0123456789".getBytes();
-        List<byte[]> segments = List.of(tcp(100, 0, Arrays.copyOfRange(said, 0, 3)), tcp(103, 0, Arrays.copyOfRange(said, 3, 5)),
-            tcp(102, 0, Arrays.copyOfRange(said, 2, 7)), tcp(107, 0, Arrays.copyOfRange(said, 7, 9)),
-            tcp(109, 0, Arrays.copyOfRange(said, 9, 10)), tcp(107, 0, Arrays.copyOfRange(said, 7, 9)));
+        List<byte[]> segments = List.of(
+                tcp(100, 0, Arrays.copyOfRange(said, 0, 3)),
+                tcp(103, 0, Arrays.copyOfRange(said, 3, 5)),
+                tcp(102, 0, Arrays.copyOfRange(said, 2, 7)),
+                tcp(107, 0, Arrays.copyOfRange(said, 7, 9)),
+                tcp(109, 0, Arrays.copyOfRange(said, 9, 10)),
+                tcp(107, 0, Arrays.copyOfRange(said, 7, 9)));
         List<Integer> order = new ArrayList<>(List.of(0, 1, 2, 3, 4, 5));
         int seen = permute(order, 0, segments, "0123456789");
         assertEquals(720, seen);
@@ -169,8 +194,12 @@
 
     @Example
     void whatWasFirstStandsWhereBytesComeAgainAsOthers() throws IOException {
-        Heard heard = hearSegments(List.of(tcp(99, Segment.SYN, new byte[0]), tcp(103, 0, "DEF".getBytes()), tcp(101, 0, "bcXXX".getBytes()),
-            tcp(100, 0, "a".getBytes()), tcp(100, 0, "Z".getBytes())));
+        Heard heard = hearSegments(List.of(
+                tcp(99, Segment.SYN, new byte[0]),
+                tcp(103, 0, "DEF".getBytes()),
+                tcp(101, 0, "bcXXX".getBytes()),
+                tcp(100, 0, "a".getBytes()),
+                tcp(100, 0, "Z".getBytes())));
         assertEquals("abcDEF", heard.asked(0));
         assertEquals(2, heard.losses.of(Losses.Reason.OTHER_BYTES));
     }
@@ -193,9 +222,14 @@
 
     @Example
     void aStreamEndsWhereTheCaptureMissesWhatItsReceiverHad() throws IOException {
-        Heard heard = hearSegments(List.of(tcp(99, Segment.SYN, new byte[0]), Frames.tcp(false, 40000, 499, 0, Segment.SYN, new byte[0]),
-            tcp(100, 0, "ab".getBytes()), tcp(104, 0, "ef".getBytes()), Frames.tcp(false, 40000, 500, 106, Segment.ACK, "x".getBytes()),
-            tcp(106, 0, "gh".getBytes()), Frames.tcp(false, 40000, 501, 106, Segment.ACK, "y".getBytes())));
+        Heard heard = hearSegments(List.of(
+                tcp(99, Segment.SYN, new byte[0]),
+                Frames.tcp(false, 40000, 499, 0, Segment.SYN, new byte[0]),
+                tcp(100, 0, "ab".getBytes()),
+                tcp(104, 0, "ef".getBytes()),
+                Frames.tcp(false, 40000, 500, 106, Segment.ACK, "x".getBytes()),
+                tcp(106, 0, "gh".getBytes()),
+                Frames.tcp(false, 40000, 501, 106, Segment.ACK, "y".getBytes())));
         assertEquals("ab", heard.asked(0));
         assertEquals("xy", heard.server.get(0).toString(), "the other direction goes on");
         assertEquals("missing=1", heard.losses.toString());
@@ -220,15 +254,21 @@
         for (int proxy = 0; proxy < 2; proxy++) {
             List<byte[]> frames = new ArrayList<>();
             for (int c = 0; c < 5; c++) {
-                frames.addAll(Frames.ip4(true, c, Frames.tcp(true, 1_000 + 10 * c + proxy, 99, 0, Segment.SYN, new byte[0]), 0));
-                frames.addAll(Frames.ip4(true, c, Frames.tcp(true, 1_000 + 10 * c + proxy, 100, 0, 0, ("p" + proxy + "c" + c).getBytes()), 0));
+                frames.addAll(Frames.ip4(
+                        true, c, Frames.tcp(true, 1_000 + 10 * c + proxy, 99, 0, Segment.SYN, new byte[0]), 0));
+                frames.addAll(Frames.ip4(
+                        true,
+                        c,
+                        Frames.tcp(true, 1_000 + 10 * c + proxy, 100, 0, 0, ("p" + proxy + "c" + c).getBytes()),
+                        0));
             }
             long[] times = Frames.times(frames.size());
             for (int i = 0; i < times.length; i++) {
                 times[i] += proxy * 500_000;
             }
-            files.add(Files.write(Files.createTempFile("mintstair", ".pcap"), Frames.classic(ByteOrder.LITTLE_ENDIAN, true, Link.RAW, 65535,
-                frames, times)));
+            files.add(Files.write(
+                    Files.createTempFile("mintstair", ".pcap"),
+                    Frames.classic(ByteOrder.LITTLE_ENDIAN, true, Link.RAW, 65535, frames, times)));
         }
         Heard heard = new Heard();
         Connections.read(files, true, LongUnaryOperator::identity, port -> port == Frames.PORT, heard, heard.losses);
@@ -244,9 +284,15 @@
 
     @Example
     void portsUsedAgainAreAnotherConnection() throws IOException {
-        Heard heard = hearSegments(List.of(tcp(99, Segment.SYN, new byte[0]), tcp(100, 0, "one".getBytes()), tcp(99_000, Segment.SYN, new byte[0]),
-            tcp(99_001, 0, "two".getBytes()), tcp(99_004, Segment.RST, new byte[0]), tcp(5_000, Segment.SYN, new byte[0]),
-            tcp(5_001, 0, "three".getBytes()), tcp(5_006, Segment.FIN, new byte[0])));
+        Heard heard = hearSegments(List.of(
+                tcp(99, Segment.SYN, new byte[0]),
+                tcp(100, 0, "one".getBytes()),
+                tcp(99_000, Segment.SYN, new byte[0]),
+                tcp(99_001, 0, "two".getBytes()),
+                tcp(99_004, Segment.RST, new byte[0]),
+                tcp(5_000, Segment.SYN, new byte[0]),
+                tcp(5_001, 0, "three".getBytes()),
+                tcp(5_006, Segment.FIN, new byte[0])));
         assertEquals("one two three", heard.asked(0) + " " + heard.asked(1) + " " + heard.asked(2));
         assertEquals(3, heard.ended);
     }
@@ -261,7 +307,13 @@
         List<byte[]> many = new ArrayList<>();
         for (int c = 0; c < 80; c++) {
             for (int i = 0; i < 32; i++) {
-                many.add(Frames.tcp(true, 1_000 + c, i == 0 ? 99 : 200 + i * 30_000, 0, i == 0 ? Segment.SYN : 0, new byte[i == 0 ? 0 : 30_000]));
+                many.add(Frames.tcp(
+                        true,
+                        1_000 + c,
+                        i == 0 ? 99 : 200 + i * 30_000,
+                        0,
+                        i == 0 ? Segment.SYN : 0,
+                        new byte[i == 0 ? 0 : 30_000]));
             }
         }
         assertTrue(hearSegments(many).losses.of(Losses.Reason.ALL_FULL) > 0);
@@ -275,7 +327,8 @@
         for (byte[] segment : conversation(new Random(2))) {
             frames.addAll(Frames.ip4(segment[2] == (byte) (Frames.PORT >> 8), id++, segment, 0));
         }
-        for (byte[] file : List.of(Frames.classic(ByteOrder.LITTLE_ENDIAN, false, Link.RAW, 65535, frames, Frames.times(id)),
+        for (byte[] file : List.of(
+                Frames.classic(ByteOrder.LITTLE_ENDIAN, false, Link.RAW, 65535, frames, Frames.times(id)),
                 Frames.ng(ByteOrder.BIG_ENDIAN, Link.RAW, 6, frames, Frames.times(id)))) {
             int before = 0;
             for (int n = 24; n <= file.length; n++) {
@@ -306,7 +359,8 @@
         for (byte[] segment : conversation(dice)) {
             frames.addAll(Frames.ip4(segment[2] == (byte) (Frames.PORT >> 8), id++, segment, 8 * dice.nextInt(3)));
         }
-        for (byte[] file : List.of(Frames.classic(ByteOrder.LITTLE_ENDIAN, true, Link.RAW, 65535, frames, Frames.times(frames.size())),
+        for (byte[] file : List.of(
+                Frames.classic(ByteOrder.LITTLE_ENDIAN, true, Link.RAW, 65535, frames, Frames.times(frames.size())),
                 Frames.ng(ByteOrder.LITTLE_ENDIAN, Link.RAW, 6, frames, Frames.times(frames.size())))) {
             byte[] spoilt = file.clone();
             for (int i = 0; i < garbage.length / 10; i++) {
--- a/src/test/java/mintstair/pcap/PcapTest.java
+++ b/src/test/java/mintstair/pcap/PcapTest.java
@@ -53,8 +53,10 @@
     void whatIsWrittenIsReadInBothVersionsOfIp() throws IOException {
         Path file = Files.createTempFile("mintstair", ".pcap");
         for (String host : List.of("127.0.0.1", "::1")) {
-            Conversations found = Conversations.read(write(file, new InetSocketAddress(host, 40000),
-                new InetSocketAddress(host, 5433)), 5433, PgFramer.OfClient::new);
+            Conversations found = Conversations.read(
+                    write(file, new InetSocketAddress(host, 40000), new InetSocketAddress(host, 5433)),
+                    5433,
+                    PgFramer.OfClient::new);
             assertEquals(Arrays.toString(SAID), Arrays.toString(joined(found)));
             assertEquals("21 1 0", found.messages().size() + " " + found.connections() + " " + found.incomplete());
         }
--- a/src/test/java/mintstair/pcap/TrafficLogTest.java
+++ b/src/test/java/mintstair/pcap/TrafficLogTest.java
@@ -33,6 +33,7 @@
     private static final InetSocketAddress CLIENT = new InetSocketAddress("127.0.0.1", 40000);
     private static final InetSocketAddress SERVER = new InetSocketAddress("127.0.0.1", 5433);
     private final AtomicLong now = new AtomicLong(1_700_000_000_000_000L);
+
     @TempDir
     Path folder;
 
@@ -51,19 +52,24 @@
         ByteArrayOutputStream client = new ByteArrayOutputStream();
         ByteArrayOutputStream server = new ByteArrayOutputStream();
         Losses losses = new Losses();
-        Connections.read(files, false, LongUnaryOperator::identity, port -> port == 5433, (at, from, to, fromStart) ->
-            new Connections.Connection() {
-                @Override
-                public void said(long nanos, boolean byClient, byte[] bytes, int begin, int end) {
-                    (byClient ? client : server).write(bytes, begin, end - begin);
-                }
+        Connections.read(
+                files,
+                false,
+                LongUnaryOperator::identity,
+                port -> port == 5433,
+                (at, from, to, fromStart) -> new Connections.Connection() {
+                    @Override
+                    public void said(long nanos, boolean byClient, byte[] bytes, int begin, int end) {
+                        (byClient ? client : server).write(bytes, begin, end - begin);
+                    }
 
-                @Override
-                public void lost(long nanos, boolean byClient) { }
+                    @Override
+                    public void lost(long nanos, boolean byClient) {}
 
-                @Override
-                public void ended(long nanos) { }
-            }, losses);
+                    @Override
+                    public void ended(long nanos) {}
+                },
+                losses);
         return new String[] {client.toString(), server.toString(), losses.toString()};
     }
 
@@ -111,7 +117,8 @@
                 }
                 return bytes;
             };
-            TrafficLog.Conversation blocker = log.begin(new InetSocketAddress("127.0.0.1", 4), SERVER, () -> slow, () -> slow, false);
+            TrafficLog.Conversation blocker =
+                    log.begin(new InetSocketAddress("127.0.0.1", 4), SERVER, () -> slow, () -> slow, false);
             blocker.said(true, new byte[1]);
             stuck.await();
             TrafficLog.Conversation c = begin(log);
@@ -120,12 +127,15 @@
                 c.said(true, new byte[100]);
             }
             assertTrue(System.nanoTime() - begun < 1_000_000_000L);
-            assertTrue(log.lostRecords() > 900 && log.lostBytes() == log.lostRecords() * 100, log.lostRecords() + " lost");
+            assertTrue(
+                    log.lostRecords() > 900 && log.lostBytes() == log.lostRecords() * 100, log.lostRecords() + " lost");
             released.countDown();
-            Program.await(() -> {
-                c.said(true, "after".getBytes());
-                return log.writtenBytes() > 9_000;
-            }, "the disk to go on");
+            Program.await(
+                    () -> {
+                        c.said(true, "after".getBytes());
+                        return log.writtenBytes() > 9_000;
+                    },
+                    "the disk to go on");
         }
         assertTrue(read(files())[2].contains("gap=1"), read(files())[2]);
     }
@@ -156,17 +166,21 @@
         Files.delete(folder);
         Files.createFile(folder);
         TrafficLog.Conversation c = begin(log);
-        Program.await(() -> {
-            c.said(true, new byte[1]);
-            return log.lostRecords() > 0;
-        }, "a record that is lost");
+        Program.await(
+                () -> {
+                    c.said(true, new byte[1]);
+                    return log.lostRecords() > 0;
+                },
+                "a record that is lost");
         assertEquals(0, log.writtenBytes());
         Files.delete(folder);
-        Program.await(() -> {
-            now.addAndGet(1_000_000);
-            c.said(true, new byte[1]);
-            return log.writtenBytes() > 0;
-        }, "a record that is written again");
+        Program.await(
+                () -> {
+                    now.addAndGet(1_000_000);
+                    c.said(true, new byte[1]);
+                    return log.writtenBytes() > 0;
+                },
+                "a record that is written again");
         log.close();
         try (Stream<Path> files = Files.list(folder)) {
             assertEquals(1, files.count());
@@ -210,7 +224,8 @@
     @Test
     void digestsTakeTheValuesPlacesInTheSameLengths() {
         byte[] key = new byte[32];
-        byte[] statement = Client.Pg.query("INSERT INTO entries (ref, payload) VALUES ('7f', '\\x9f030102') RETURNING payload /* id=a,c=w */");
+        byte[] statement = Client.Pg.query(
+                "INSERT INTO entries (ref, payload) VALUES ('7f', '\\x9f030102') RETURNING payload /* id=a,c=w */");
         byte[] row = row("a secret value of some length that takes more than one block of digest");
         byte[] asked = join(Client.Pg.startup(), statement, statement);
         byte[] answered = join(new PgWriter().message('R', 0).ready().bytes(), row, row);
@@ -223,17 +238,28 @@
             int half = client.length() - statement.length;
             assertEquals(client.substring(half), client.substring(half - statement.length, half));
             assertFalse(server.contains("secret"));
-            assertEquals(server.substring(server.length() - row.length), server.substring(server.length() - 2 * row.length, server.length() - row.length));
+            assertEquals(
+                    server.substring(server.length() - row.length),
+                    server.substring(server.length() - 2 * row.length, server.length() - row.length));
         }
-        assertNotEquals(new String(Redactor.ofClient(new byte[] {1}).apply(asked)), new String(Redactor.ofClient(key).apply(asked)));
+        assertNotEquals(
+                new String(Redactor.ofClient(new byte[] {1}).apply(asked)),
+                new String(Redactor.ofClient(key).apply(asked)));
         byte[] large = row("x".repeat(200_000));
-        byte[] redacted = pieces(Redactor.ofServer(key), join(new PgWriter().message('R', 0).ready().bytes(), large), 3);
+        byte[] redacted = pieces(
+                Redactor.ofServer(key),
+                join(new PgWriter().message('R', 0).ready().bytes(), large),
+                3);
         assertFalse(new String(redacted).contains("xxxxxxxx"));
     }
 
     private static byte[] row(String value) {
-        return new PgWriter().message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
-            .message('D', '\0', '\1', value.length(), value.getBytes()).message('C', "SELECT 1").ready().bytes();
+        return new PgWriter()
+                .message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
+                .message('D', '\0', '\1', value.length(), value.getBytes())
+                .message('C', "SELECT 1")
+                .ready()
+                .bytes();
     }
 
     private static byte[] join(byte[]... parts) {
@@ -247,7 +273,7 @@
     private static byte[] pieces(Redactor redactor, byte[] bytes, int seed) {
         Random dice = new Random(seed);
         List<byte[]> out = new ArrayList<>();
-        for (int at = 0; at < bytes.length;) {
+        for (int at = 0; at < bytes.length; ) {
             int n = Math.min(bytes.length - at, 1 + dice.nextInt(60));
             out.add(redactor.apply(Arrays.copyOfRange(bytes, at, at + n)));
             at += n;
--- a/src/test/java/mintstair/program/DayToDayTest.java
+++ b/src/test/java/mintstair/program/DayToDayTest.java
@@ -78,22 +78,33 @@
         primary.script.put("broken", Act.BREAK);
         primary.script.put("full", Act.FULL);
         primary.script.put("open", Act.SILENT);
-        try (Client.Pg client = new Client.Pg(program.port(0)); Client.Pg waits = new Client.Pg(program.port(0))) {
+        try (Client.Pg client = new Client.Pg(program.port(0));
+                Client.Pg waits = new Client.Pg(program.port(0))) {
             for (int i = 0; i < 5; i++) {
                 assertEquals("served s" + i, client.ask(false, "id=s" + i + ",c=any,cluster=1", 4000));
             }
             assertEquals("failed", client.ask(true, "id=broken,c=write,cluster=1", 2000));
             assertTrue(client.ask(true, "id=full,c=write,cluster=1", 100).startsWith("refused"));
             waits.send(true, "id=open,c=write,cluster=1", 5000);
-            for (String line : new String[] {"served.any=5", "failed.write=1", "refused.write=1", "served.write=0",
-                "in_flight=1", "db_hosts_known=2", "db_hosts_excluded=0", "reloads_ok=0", "reloads_failed=0"}) {
+            for (String line : new String[] {
+                "served.any=5",
+                "failed.write=1",
+                "refused.write=1",
+                "served.write=0",
+                "in_flight=1",
+                "db_hosts_known=2",
+                "db_hosts_excluded=0",
+                "reloads_ok=0",
+                "reloads_failed=0"
+            }) {
                 program.awaitFigure(line);
             }
             program.awaitFigure("attempts=" + (primary.seen.size() + replica.seen.size()));
             discovery.tell(list("DRAINING"));
             program.awaitFigure("db_hosts_excluded=1");
             program.awaitFigure("db_hosts_known=2");
-            assertTrue(program.call("telemetry\n").startsWith("ok\n") && program.call("telemetry\n").endsWith("\neof\n"));
+            assertTrue(program.call("telemetry\n").startsWith("ok\n")
+                    && program.call("telemetry\n").endsWith("\neof\n"));
         }
         program.awaitFigure("in_flight=0");
     }
@@ -113,10 +124,13 @@
         program.awaitFigure("in_flight=40");
         try (Client.Pg client = new Client.Pg(program.port(0))) {
             assertEquals("served quick", client.ask(false, "id=quick,c=any,cluster=1", 4000));
-            assertEquals(PgHost.LONG + "served ".length(), client.ask(false, "id=long,c=any,cluster=1", 4000).length());
+            assertEquals(
+                    PgHost.LONG + "served ".length(),
+                    client.ask(false, "id=long,c=any,cluster=1", 4000).length());
             assertEquals("served next", client.ask(false, "id=next,c=any,cluster=1", 4000));
         }
-        assertEquals(PgHost.LONG + "served ".length(), slow.get(0).answer().length(), "one that reads late gets the whole");
+        assertEquals(
+                PgHost.LONG + "served ".length(), slow.get(0).answer().length(), "one that reads late gets the whole");
         for (Client.Pg client : slow) {
             client.close();
         }
@@ -144,22 +158,35 @@
     @Test
     void settingsAreTakenOverWholeOrNotAtAll() throws IOException {
         String before = Program.config(discovery.port(), list("SERVING"), true);
-        String after = before.replace("\"name\":\"any\"", "\"name\":\"fresh-one\"").replace("\"maxAttempts\":8", "\"maxAttempts\":2");
+        String after = before.replace("\"name\":\"any\"", "\"name\":\"fresh-one\"")
+                .replace("\"maxAttempts\":8", "\"maxAttempts\":2");
         replica.script.put("old", Act.SILENT);
         primary.script.put("old", Act.SILENT);
-        try (Client.Pg client = new Client.Pg(program.port(0)); Client.Pg waits = new Client.Pg(program.port(0))) {
+        try (Client.Pg client = new Client.Pg(program.port(0));
+                Client.Pg waits = new Client.Pg(program.port(0))) {
             assertEquals("served one", client.ask(false, "id=one,c=any,cluster=1", 4000));
             waits.send(false, "id=old,c=any,cluster=1", 1500);
             program.awaitFigure("in_flight=1");
-            String[] bad = {"", before.substring(0, before.length() / 2), before.replace("\"listen\"", "\"lost\""),
-                before.replace("\"deadlineS\":5", "\"deadlineS\":\"5\""), before.replace("\"deadlineS\":5", "\"deadlineS\":0"),
-                before.replace("\"maxAttempts\":8", "\"maxAttempts\":-1"), before.replace("\"worth\"", "\"lost\""),
-                before.replace("\"connIdleS\"", "\"lost\""), before.replace("\"sloS\":5", "\"sloS\":0"), before + "}"};
+            String[] bad = {
+                "",
+                before.substring(0, before.length() / 2),
+                before.replace("\"listen\"", "\"lost\""),
+                before.replace("\"deadlineS\":5", "\"deadlineS\":\"5\""),
+                before.replace("\"deadlineS\":5", "\"deadlineS\":0"),
+                before.replace("\"maxAttempts\":8", "\"maxAttempts\":-1"),
+                before.replace("\"worth\"", "\"lost\""),
+                before.replace("\"connIdleS\"", "\"lost\""),
+                before.replace("\"sloS\":5", "\"sloS\":0"),
+                before + "}"
+            };
             for (int i = 0; i < bad.length; i++) {
                 assertTrue(!bad[i].equals(before), "case " + i);
                 program.reload(bad[i].replace("\"name\":\"any\"", "\"name\":\"fresh-one\""));
                 program.awaitFigure("reloads_failed=" + (i + 1));
-                assertEquals(i + 1, program.lines("mintstair: the old settings stay: ").size(), "one line each");
+                assertEquals(
+                        i + 1,
+                        program.lines("mintstair: the old settings stay: ").size(),
+                        "one line each");
             }
             client.ask(false, "id=early,c=fresh-one,cluster=1", 4000);
             assertEquals("08P01", client.code);
@@ -180,7 +207,8 @@
     void upgradeTurnsNoClientBack() throws Exception {
         int port = program.port(0);
         primary.script.put("held", Act.SILENT);
-        try (Client.Pg idle = new Client.Pg(port); Client.Pg holds = new Client.Pg(port)) {
+        try (Client.Pg idle = new Client.Pg(port);
+                Client.Pg holds = new Client.Pg(port)) {
             holds.send(true, "id=held,c=write,cluster=1", 1500);
             Program.await(() -> primary.seen.contains("held"), "the write");
             try (Program next = Program.serve(port, discovery.port(), list("SERVING"), true, null)) {
--- a/src/test/java/mintstair/program/DescriptorsTest.java
+++ b/src/test/java/mintstair/program/DescriptorsTest.java
@@ -23,17 +23,22 @@
         PgHost primary = new PgHost("p", true, AHEAD);
         PgHost late = new PgHost("l", false, AHEAD);
         List<Client> idle = new ArrayList<>();
-        try (Discovery discovery = new Discovery(primary.listed("SERVING")); Relay way = new Relay(discovery.port());
-                Program program = Program.limited(SOCKETS, Program.config(way.port(), primary.listed("SERVING"), true)
-                    .replace("\"sockets\":1024", "\"sockets\":" + SOCKETS))) {
+        try (Discovery discovery = new Discovery(primary.listed("SERVING"));
+                Relay way = new Relay(discovery.port());
+                Program program = Program.limited(
+                        SOCKETS,
+                        Program.config(way.port(), primary.listed("SERVING"), true)
+                                .replace("\"sockets\":1024", "\"sockets\":" + SOCKETS))) {
             int port = program.port(0);
             Program.await(() -> discovery.asked.size() > 1, "a watch");
             way.refuse(true);
-            // More than there are descriptors; each rests once it has been heard, those that find no room are told or closed.
+            // More than there are descriptors; each rests once it has been heard, those that find no room are told or
+            // closed.
             for (int i = 0; i < SOCKETS + 40; i++) {
                 idle.add(rests(port));
             }
-            program.reload(Program.config(way.port(), primary.listed("SERVING"), true).replace("\"maxAttempts\":8", "\"maxAttempts\":5"));
+            program.reload(Program.config(way.port(), primary.listed("SERVING"), true)
+                    .replace("\"maxAttempts\":8", "\"maxAttempts\":5"));
             program.awaitFigure("reloads_ok=1");
             discovery.tell(primary.listed("SERVING") + "," + late.listed("SERVING"));
             way.refuse(false);
@@ -69,16 +74,19 @@
     /** A client that comes again until there is room for it, as those at a front layer do. */
     private static String asks(int port, String id, boolean write) {
         String[] answer = {"nothing"};
-        Program.await(() -> {
-            try (Client.Pg client = new Client.Pg(port, true)) {
-                client.raw(Client.Pg.startup());
-                answer[0] = client.answer();
-                answer[0] = client.ask(write, "id=" + id + ",c=" + (write ? "write" : "any") + ",cluster=1", 4_000);
-            } catch (IOException e) {
-                answer[0] = "closed";
-            }
-            return answer[0].startsWith("served");
-        }, "an answer to " + id);
+        Program.await(
+                () -> {
+                    try (Client.Pg client = new Client.Pg(port, true)) {
+                        client.raw(Client.Pg.startup());
+                        answer[0] = client.answer();
+                        answer[0] =
+                                client.ask(write, "id=" + id + ",c=" + (write ? "write" : "any") + ",cluster=1", 4_000);
+                    } catch (IOException e) {
+                        answer[0] = "closed";
+                    }
+                    return answer[0].startsWith("served");
+                },
+                "an answer to " + id);
         return answer[0];
     }
 }
--- a/src/test/java/mintstair/program/FailingCallsTest.java
+++ b/src/test/java/mintstair/program/FailingCallsTest.java
@@ -63,8 +63,9 @@
     @Test
     void clientsAreServedWhileOneCallInTwoFails() throws Exception {
         for (Call call : List.of(Call.ACCEPT, Call.SOCKET, Call.CONNECT)) {
-            Fault[] faults = call == Call.CONNECT ? new Fault[] {Fault.EADDRNOTAVAIL, Fault.ENETUNREACH, Fault.ETIMEDOUT, Fault.EHOSTUNREACH}
-                : new Fault[] {Fault.ECONNABORTED, Fault.ENFILE, Fault.EMFILE, Fault.ENOBUFS};
+            Fault[] faults = call == Call.CONNECT
+                    ? new Fault[] {Fault.EADDRNOTAVAIL, Fault.ENETUNREACH, Fault.ETIMEDOUT, Fault.EHOSTUNREACH}
+                    : new Fault[] {Fault.ECONNABORTED, Fault.ENFILE, Fault.EMFILE, Fault.ENOBUFS};
             for (Fault fault : call == Call.SOCKET ? new Fault[] {Fault.ENFILE, Fault.EMFILE, Fault.ENOBUFS} : faults) {
                 shim.fail(call, fault, 500);
                 serveNewClients(call + " fails with " + fault);
@@ -115,7 +116,8 @@
             Program.await(() -> shim.failed(Call.ACCEPT) > 0, "an accept that fails");
             Duration before = cpu();
             long began = System.nanoTime();
-            Program.await(() -> System.nanoTime() - began > Duration.ofSeconds(2).toNanos(), "two seconds");
+            Program.await(
+                    () -> System.nanoTime() - began > Duration.ofSeconds(2).toNanos(), "two seconds");
             serve(held, "a client that is connected");
             Duration spent = cpu().minus(before);
             shim.heal();
@@ -126,7 +128,9 @@
                 client.close();
             }
             // A tenth of a core, and as much for the start, which may go on behind the first answers.
-            assertTrue(spent.toMillis() < 400, "spent " + spent.toMillis() + " ms of CPU in 2 s on " + shim.failed(Call.ACCEPT) + " calls");
+            assertTrue(
+                    spent.toMillis() < 400,
+                    "spent " + spent.toMillis() + " ms of CPU in 2 s on " + shim.failed(Call.ACCEPT) + " calls");
         }
         program.end();
     }
--- a/src/test/java/mintstair/program/LeaversProgramTest.java
+++ b/src/test/java/mintstair/program/LeaversProgramTest.java
@@ -47,7 +47,8 @@
             ways.get(2).refuse(true);
             ways.get(3).silence(true);
             leaver.witness = line -> last.set(Character.digit(line.charAt(1), 10), System.nanoTime());
-            discovery.tell(String.join(",", primary.listed("SERVING"), stays.listed("SERVING"), leaver.listed("DRAINING")));
+            discovery.tell(
+                    String.join(",", primary.listed("SERVING"), stays.listed("SERVING"), leaver.listed("DRAINING")));
             long told = System.nanoTime();
             askUntilTheyKnow(programs.subList(0, 2), clients);
             ways.get(2).refuse(false);
--- a/src/test/java/mintstair/program/MembershipProgramTest.java
+++ b/src/test/java/mintstair/program/MembershipProgramTest.java
@@ -37,7 +37,9 @@
     }
 
     private static void signal(Program program, String signal) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + signal, Long.toString(program.process.pid())).start().waitFor();
+        new ProcessBuilder("kill", "-" + signal, Long.toString(program.process.pid()))
+                .start()
+                .waitFor();
     }
 
     private static long figure(Program program, String name) throws IOException {
@@ -69,7 +71,8 @@
             program.awaitFigure("members_dead=1");
         }
         long seconds = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - killed);
-        // The shortest suspicion of a silent member is 8 s; the design's bound for one that is gone is 3 s, on a machine with time.
+        // The shortest suspicion of a silent member is 8 s; the design's bound for one that is gone is 3 s, on a
+        // machine with time.
         assertTrue(seconds < 8, "known to all after " + seconds + " s");
         programs.set(3, Program.member(relay, 3, 5));
         awaitAlive(programs, 5);
@@ -90,13 +93,16 @@
             assertEquals(0, figure(program, "members_dead"));
         }
         ByteArrayOutputStream shown = new ByteArrayOutputStream();
-        int status = MembersCommand.run(new InetSocketAddress("127.0.0.1", programs.get(0).control()), new PrintStream(shown));
+        int status = MembersCommand.run(
+                new InetSocketAddress("127.0.0.1", programs.get(0).control()), new PrintStream(shown));
         assertEquals(0, status);
         List<String> lines = shown.toString().lines().toList();
         assertEquals(6, lines.size(), shown.toString());
         assertTrue(lines.get(0).startsWith("member m0 alive ") && lines.get(0).endsWith(" self"), lines.get(0));
         assertTrue(lines.stream().anyMatch(l -> l.startsWith("member m4 left ")), shown.toString());
-        assertTrue(lines.get(5).startsWith("view version=") && lines.get(5).contains(" counted=4 largest=5"), lines.get(5));
+        assertTrue(
+                lines.get(5).startsWith("view version=") && lines.get(5).contains(" counted=4 largest=5"),
+                lines.get(5));
     }
 
     /** One that ends while it still starts is known to the others already: it tells them of that end as well, however it comes. */
@@ -133,13 +139,15 @@
             assertEquals(0, figure(program, "member_deaths"));
         }
         // Its figures are renewed each 0.1 s: the others may show that it refuted before they do.
-        Program.await(() -> {
-            try {
-                return figure(still, "member_refutations") >= 1;
-            } catch (IOException e) {
-                return false;
-            }
-        }, "it to have refuted");
+        Program.await(
+                () -> {
+                    try {
+                        return figure(still, "member_refutations") >= 1;
+                    } catch (IOException e) {
+                        return false;
+                    }
+                },
+                "it to have refuted");
         still.awaitFigure("members_settled=1");
     }
 
@@ -177,7 +185,9 @@
         relay.between(0, 4, new FaultRelay.Link(false, 300));
         long begun = System.nanoTime();
         long before = figure(programs.get(0), "member_messages_sent");
-        Program.await(() -> System.nanoTime() - begun > TimeUnit.SECONDS.toNanos(12), "12 s to pass, longer than a suspicion");
+        Program.await(
+                () -> System.nanoTime() - begun > TimeUnit.SECONDS.toNanos(12),
+                "12 s to pass, longer than a suspicion");
         assertTrue(figure(programs.get(0), "member_messages_sent") > before + 20, "they go on");
         relay.between(0, 1, FaultRelay.Link.GOOD);
         relay.link(2, 3, FaultRelay.Link.GOOD);
--- a/src/test/java/mintstair/program/MongoFrontTest.java
+++ b/src/test/java/mintstair/program/MongoFrontTest.java
@@ -34,8 +34,12 @@
     void start() throws IOException {
         primary = new MongoHost("p", true, AHEAD);
         replica = new MongoHost("r", false, AHEAD);
-        program = Program.serve(9, "", false, "{\"mongodb\":{\"listen\":\"127.0.0.1:0\",\"hosts\":{\"rev\":1,"
-            + "\"all\":true,\"targets\":[" + primary.listed("SERVING") + "," + replica.listed("SERVING") + "]}}}");
+        program = Program.serve(
+                9,
+                "",
+                false,
+                "{\"mongodb\":{\"listen\":\"127.0.0.1:0\",\"hosts\":{\"rev\":1," + "\"all\":true,\"targets\":["
+                        + primary.listed("SERVING") + "," + replica.listed("SERVING") + "]}}}");
         client = new Client.Mongo(program.port(1));
     }
 
@@ -48,7 +52,8 @@
     }
 
     private static BsonDocument find(String id, String more) {
-        return BsonDocument.parse("{find: 'e', comment: {id: '" + id + "', c: 'any', cluster: 1}, maxTimeMS: 4000" + more + "}");
+        return BsonDocument.parse(
+                "{find: 'e', comment: {id: '" + id + "', c: 'any', cluster: 1}, maxTimeMS: 4000" + more + "}");
     }
 
     private int code(BsonDocument command) throws IOException {
@@ -58,17 +63,31 @@
     @Test
     void handshakeOfNewAndOldDriversAndPing() throws IOException {
         BsonDocument hello = client.command(BsonDocument.parse("{hello: 1}"));
-        assertTrue(hello.getBoolean("isWritablePrimary").getValue() && hello.getNumber("maxWireVersion").intValue() >= 17);
+        assertTrue(hello.getBoolean("isWritablePrimary").getValue()
+                && hello.getNumber("maxWireVersion").intValue() >= 17);
         assertFalse(hello.containsKey("logicalSessionTimeoutMinutes"), "without sessions drivers retry no writes");
-        assertEquals(1, client.command(BsonDocument.parse("{ping: 1}")).getNumber("ok").intValue());
+        assertEquals(
+                1,
+                client.command(BsonDocument.parse("{ping: 1}")).getNumber("ok").intValue());
         byte[] query = MongoMessage.bytes(BsonDocument.parse("{isMaster: 1}"));
         byte[] name = "admin.$cmd\0".getBytes();
-        client.raw(ByteBuffer.allocate(28 + name.length + query.length).order(ByteOrder.LITTLE_ENDIAN)
-            .putInt(28 + name.length + query.length).putInt(77).putInt(0).putInt(MongoMessage.OP_QUERY).putInt(0)
-            .put(name).putInt(0).putInt(-1).put(query).array());
+        client.raw(ByteBuffer.allocate(28 + name.length + query.length)
+                .order(ByteOrder.LITTLE_ENDIAN)
+                .putInt(28 + name.length + query.length)
+                .putInt(77)
+                .putInt(0)
+                .putInt(MongoMessage.OP_QUERY)
+                .putInt(0)
+                .put(name)
+                .putInt(0)
+                .putInt(-1)
+                .put(query)
+                .array());
         byte[] reply = client.in.readNBytes(36);
         assertEquals(77, Integer.reverseBytes(ByteBuffer.wrap(reply).getInt(8)));
-        assertEquals(MongoMessage.OP_REPLY, Integer.reverseBytes(ByteBuffer.wrap(reply).getInt(12)));
+        assertEquals(
+                MongoMessage.OP_REPLY,
+                Integer.reverseBytes(ByteBuffer.wrap(reply).getInt(12)));
     }
 
     @Test
@@ -91,13 +110,15 @@
         primary.script.put("full", Act.FULL);
         primary.script.put("broken", Act.BREAK);
         BsonDocument insert = BsonDocument.parse("{insert: 'e', documents: [{a: 1}], maxTimeMS: 100}");
-        BsonDocument refused = client.command(insert.clone().append("comment", new BsonString("id=full,c=write,cluster=1")));
+        BsonDocument refused =
+                client.command(insert.clone().append("comment", new BsonString("id=full,c=write,cluster=1")));
         assertEquals(462, refused.getNumber("code").intValue());
         assertTrue(refused.getArray("errorLabels").contains(new BsonString("RetryableWriteError")), refused.toJson());
         assertTrue(refused.getNumber("retryAfterMS").intValue() > 0);
         // The primary rests after its refusal: with little time the next write would be refused before that is over.
-        BsonDocument failed = client.command(insert.clone().append("maxTimeMS", new BsonInt32(4000))
-            .append("comment", new BsonString("id=broken,c=write,cluster=1")));
+        BsonDocument failed = client.command(insert.clone()
+                .append("maxTimeMS", new BsonInt32(4000))
+                .append("comment", new BsonString("id=broken,c=write,cluster=1")));
         assertEquals(6, failed.getNumber("code").intValue());
         assertFalse(failed.containsKey("errorLabels"));
         assertEquals(1, primary.seen.stream().filter("broken"::equals).count(), "what may have run is not resent");
@@ -107,10 +128,14 @@
     void deadlineIsPassedOnAndKept() throws IOException {
         primary.script.put("silent", Act.SILENT);
         BsonDocument late = client.command(BsonDocument.parse(
-            "{insert: 'e', documents: [{a: 1}], maxTimeMS: 200, comment: {id: 'silent', c: 'write', cluster: 1}}"));
+                "{insert: 'e', documents: [{a: 1}], maxTimeMS: 200, comment: {id: 'silent', c: 'write', cluster: 1}}"));
         assertEquals(50, late.getNumber("code").intValue(), late.toJson());
-        long passedOn = primary.commands.stream().filter(c -> c.containsKey("insert")).findFirst().get()
-            .getNumber("maxTimeMS").longValue();
+        long passedOn = primary.commands.stream()
+                .filter(c -> c.containsKey("insert"))
+                .findFirst()
+                .get()
+                .getNumber("maxTimeMS")
+                .longValue();
         assertTrue(passedOn > 0 && passedOn <= 200, "told to wait " + passedOn);
     }
 
@@ -118,9 +143,12 @@
     @Test
     void clientThatDropsItsWriteHalfwayOrAfterwardsCausesNoResend() throws IOException {
         primary.script.put("gone", Act.SILENT);
-        try (Client.Mongo half = new Client.Mongo(program.port(1)); Client.Mongo whole = new Client.Mongo(program.port(1))) {
-            byte[] words = MongoMessage.opMsg(BsonDocument.parse(
-                "{insert: 'e', documents: [{a: 1}], comment: 'id=half,c=write,cluster=1', $db: 'orders'}"), 0);
+        try (Client.Mongo half = new Client.Mongo(program.port(1));
+                Client.Mongo whole = new Client.Mongo(program.port(1))) {
+            byte[] words = MongoMessage.opMsg(
+                    BsonDocument.parse(
+                            "{insert: 'e', documents: [{a: 1}], comment: 'id=half,c=write,cluster=1', $db: 'orders'}"),
+                    0);
             half.raw(Arrays.copyOf(words, words.length - 1));
             whole.send(true, "id=gone,c=write,cluster=1", 4000);
             Program.await(() -> primary.seen.contains("gone"), "the write");
@@ -132,14 +160,20 @@
 
     @Test
     void cursorIsReadOnAtItsHostAndFreedWhenKilled() throws IOException {
-        long id = client.command(find("cursor1", "")).getDocument("cursor").getNumber("id").longValue();
+        long id = client.command(find("cursor1", ""))
+                .getDocument("cursor")
+                .getNumber("id")
+                .longValue();
         MongoHost holder = replica.cursors.isEmpty() ? primary : replica;
         assertTrue(id != 0 && !holder.cursors.contains(id), "clients get ids of the proxy's own");
         BsonDocument more = client.command(BsonDocument.parse("{getMore: NumberLong('" + id + "'), collection: 'e'}"));
         assertEquals(1, more.getDocument("cursor").getArray("nextBatch").size(), more.toJson());
-        long other = client.command(find("cursor2", "")).getDocument("cursor").getNumber("id").longValue();
+        long other = client.command(find("cursor2", ""))
+                .getDocument("cursor")
+                .getNumber("id")
+                .longValue();
         BsonDocument killed = client.command(new BsonDocument("killCursors", new BsonString("e"))
-            .append("cursors", new BsonArray(List.of(new BsonInt64(other), new BsonInt64(5)))));
+                .append("cursors", new BsonArray(List.of(new BsonInt64(other), new BsonInt64(5)))));
         assertEquals(1, killed.getArray("cursorsKilled").size());
         assertEquals(1, killed.getArray("cursorsNotFound").size());
         Program.await(() -> primary.cursors.size() + replica.cursors.size() == 1, "the host to free the cursor");
@@ -151,11 +185,11 @@
         client.command(find("first", ""));
         Program.await(() -> replica.seen.contains("first"), "the replica's position");
         BsonDocument read = BsonDocument.parse("{find: 'e', comment: {id: 'cursor', c: 'session', cluster: 1, after: "
-            + "NumberLong('" + (AHEAD - 5000) + "')}, maxTimeMS: 4000}");
+                + "NumberLong('" + (AHEAD - 5000) + "')}, maxTimeMS: 4000}");
         long id = client.command(read).getDocument("cursor").getNumber("id").longValue();
         assertEquals(1, replica.cursors.size());
         BsonDocument more = client.command(BsonDocument.parse("{getMore: NumberLong('" + id + "'), collection: 'e', "
-            + "comment: {after: NumberLong('" + (AHEAD + 5000) + "')}, maxTimeMS: 500}"));
+                + "comment: {after: NumberLong('" + (AHEAD + 5000) + "')}, maxTimeMS: 500}"));
         assertEquals(43, more.getNumber("code").intValue(), more.toJson());
         Program.await(() -> replica.cursors.isEmpty(), "the host to free the cursor");
         assertEquals(1, replica.seen.stream().filter("cursor"::equals).count(), "no getMore came to the replica");
--- a/src/test/java/mintstair/program/Program.java
+++ b/src/test/java/mintstair/program/Program.java
@@ -20,17 +20,18 @@
 
 /** The program as a process of its own, and what it printed. */
 public final class Program implements AutoCloseable {
-    public static final String SETTINGS = "{\"discovery\":\"automatic\",\"balancers\":1,\"position\":0,\"locality\":\"a\",\"classes\":["
-        + "{\"name\":\"bounded\",\"repeat\":\"idempotent\",\"sloS\":5,\"deadlineS\":5,\"worth\":1,\"lateValue\":0.2},"
-        + "{\"name\":\"session\",\"repeat\":\"idempotent\",\"sloS\":5,\"deadlineS\":5,\"worth\":3,\"lateValue\":0.2},"
-        + "{\"name\":\"any\",\"repeat\":\"idempotent\",\"sloS\":5,\"deadlineS\":5,\"worth\":4,\"lateValue\":0.2},"
-        + "{\"name\":\"write\",\"repeat\":\"at_most_once\",\"sloS\":5,\"deadlineS\":5,\"worth\":3,\"lateValue\":0.3}],"
-        + "\"familyInfo\":{\"classBoundS\":[0.2,0,0,0],\"consistency\":[\"bounded\",\"session\",\"any\",\"write\"],"
-        + "\"listRole\":\"late\",\"serverChecks\":\"none\",\"sessionMarks\":\"carried\",\"tellsPosition\":true},"
-        + "\"limits\":{\"maxAttempts\":8,\"cancelling\":true,\"probing\":PROBING,\"secondCopies\":true,"
-        + "\"retryAfter\":true,\"maxRetryAfterS\":2,\"connectTimeoutS\":0.25,\"connIdleS\":15},"
-        + "\"invariants\":{\"coldFrom\":0.24,\"drainGraceS\":1,\"fallMultiple\":3,\"fallS\":1.5,\"warmAfterS\":15},"
-        + "\"prices\":{\"probe\":0.04},\"report\":{\"fields\":[\"x0\",\"x1\"],\"how\":\"probe\"}}";
+    public static final String SETTINGS =
+            "{\"discovery\":\"automatic\",\"balancers\":1,\"position\":0,\"locality\":\"a\",\"classes\":["
+                    + "{\"name\":\"bounded\",\"repeat\":\"idempotent\",\"sloS\":5,\"deadlineS\":5,\"worth\":1,\"lateValue\":0.2},"
+                    + "{\"name\":\"session\",\"repeat\":\"idempotent\",\"sloS\":5,\"deadlineS\":5,\"worth\":3,\"lateValue\":0.2},"
+                    + "{\"name\":\"any\",\"repeat\":\"idempotent\",\"sloS\":5,\"deadlineS\":5,\"worth\":4,\"lateValue\":0.2},"
+                    + "{\"name\":\"write\",\"repeat\":\"at_most_once\",\"sloS\":5,\"deadlineS\":5,\"worth\":3,\"lateValue\":0.3}],"
+                    + "\"familyInfo\":{\"classBoundS\":[0.2,0,0,0],\"consistency\":[\"bounded\",\"session\",\"any\",\"write\"],"
+                    + "\"listRole\":\"late\",\"serverChecks\":\"none\",\"sessionMarks\":\"carried\",\"tellsPosition\":true},"
+                    + "\"limits\":{\"maxAttempts\":8,\"cancelling\":true,\"probing\":PROBING,\"secondCopies\":true,"
+                    + "\"retryAfter\":true,\"maxRetryAfterS\":2,\"connectTimeoutS\":0.25,\"connIdleS\":15},"
+                    + "\"invariants\":{\"coldFrom\":0.24,\"drainGraceS\":1,\"fallMultiple\":3,\"fallS\":1.5,\"warmAfterS\":15},"
+                    + "\"prices\":{\"probe\":0.04},\"report\":{\"fields\":[\"x0\",\"x1\"],\"how\":\"probe\"}}";
 
     final Process process;
     final List<String> printed = new ArrayList<>();
@@ -42,8 +43,14 @@
 
     private Program(List<String> before, Map<String, String> environment, String... arguments) throws IOException {
         List<String> command = new ArrayList<>(before);
-        command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp", System.getProperty("java.class.path"), "mintstair.Main"));
+        command.addAll(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Xmx64m",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "mintstair.Main"));
         command.addAll(List.of(arguments));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().putAll(environment);
@@ -81,7 +88,11 @@
     static Program limited(int descriptors, String text) throws IOException {
         Path config = Files.writeString(Files.createTempDirectory("mintstair").resolve("config.json"), text);
         int most = descriptors + System.getProperty("java.class.path").split(":").length;
-        Program program = new Program(List.of("/bin/sh", "-c", "ulimit -n " + most + "; exec \"$@\"", "sh"), Map.of(), "serve", config.toString());
+        Program program = new Program(
+                List.of("/bin/sh", "-c", "ulimit -n " + most + "; exec \"$@\"", "sh"),
+                Map.of(),
+                "serve",
+                config.toString());
         program.config = config;
         return program;
     }
@@ -96,14 +107,21 @@
 
     /** The i-th of so many proxies that know each other through a relay; its name is m and its number. */
     public static Program member(FaultRelay relay, int i, int proxies) throws IOException {
-        String seeds = IntStream.range(0, 3).mapToObj(seed -> '"' + relay.advertise(seed) + '"').collect(Collectors.joining(","));
+        String seeds = IntStream.range(0, 3)
+                .mapToObj(seed -> '"' + relay.advertise(seed) + '"')
+                .collect(Collectors.joining(","));
         Path folder = Files.createTempDirectory("mintstair");
         Path config = folder.resolve("config.json");
         Path file = folder.resolve("operator.json");
-        Files.writeString(config, config(1, "", false).replace("\"name\":\"n1\"", "\"name\":\"m" + i + "\"")
-            .replace("\"balancers\":1", "\"balancers\":" + proxies));
-        Files.writeString(file, "{\"membership\":{\"fleet\":\"test\",\"listen\":\"" + relay.listen(i) + "\",\"advertise\":\""
-            + relay.advertise(i) + "\",\"seeds\":[" + seeds + "]}}");
+        Files.writeString(
+                config,
+                config(1, "", false)
+                        .replace("\"name\":\"n1\"", "\"name\":\"m" + i + "\"")
+                        .replace("\"balancers\":1", "\"balancers\":" + proxies));
+        Files.writeString(
+                file,
+                "{\"membership\":{\"fleet\":\"test\",\"listen\":\"" + relay.listen(i) + "\",\"advertise\":\""
+                        + relay.advertise(i) + "\",\"seeds\":[" + seeds + "]}}");
         return new Program("serve", "--operator", file.toString(), config.toString());
     }
 
@@ -112,9 +130,10 @@
     }
 
     static String config(int listen, int discovery, String known, boolean probing) {
-        return "{\"name\":\"n1\",\"control\":\"127.0.0.1:0\",\"listen\":\"127.0.0.1:" + listen + "\",\"discovery\":\"127.0.0.1:" + discovery
-            + "\",\"seed\":\"5c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"known\":{\"rev\":0,\"all\":true,\"targets\":["
-            + known + "]},\"settings\":" + SETTINGS.replace("PROBING", "" + probing) + "}";
+        return "{\"name\":\"n1\",\"control\":\"127.0.0.1:0\",\"listen\":\"127.0.0.1:" + listen
+                + "\",\"discovery\":\"127.0.0.1:" + discovery
+                + "\",\"seed\":\"5c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"known\":{\"rev\":0,\"all\":true,\"targets\":["
+                + known + "]},\"settings\":" + SETTINGS.replace("PROBING", "" + probing) + "}";
     }
 
     /** Puts another text into the configuration file and sends SIGHUP. */
@@ -130,7 +149,8 @@
     }
 
     private void read() {
-        try (BufferedReader out = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+        try (BufferedReader out =
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = out.readLine(); line != null; line = out.readLine()) {
                 synchronized (printed) {
                     printed.add(line);
@@ -162,13 +182,15 @@
 
     /** Waits until the figures of the second address hold this line. */
     public void awaitFigure(String line) {
-        await(() -> {
-            try {
-                return List.of(call("telemetry\n").split("\n")).contains("svc." + line);
-            } catch (IOException e) {
-                return false;
-            }
-        }, line);
+        await(
+                () -> {
+                    try {
+                        return List.of(call("telemetry\n").split("\n")).contains("svc." + line);
+                    } catch (IOException e) {
+                        return false;
+                    }
+                },
+                line);
     }
 
     private int port(String start, int n) {
@@ -203,7 +225,7 @@
 
     /** Waits for what must come, however slow the machine. */
     public static void await(BooleanSupplier condition, String what) {
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(30); !condition.getAsBoolean();) {
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(30); !condition.getAsBoolean(); ) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("waited in vain for " + what);
             }
--- a/src/test/java/mintstair/program/ProgramTest.java
+++ b/src/test/java/mintstair/program/ProgramTest.java
@@ -64,10 +64,16 @@
     void badInputGetsAProtocolErrorAndIsNotPassedOn() throws IOException {
         int port = program.port(0);
         try (Client.Pg client = new Client.Pg(port)) {
-            for (String query : new String[] {"SELECT 1", "SELECT payload FROM entries WHERE ref = '7f' /* id=1 */",
-                "SELECT '7f' /* id=1,c=any,cluster=1,d=x */", "DROP TABLE x /* id=1,c=any,cluster=1,d=9 */",
-                "SELECT '7f'; SELECT 2 /* id=1,c=any,cluster=1,d=9 */", "SELECT '7f' /* id=1,c=no,cluster=1,d=9 */",
-                "SELECT '7f' /* id=1,c=any,cluster=9,d=9 */", "INSERT INTO e VALUES ('7f') /* id=1,c=any,cluster=1,d=9 */"}) {
+            for (String query : new String[] {
+                "SELECT 1",
+                "SELECT payload FROM entries WHERE ref = '7f' /* id=1 */",
+                "SELECT '7f' /* id=1,c=any,cluster=1,d=x */",
+                "DROP TABLE x /* id=1,c=any,cluster=1,d=9 */",
+                "SELECT '7f'; SELECT 2 /* id=1,c=any,cluster=1,d=9 */",
+                "SELECT '7f' /* id=1,c=no,cluster=1,d=9 */",
+                "SELECT '7f' /* id=1,c=any,cluster=9,d=9 */",
+                "INSERT INTO e VALUES ('7f') /* id=1,c=any,cluster=1,d=9 */"
+            }) {
                 client.raw(Client.Pg.query(query));
                 assertEquals("failed", client.answer(), query);
                 assertEquals("08P01", client.code, query);
@@ -136,7 +142,8 @@
                 Discovery next = new Discovery(primary.listed("SERVING") + "," + replica.listed("DRAINING"))) {
             assertEquals("served before", client.ask(false, "id=before,c=any,cluster=1", 4000));
             program.reload("{\"name\":\"n1\"}");
-            Program.await(() -> program.lines("mintstair: the old settings stay: ").size() == 1, "a line on the bad file");
+            Program.await(
+                    () -> program.lines("mintstair: the old settings stay: ").size() == 1, "a line on the bad file");
             assertEquals("served kept", client.ask(false, "id=kept,c=any,cluster=1", 4000));
             for (int i = 0; i < 3; i++) {
                 program.reload(Program.config(next.port(), primary.listed("SERVING"), true));
@@ -177,8 +184,8 @@
     @Test
     void recordedTrafficIsPlayedOnceAndInOrder(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("clients.pcap");
-        try (Program recording = Program.serve(discovery.port(), primary.listed("SERVING"), true,
-                "{\"record\":{\"file\":\"" + file + "\"}}")) {
+        try (Program recording = Program.serve(
+                discovery.port(), primary.listed("SERVING"), true, "{\"record\":{\"file\":\"" + file + "\"}}")) {
             int port = recording.port(0);
             try (Client.Pg client = new Client.Pg(port)) {
                 for (int i = 0; i < 5; i++) {
@@ -188,11 +195,14 @@
             recording.terminate();
             assertEquals(0, recording.exit());
             List<String> once = List.copyOf(primary.seen);
-            try (Program replay = new Program("replay", "--to", "127.0.0.1:" + program.port(0), "--port", "" + port,
-                    file.toString())) {
+            try (Program replay = new Program(
+                    "replay", "--to", "127.0.0.1:" + program.port(0), "--port", "" + port, file.toString())) {
                 assertEquals(0, replay.exit());
-                Program.await(() -> replay.lines("connections=1 incomplete=0 sent=6 answered=6").size() == 1,
-                    "the line on the replay: " + replay.printed);
+                Program.await(
+                        () -> replay.lines("connections=1 incomplete=0 sent=6 answered=6")
+                                        .size()
+                                == 1,
+                        "the line on the replay: " + replay.printed);
             }
             assertEquals(once, List.copyOf(primary.seen).subList(5, 10));
         }
@@ -211,8 +221,13 @@
     @Test
     void badConfigurationIsOnePlainLineAndStatusTwo(@TempDir Path folder) throws Exception {
         Path file = Files.writeString(folder.resolve("c.json"), "{\"name\":\"n1\"}");
-        for (String[] arguments : new String[][] {{}, {"serve", folder.resolve("none.json").toString()},
-            {"serve", file.toString()}, {"serve", "--operator", file.toString(), file.toString()}, {"fly"}}) {
+        for (String[] arguments : new String[][] {
+            {},
+            {"serve", folder.resolve("none.json").toString()},
+            {"serve", file.toString()},
+            {"serve", "--operator", file.toString(), file.toString()},
+            {"fly"}
+        }) {
             try (Program bad = new Program(arguments)) {
                 assertEquals(2, bad.exit(), Arrays.toString(arguments));
                 Program.await(() -> bad.lines("").size() == 1, "one line from " + Arrays.toString(arguments));
--- a/src/test/java/mintstair/program/RegistryProgramTest.java
+++ b/src/test/java/mintstair/program/RegistryProgramTest.java
@@ -40,6 +40,7 @@
     private EtcdMember two;
     private Relay first;
     private Relay second;
+
     @TempDir
     Path folder;
 
@@ -51,7 +52,8 @@
         two = new EtcdMember(model);
         first = new Relay(one.port());
         second = new Relay(two.port());
-        model.change(new TreeMap<>(Map.of(HOSTS + "p", primary.listed("SERVING"), HOSTS + "r", replica.listed("SERVING"))));
+        model.change(
+                new TreeMap<>(Map.of(HOSTS + "p", primary.listed("SERVING"), HOSTS + "r", replica.listed("SERVING"))));
     }
 
     @AfterEach
@@ -65,8 +67,8 @@
     }
 
     private String operator(String more) {
-        return "{\"registry\":{\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:" + first.port() + "\",\"127.0.0.1:" + second.port()
-            + "\"],\"prefix\":\"reg/\"" + more + "}}";
+        return "{\"registry\":{\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:" + first.port() + "\",\"127.0.0.1:"
+                + second.port() + "\"],\"prefix\":\"reg/\"" + more + "}}";
     }
 
     private Program serve(String operator) throws IOException {
@@ -127,13 +129,20 @@
             String settings = Program.SETTINGS.replace("PROBING", "true");
             model.put("reg/settings", settings.replace("\"name\":\"any\"", "\"name\":\"lobby\""));
             program.awaitFigure("reloads_ok=1");
-            assertEquals(1, program.lines("settings taken over from the registry at revision " + model.revision).size());
+            assertEquals(
+                    1,
+                    program.lines("settings taken over from the registry at revision " + model.revision)
+                            .size());
             try (Client.Pg client = new Client.Pg(program.port(0))) {
                 assertEquals("served x", client.ask(false, "id=x,c=lobby,cluster=1", 4000));
                 model.put("reg/settings", settings.replace("\"deadlineS\":5", "\"deadlineS\":0"));
                 program.awaitFigure("reloads_failed=1");
-                assertEquals(1, program.lines("mintstair: the old settings stay: settings at revision " + model.revision
-                    + ": deadlineS").size(), program.printed.toString());
+                assertEquals(
+                        1,
+                        program.lines("mintstair: the old settings stay: settings at revision " + model.revision
+                                        + ": deadlineS")
+                                .size(),
+                        program.printed.toString());
                 assertEquals("served y", client.ask(false, "id=y,c=lobby,cluster=1", 4000));
                 model.put("reg/settings", settings);
                 program.awaitFigure("reloads_ok=2");
@@ -157,7 +166,10 @@
                 assertEquals("served x", client.ask(true, "id=x,c=write,cluster=1", 4000));
             }
             program.awaitFigure("registry_live=0");
-            assertEquals(1, program.lines("registry: starting from " + folder.resolve("kept")).size());
+            assertEquals(
+                    1,
+                    program.lines("registry: starting from " + folder.resolve("kept"))
+                            .size());
             first.refuse(false);
             program.awaitFigure("registry_live=1");
         }
@@ -167,11 +179,13 @@
     void bothFrontsFollowOneConsul() throws Exception {
         MongoHost mongo = new MongoHost("m", true, AHEAD);
         model.put("reg/mongodb/hosts/m", mongo.listed("SERVING"));
-        try (ConsulServer consul = new ConsulServer(model, null); Program program = serve("{\"mongodb\":{\"listen\":\"127.0.0.1:0\"},"
-                + "\"registry\":{\"kind\":\"consul\",\"endpoints\":[\"127.0.0.1:" + consul.port()
-                + "\"],\"prefix\":\"reg/\",\"fronts\":[\"postgresql\",\"mongodb\"]}}")) {
+        try (ConsulServer consul = new ConsulServer(model, null);
+                Program program = serve("{\"mongodb\":{\"listen\":\"127.0.0.1:0\"},"
+                        + "\"registry\":{\"kind\":\"consul\",\"endpoints\":[\"127.0.0.1:" + consul.port()
+                        + "\"],\"prefix\":\"reg/\",\"fronts\":[\"postgresql\",\"mongodb\"]}}")) {
             program.awaitFigure("registry_hosts=3");
-            try (Client.Pg pg = new Client.Pg(program.port(0)); Client.Mongo client = new Client.Mongo(program.port(1))) {
+            try (Client.Pg pg = new Client.Pg(program.port(0));
+                    Client.Mongo client = new Client.Mongo(program.port(1))) {
                 assertEquals("served x", pg.ask(true, "id=x,c=write,cluster=1", 4000));
                 assertEquals("served y", client.ask(true, "id=y,c=write,cluster=1", 4000));
                 model.delete("reg/mongodb/hosts/m");
@@ -194,21 +208,31 @@
             model.put(HOSTS + "r", replica.listed("DRAINING"));
             model.delete(HOSTS + "p");
             Program.await(() -> watch.lines("4 postgresql p DELETED ").size() == 1, "the deletion: " + watch.printed);
-            assertEquals(1, watch.lines("").stream().filter(l -> l.contains(" r DRAINING ")).count());
+            assertEquals(
+                    1,
+                    watch.lines("").stream()
+                            .filter(l -> l.contains(" r DRAINING "))
+                            .count());
         }
     }
 
     /** Both sides are recorded into a folder, and what was recorded of the clients is what was asked and answered. */
     @Test
     void recordedTrafficIsWhatWasSaid() throws Exception {
-        String record = "{\"record\":{\"folder\":\"" + folder.resolve("traffic") + "\",\"hosts\":true}," + operator("").substring(1);
+        String record = "{\"record\":{\"folder\":\"" + folder.resolve("traffic") + "\",\"hosts\":true},"
+                + operator("").substring(1);
         int port;
         try (Program program = serve(record)) {
             program.awaitFigure("registry_live=1");
             port = program.port(0);
             try (Client.Pg client = new Client.Pg(port)) {
                 for (int i = 0; i < 20; i++) {
-                    assertEquals("served x" + i, client.ask(i % 2 == 0, "id=x" + i + ",c=" + (i % 2 == 0 ? "write" : "any") + ",cluster=1", 4000));
+                    assertEquals(
+                            "served x" + i,
+                            client.ask(
+                                    i % 2 == 0,
+                                    "id=x" + i + ",c=" + (i % 2 == 0 ? "write" : "any") + ",cluster=1",
+                                    4000));
                 }
             }
             program.awaitFigure("record_lost=0");
@@ -220,25 +244,39 @@
         }
         for (int at : new int[] {port, primary.port()}) {
             List<RecordedExchange> found = new ArrayList<>();
-            Recording.read(files, false, () -> new TimeLine(Long.MAX_VALUE), Map.of(at, Recording.Protocol.POSTGRESQL), new Losses(), found::add);
-            List<String> served = found.stream().filter(e -> e.id().startsWith("x") && e.result() == RecordedExchange.Result.SERVED)
-                .map(RecordedExchange::id).toList();
+            Recording.read(
+                    files,
+                    false,
+                    () -> new TimeLine(Long.MAX_VALUE),
+                    Map.of(at, Recording.Protocol.POSTGRESQL),
+                    new Losses(),
+                    found::add);
+            List<String> served = found.stream()
+                    .filter(e -> e.id().startsWith("x") && e.result() == RecordedExchange.Result.SERVED)
+                    .map(RecordedExchange::id)
+                    .toList();
             assertTrue(served.size() >= 10 && (at != port || served.size() == 20), at + ": " + served);
         }
     }
 
     @Test
     void whatCannotBeUsedEndsTheStartWithOneLine() throws Exception {
-        String[] faults = {"\"kind\":\"paper\"", "\"kind\":\"etcd\",\"endpoints\":[]", "\"kind\":\"etcd\",\"endpoints\":[\"x\"]",
+        String[] faults = {
+            "\"kind\":\"paper\"",
+            "\"kind\":\"etcd\",\"endpoints\":[]",
+            "\"kind\":\"etcd\",\"endpoints\":[\"x\"]",
             "\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:1\"],\"prefix\":\"no slash\"",
             "\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:1\"],\"prefix\":\"p/\",\"colour\":1",
             "\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:1\"],\"prefix\":\"p/\",\"fronts\":[\"mongodb\"]",
             "\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:1\"],\"prefix\":\"p/\",\"user\":\"u\",\"password_file\":\"/none\"",
-            "\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:1\"],\"prefix\":\"p/\",\"tls\":{\"ca\":\"/none\"}"};
+            "\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:1\"],\"prefix\":\"p/\",\"tls\":{\"ca\":\"/none\"}"
+        };
         for (String fault : faults) {
             try (Program program = serve("{\"registry\":{" + fault + "}}")) {
                 assertEquals(2, program.exit(), fault);
-                Program.await(() -> program.lines("mintstair: ").size() == 1, "one line for " + fault + ": " + program.printed);
+                Program.await(
+                        () -> program.lines("mintstair: ").size() == 1,
+                        "one line for " + fault + ": " + program.printed);
             }
         }
     }
--- a/src/test/java/mintstair/program/ShutdownTest.java
+++ b/src/test/java/mintstair/program/ShutdownTest.java
@@ -26,6 +26,7 @@
     private static final long AHEAD = System.currentTimeMillis() + 3_600_000;
     /** SIGKILL comes no sooner after SIGTERM: the longest deadline, taken as 3 s where it is longer, and 0.7 s. */
     private static final long KILLED = 3_700;
+
     private PgHost primary;
     private PgHost replica;
     private Discovery discovery;
@@ -53,7 +54,8 @@
     /** A message that is never finished keeps nobody from ending in order, however short the deadlines are. */
     @Test
     void clientInTheMiddleOfAMessageIsToldOfTheEndBeforeItIsKilled() throws Exception {
-        program = Program.serve(Program.config(discovery.port(), known, false).replace("\"deadlineS\":5", "\"deadlineS\":0.5"), null);
+        program = Program.serve(
+                Program.config(discovery.port(), known, false).replace("\"deadlineS\":5", "\"deadlineS\":0.5"), null);
         byte[] message = Client.Pg.query(Client.Pg.words(false, "id=half,c=any,cluster=1", 500));
         try (Client.Pg client = new Client.Pg(program.port(0))) {
             client.raw(Arrays.copyOf(message, message.length / 2));
@@ -69,8 +71,9 @@
     }
 
     private static String inGroup(int group, String listed, int port) {
-        return listed.replace("\"pod_group\":1", "\"pod_group\":" + group).replaceAll("\"uid\":\"(.)\"", "\"uid\":\"$1" + group + "\"")
-            .replaceAll("127.0.0.1:\\d+", "127.0.0.1:" + port);
+        return listed.replace("\"pod_group\":1", "\"pod_group\":" + group)
+                .replaceAll("\"uid\":\"(.)\"", "\"uid\":\"$1" + group + "\"")
+                .replaceAll("127.0.0.1:\\d+", "127.0.0.1:" + port);
     }
 
     /** Requests that wait, connect, are half written, are sent, are half answered, and lie between two attempts; hosts hang; signals come again. */
@@ -78,7 +81,8 @@
     void requestInEachStateHasItsAnswerBeforeTheEnd() throws Exception {
         try (ServerSocket mute = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))) {
             // Group 2 has no primary; the primary of group 3 takes connections and says nothing.
-            known += "," + inGroup(2, replica.listed("SERVING"), replica.port()) + "," + inGroup(3, primary.listed("SERVING"), mute.getLocalPort());
+            known += "," + inGroup(2, replica.listed("SERVING"), replica.port()) + ","
+                    + inGroup(3, primary.listed("SERVING"), mute.getLocalPort());
             discovery.tell(known);
             primary.script.put("sent", Act.SILENT);
             replica.script.put("read", Act.SILENT);
@@ -86,7 +90,9 @@
             primary.script.put("half", Act.LONG_TORN);
             primary.script.put("again", Act.FULL);
             replica.script.put("again", Act.FULL);
-            program = Program.serve(Program.config(discovery.port(), known, false).replace("\"deadlineS\":5", "\"deadlineS\":20"), null);
+            program = Program.serve(
+                    Program.config(discovery.port(), known, false).replace("\"deadlineS\":5", "\"deadlineS\":20"),
+                    null);
             int port = program.port(0);
             List<Client.Pg> clients = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
@@ -101,8 +107,12 @@
             byte[] late = Client.Pg.query(Client.Pg.words(false, "id=late,c=any,cluster=1", 15_000));
             clients.get(5).raw(Arrays.copyOf(late, late.length / 2));
             assertEquals('T', clients.get(4).in.read(), "half an answer");
-            Program.await(() -> primary.seen.contains("again") && replica.seen.contains("again"), "an attempt at each host");
-            Program.await(() -> primary.seen.contains("sent") && (replica.seen.contains("read") || primary.seen.contains("read")), "the sends");
+            Program.await(
+                    () -> primary.seen.contains("again") && replica.seen.contains("again"), "an attempt at each host");
+            Program.await(
+                    () -> primary.seen.contains("sent")
+                            && (replica.seen.contains("read") || primary.seen.contains("read")),
+                    "the sends");
             mute.accept();
             long told = System.nanoTime();
             program.terminate();
@@ -111,7 +121,10 @@
             program.reload(Program.config(discovery.port(), known, false));
             clients.get(5).raw(Arrays.copyOfRange(late, late.length / 2, late.length));
             assertEquals("served late", clients.get(5).answer());
-            assertEquals("served rests", clients.get(6).ask(false, "id=rests,c=any,cluster=1", 15_000), "on a resting connection");
+            assertEquals(
+                    "served rests",
+                    clients.get(6).ask(false, "id=rests,c=any,cluster=1", 15_000),
+                    "on a resting connection");
             assertRefused(clients.get(0));
             assertRefused(clients.get(1));
             assertEquals("failed", clients.get(2).answer(), "it may have run");
@@ -172,11 +185,13 @@
         StringBuilder members = new StringBuilder();
         for (String member : List.of("n1", "n2", "n3")) {
             try (ServerSocket free = new ServerSocket(0)) {
-                members.append(members.isEmpty() ? "" : ",").append('"' + member + "\":\"127.0.0.1:" + free.getLocalPort() + '"');
+                members.append(members.isEmpty() ? "" : ",")
+                        .append('"' + member + "\":\"127.0.0.1:" + free.getLocalPort() + '"');
             }
         }
-        program = Program.serve(Program.config(discovery.port(), known, true), "{\"store\":{\"member\":\"n1\",\"members\":{" + members
-            + "},\"folder\":\"" + folder + "\"}}");
+        program = Program.serve(
+                Program.config(discovery.port(), known, true),
+                "{\"store\":{\"member\":\"n1\",\"members\":{" + members + "},\"folder\":\"" + folder + "\"}}");
         primary.script.put("held", Act.SILENT);
         int port = program.port(0);
         try (Client.Pg client = new Client.Pg(port)) {
@@ -192,8 +207,9 @@
     @Test
     void storeThatCannotStartEndsWithTheStatusOfAFault(@TempDir Path folder) throws Exception {
         Path taken = Files.writeString(folder.resolve("file"), "no folder");
-        program = Program.serve(Program.config(discovery.port(), known, true),
-            "{\"store\":{\"member\":\"n1\",\"members\":{\"n1\":\"127.0.0.1:1\"},\"folder\":\"" + taken + "\"}}");
+        program = Program.serve(
+                Program.config(discovery.port(), known, true),
+                "{\"store\":{\"member\":\"n1\",\"members\":{\"n1\":\"127.0.0.1:1\"},\"folder\":\"" + taken + "\"}}");
         assertEquals(2, program.exit());
         assertEquals(1, program.lines("mintstair: ").size(), program.printed.toString());
     }
@@ -205,7 +221,10 @@
         Program.await(() -> !program.lines("control on ").isEmpty(), "the start to be under way");
         program.terminate();
         assertNotEquals(2, program.exit(), "no fault of the configuration");
-        assertTrue(program.lines("unexpected").isEmpty() && program.lines("Exception").isEmpty(), program.printed.toString());
+        assertTrue(
+                program.lines("unexpected").isEmpty()
+                        && program.lines("Exception").isEmpty(),
+                program.printed.toString());
     }
 
     /** SIGHUP while the program starts: the settings of the file as it is then count, and so does its discovery. */
@@ -214,7 +233,8 @@
         try (Discovery next = new Discovery(known)) {
             program = Program.serve(discovery.port(), known, true, null);
             Program.await(() -> !program.lines("control on ").isEmpty(), "the start to be under way");
-            program.reload(Program.config(next.port(), known, true).replace("\"name\":\"any\"", "\"name\":\"fresh-one\""));
+            program.reload(
+                    Program.config(next.port(), known, true).replace("\"name\":\"any\"", "\"name\":\"fresh-one\""));
             try (Client.Pg client = new Client.Pg(program.port(0))) {
                 program.awaitFigure("reloads_ok=1");
                 assertEquals("served new", client.ask(false, "id=new,c=fresh-one,cluster=1", 4_000));
--- a/src/test/java/mintstair/program/SteppedClockTest.java
+++ b/src/test/java/mintstair/program/SteppedClockTest.java
@@ -21,6 +21,7 @@
     private static final int DEADLINE_MILLIS = 1_000;
     /** What a busy machine may add: far less than the steps, and than what the hosts take without an end. */
     private static final long MOST_MILLIS = DEADLINE_MILLIS + 2_000;
+
     private PgHost primary;
     private PgHost replica;
     private Discovery discovery;
@@ -71,7 +72,9 @@
         endsInTime("back");
         serves("after");
         program.end();
-        assertTrue(program.lines("counters: ").get(0).contains(" overdue=0 "), "deadlines are the module's, not the guard's");
+        assertTrue(
+                program.lines("counters: ").get(0).contains(" overdue=0 "),
+                "deadlines are the module's, not the guard's");
     }
 
     @Test
--- a/src/test/java/mintstair/program/UnreadLogTest.java
+++ b/src/test/java/mintstair/program/UnreadLogTest.java
@@ -27,14 +27,16 @@
 
     private static Client.Pg connect(int port) {
         Client.Pg[] made = new Client.Pg[1];
-        Program.await(() -> {
-            try {
-                made[0] = new Client.Pg(port);
-                return true;
-            } catch (IOException e) {
-                return false;
-            }
-        }, "a connection");
+        Program.await(
+                () -> {
+                    try {
+                        made[0] = new Client.Pg(port);
+                        return true;
+                    } catch (IOException e) {
+                        return false;
+                    }
+                },
+                "a connection");
         return made[0];
     }
 
@@ -45,14 +47,27 @@
                 Discovery discovery = new Discovery(primary.listed("SERVING"))) {
             Path config = Files.createTempDirectory("mintstair").resolve("config.json");
             Files.writeString(config, Program.config(port, discovery.port(), primary.listed("SERVING"), false));
-            Process proxy = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp", System.getProperty("java.class.path"), "mintstair.Main", "serve",
-                config.toString()).redirectErrorStream(true).start();
+            Process proxy = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-XX:+UseSerialGC",
+                            "-XX:TieredStopAtLevel=1",
+                            "-Xmx64m",
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            "mintstair.Main",
+                            "serve",
+                            config.toString())
+                    .redirectErrorStream(true)
+                    .start();
             try (Client.Pg client = connect(port)) {
                 assertEquals("served before", client.ask(true, "id=before,c=write,cluster=1", 5_000));
                 // As fast as they are taken in: a signal that comes while one waits is lost.
-                Process signals = new ProcessBuilder(List.of("sh", "-c", "for i in $(seq " + RELOADS + "); do kill -HUP " + proxy.pid()
-                    + "; sleep 0.002; done")).start();
+                Process signals = new ProcessBuilder(List.of(
+                                "sh",
+                                "-c",
+                                "for i in $(seq " + RELOADS + "); do kill -HUP " + proxy.pid() + "; sleep 0.002; done"))
+                        .start();
                 assertEquals(true, signals.waitFor(60, TimeUnit.SECONDS));
                 assertEquals("served after", client.ask(true, "id=after,c=write,cluster=1", 5_000));
             } finally {
--- a/src/test/java/mintstair/registry/Registries.java
+++ b/src/test/java/mintstair/registry/Registries.java
@@ -27,7 +27,8 @@
         client.start();
     }
 
-    static RegistryConfig config(RegistryConfig.Kind kind, String user, String secret, RegistryConfig.Tls tls, Path snapshot, int... ports) {
+    static RegistryConfig config(
+            RegistryConfig.Kind kind, String user, String secret, RegistryConfig.Tls tls, Path snapshot, int... ports) {
         List<InetSocketAddress> endpoints = new ArrayList<>();
         for (int port : ports) {
             endpoints.add(new InetSocketAddress("127.0.0.1", port));
--- a/src/test/java/mintstair/registry/ScheduleTest.java
+++ b/src/test/java/mintstair/registry/ScheduleTest.java
@@ -64,6 +64,7 @@
         private final Map<String, HostList.Entry> mirror = new HashMap<>();
         /** Per member: how far it has come, or -1 where it is up to date; and whether it says nothing at all. */
         private final long[] lag = {-1, -1, -1};
+
         private final boolean[] silent = new boolean[3];
         private final List<RegistryModel> before = new ArrayList<>();
         private long now = 1_000_000_000;
@@ -81,8 +82,9 @@
             this.watched = watched;
             dice = new Random(seed);
             Names names = new Names(PREFIX, List.of(FRONT));
-            view = watched ? new WatchView(names, Limits.USUAL, Times.USUAL, 3, seed)
-                : new PollView(names, Limits.USUAL, Times.USUAL, 3, seed);
+            view = watched
+                    ? new WatchView(names, Limits.USUAL, Times.USUAL, 3, seed)
+                    : new PollView(names, Limits.USUAL, Times.USUAL, 3, seed);
         }
 
         void play() {
@@ -105,7 +107,8 @@
                 case 0, 1, 2, 3, 4 -> change();
                 case 5 -> model.compact(model.revision - dice.nextInt(4));
                 case 6 -> end(Event.Reason.values()[dice.nextInt(2) * 2]);
-                case 7 -> lag[dice.nextInt(3)] = dice.nextBoolean() ? -1 : Math.max(1, model.revision - dice.nextInt(5));
+                case 7 ->
+                    lag[dice.nextInt(3)] = dice.nextBoolean() ? -1 : Math.max(1, model.revision - dice.nextInt(5));
                 case 8 -> silent[dice.nextInt(3)] = dice.nextInt(3) == 0;
                 case 9 -> {
                     if (dice.nextInt(12) == 0) {
@@ -126,18 +129,22 @@
             Map<String, String> values = new TreeMap<>();
             for (int n = 1 + dice.nextInt(3) * dice.nextInt(2); n > 0; n--) {
                 String uid = "h" + dice.nextInt(8);
-                values.put(PREFIX + FRONT + "/hosts/" + uid, switch (dice.nextInt(8)) {
-                    case 0, 1, 2 -> null;
-                    case 3 -> "no host at all " + dice.nextInt();
-                    default -> host(uid, dice.nextInt(10_000));
-                });
+                values.put(
+                        PREFIX + FRONT + "/hosts/" + uid,
+                        switch (dice.nextInt(8)) {
+                            case 0, 1, 2 -> null;
+                            case 3 -> "no host at all " + dice.nextInt();
+                            default -> host(uid, dice.nextInt(10_000));
+                        });
             }
             model.change(values);
         }
 
         private void restore() {
             before.add(model.copy());
-            model.restore(Math.max(1, model.revision - dice.nextInt(6)), dice.nextBoolean() ? model.cluster : model.cluster + 1);
+            model.restore(
+                    Math.max(1, model.revision - dice.nextInt(6)),
+                    dice.nextBoolean() ? model.cluster : model.cluster + 1);
             for (int m = 0; m < 3; m++) {
                 lag[m] = -1;
             }
@@ -175,7 +182,8 @@
                 } else if (at > model.revision) {
                     hear(new Event.Ended(r.call(), Event.Reason.LAGS, "a future revision"));
                 } else {
-                    List<Item> all = new ArrayList<>(model.at(at).tailMap(r.from()).values());
+                    List<Item> all =
+                            new ArrayList<>(model.at(at).tailMap(r.from()).values());
                     int size = Math.min(all.size(), 1 + dice.nextInt(3));
                     hear(new Event.Page(r.call(), header(model.revision), all.subList(0, size), size < all.size()));
                 }
@@ -235,8 +243,8 @@
             long reached = p.sure() ? model.revision : reached(p.endpoint());
             if (p.index() == 0 || reached != p.index()) {
                 open = null;
-                hear(new Event.Whole(p.call(), reached, List.copyOf(model.at(reached).values()),
-                    p.sure() || lag[p.endpoint()] < 0));
+                hear(new Event.Whole(
+                        p.call(), reached, List.copyOf(model.at(reached).values()), p.sure() || lag[p.endpoint()] < 0));
             } else if (progressAsked == p.call()) {
                 progressAsked = 0;
                 if (lag[p.endpoint()] < 0) {
@@ -248,8 +256,11 @@
         }
 
         private static long number(Order order) {
-            return order instanceof Order.Read r ? r.call() : order instanceof Order.Watch w ? w.call()
-                : order instanceof Order.Check c ? c.call() : order instanceof Order.Poll p ? p.call() : -1;
+            return order instanceof Order.Read r
+                    ? r.call()
+                    : order instanceof Order.Watch w
+                            ? w.call()
+                            : order instanceof Order.Check c ? c.call() : order instanceof Order.Poll p ? p.call() : -1;
         }
 
         private void hear(Event event) {
@@ -298,7 +309,8 @@
             }
             for (HostList.Entry e : hosts.list().entries()) {
                 if (e.state() == HostList.State.DELETED) {
-                    assertNotNull(mirror.remove(e.host()), "deleted twice or never there: " + e.host() + ", seed " + seed);
+                    assertNotNull(
+                            mirror.remove(e.host()), "deleted twice or never there: " + e.host() + ", seed " + seed);
                 } else {
                     assertTrue(!e.equals(mirror.put(e.host(), e)), "told twice: " + e + ", seed " + seed);
                 }
@@ -312,8 +324,10 @@
                 // What was read before a restore stands until it is noticed.
                 isOne = at <= before.get(i).revision && matches(before.get(i).at(at));
             }
-            assertTrue(isOne, () -> "told is what no revision held: " + shown() + " at " + at + ", registry "
-                + words(model.at(Math.min(at, model.revision))) + ", seed " + seed);
+            assertTrue(
+                    isOne,
+                    () -> "told is what no revision held: " + shown() + " at " + at + ", registry "
+                            + words(model.at(Math.min(at, model.revision))) + ", seed " + seed);
         }
 
         private String shown() {
@@ -324,8 +338,8 @@
 
         private static String words(Map<String, Item> held) {
             Map<String, String> words = new TreeMap<>();
-            held.forEach((key, item) -> words.put(key.substring(key.lastIndexOf('/') + 1),
-                new String(item.value()).replaceAll(".*boot_ms", "")));
+            held.forEach((key, item) -> words.put(
+                    key.substring(key.lastIndexOf('/') + 1), new String(item.value()).replaceAll(".*boot_ms", "")));
             return words.toString();
         }
 
@@ -338,7 +352,8 @@
             for (Map.Entry<String, Item> each : hosts.entrySet()) {
                 String value = new String(each.getValue().value());
                 HostList.Entry shown = mirror.get(each.getKey());
-                if (value.startsWith("{") && (shown == null || !value.contains(":" + Math.round(shown.started() / 1000.0) + "}"))) {
+                if (value.startsWith("{")
+                        && (shown == null || !value.contains(":" + Math.round(shown.started() / 1000.0) + "}"))) {
                     return false;
                 }
             }
@@ -359,15 +374,19 @@
                 }
                 pass(10_000);
             }
-            assertTrue(isSettled(), () -> "not matching in time: " + shown() + " at " + view.figures(now) + ", registry at "
-                + model.revision + ": " + words(model.now()) + ", open " + open + ", seed " + seed);
+            assertTrue(
+                    isSettled(),
+                    () -> "not matching in time: " + shown() + " at " + view.figures(now) + ", registry at "
+                            + model.revision + ": " + words(model.now()) + ", open " + open + ", seed " + seed);
             assertEquals(hostsOf(model.now()), (long) view.figures(now).hosts() + badOf(model.now()), "seed " + seed);
             before.clear();
         }
 
         private boolean isSettled() {
-            return told && view.figures(now).revision() == model.revision && view.figures(now).cluster() == (watched ? model.cluster : 0)
-                && matches(model.now());
+            return told
+                    && view.figures(now).revision() == model.revision
+                    && view.figures(now).cluster() == (watched ? model.cluster : 0)
+                    && matches(model.now());
         }
 
         private static long hostsOf(Map<String, Item> held) {
@@ -376,12 +395,16 @@
 
         /** Hosts that are there, but whose entry was never seen valid in this life. */
         private long badOf(Map<String, Item> held) {
-            return held.entrySet().stream().filter(e -> !mirror.containsKey(e.getKey().substring(e.getKey().lastIndexOf('/') + 1))).count();
+            return held.entrySet().stream()
+                    .filter(e ->
+                            !mirror.containsKey(e.getKey().substring(e.getKey().lastIndexOf('/') + 1)))
+                    .count();
         }
     }
 
     static String host(String uid, int version) {
-        return "{\"uid\":\"" + uid + "\",\"endpoint\":\"127.0.0.1:5432\",\"az\":\"a\",\"pod_group\":1,\"state\":\"SERVING\",\"boot_ms\":"
-            + version + "}";
+        return "{\"uid\":\"" + uid
+                + "\",\"endpoint\":\"127.0.0.1:5432\",\"az\":\"a\",\"pod_group\":1,\"state\":\"SERVING\",\"boot_ms\":"
+                + version + "}";
     }
 }
--- a/src/test/java/mintstair/registry/SnapshotFileTest.java
+++ b/src/test/java/mintstair/registry/SnapshotFileTest.java
@@ -33,7 +33,7 @@
     /** Writes one snapshot after the other until it is killed. */
     public static void main(String[] args) throws IOException {
         SnapshotFile file = new SnapshotFile(Path.of(args[0]));
-        for (long revision = 1;; revision++) {
+        for (long revision = 1; ; revision++) {
             file.write(snapshot(revision, 2_000));
         }
     }
@@ -42,7 +42,7 @@
     void whatIsReadIsWhatWasWritten() throws IOException {
         SnapshotFile file = new SnapshotFile(folder.resolve("s"));
         file.write(snapshot(5, 3));
-        Snapshot read = file.read("reg/", line -> { });
+        Snapshot read = file.read("reg/", line -> {});
         assertEquals(7, read.cluster());
         assertEquals(5, read.revision());
         assertEquals(3, read.term());
@@ -90,9 +90,17 @@
     void aKillLeavesTheOldOrTheNewOne() throws Exception {
         Path path = folder.resolve("s");
         for (int i = 0; i < 5; i++) {
-            Process writer = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), SnapshotFileTest.class.getName(),
-                path.toString()).redirectErrorStream(true).start();
+            Process writer = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-XX:+UseSerialGC",
+                            "-XX:TieredStopAtLevel=1",
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            SnapshotFileTest.class.getName(),
+                            path.toString())
+                    .redirectErrorStream(true)
+                    .start();
             Path beside = folder.resolve("s.new");
             long size = 1 + i * 15_000L;
             // Caught while the new file holds more than so many bytes and is not in its place yet.
--- a/src/test/java/mintstair/registry/ViewTest.java
+++ b/src/test/java/mintstair/registry/ViewTest.java
@@ -67,8 +67,11 @@
 
     private long call() {
         Order last = orders.get(orders.size() - 1);
-        return last instanceof Order.Read r ? r.call() : last instanceof Order.Watch w ? w.call() : last instanceof Order.Check c ? c.call()
-            : ((Order.Poll) last).call();
+        return last instanceof Order.Read r
+                ? r.call()
+                : last instanceof Order.Watch w
+                        ? w.call()
+                        : last instanceof Order.Check c ? c.call() : ((Order.Poll) last).call();
     }
 
     private void on(Event event) {
@@ -100,8 +103,11 @@
     }
 
     private String shown() {
-        return told.stream().filter(t -> t instanceof Told.Hosts).flatMap(t -> ((Told.Hosts) t).list().entries().stream())
-            .map(e -> e.host() + (e.state() == HostList.State.DELETED ? "-" : "=" + e.started() / 1000)).collect(Collectors.joining(" "));
+        return told.stream()
+                .filter(t -> t instanceof Told.Hosts)
+                .flatMap(t -> ((Told.Hosts) t).list().entries().stream())
+                .map(e -> e.host() + (e.state() == HostList.State.DELETED ? "-" : "=" + e.started() / 1000))
+                .collect(Collectors.joining(" "));
     }
 
     private long count(String name) {
@@ -128,10 +134,16 @@
         take(view.start(now, null));
         for (int page = 0; page < 3; page++) {
             List<Item> items = IntStream.range(500 * page, Math.min(1_024, 500 * (page + 1)))
-                .mapToObj(i -> item(String.format("h%04d", i), 1, 5, 5)).toList();
+                    .mapToObj(i -> item(String.format("h%04d", i), 1, 5, 5))
+                    .toList();
             on(new Event.Page(call(), at(40), items, page < 2));
         }
-        assertEquals(1_024, told.stream().filter(t -> t instanceof Told.Hosts).mapToInt(t -> ((Told.Hosts) t).list().entries().size()).sum());
+        assertEquals(
+                1_024,
+                told.stream()
+                        .filter(t -> t instanceof Told.Hosts)
+                        .mapToInt(t -> ((Told.Hosts) t).list().entries().size())
+                        .sum());
         told.clear();
         long watch = call();
         on(new Event.Watching(watch, at(40)));
@@ -258,7 +270,8 @@
         told.clear();
         for (int i = 0; i < 10_000; i++) {
             now += 50;
-            on(new Event.Batch(watch, at(13 + i), List.of(put(raw("reg/postgresql/hosts/a", "bad" + i, 5, 13 + i))), false));
+            on(new Event.Batch(
+                    watch, at(13 + i), List.of(put(raw("reg/postgresql/hosts/a", "bad" + i, 5, 13 + i))), false));
             take(view.tick(now));
         }
         assertEquals(10_001, count("unreadable"));
@@ -272,10 +285,15 @@
     void keysValuesAndHostsBeyondTheirBoundsAreLeftOutAndCounted() {
         long watch = live(10, item("a", 1, 5, 5));
         String longName = "x".repeat(60);
-        on(new Event.Batch(watch, at(13), List.of(put(item(longName, 1, 11, 11)),
-            put(raw("reg/postgresql/hosts/b", ScheduleTest.host("b", 1) + " ".repeat(200), 12, 12)),
-            put(raw("reg/settings", " ".repeat(301), 13, 13)),
-            put(raw("reg/postgresql/hosts/wrong", ScheduleTest.host("other", 1), 13, 13))), false));
+        on(new Event.Batch(
+                watch,
+                at(13),
+                List.of(
+                        put(item(longName, 1, 11, 11)),
+                        put(raw("reg/postgresql/hosts/b", ScheduleTest.host("b", 1) + " ".repeat(200), 12, 12)),
+                        put(raw("reg/settings", " ".repeat(301), 13, 13)),
+                        put(raw("reg/postgresql/hosts/wrong", ScheduleTest.host("other", 1), 13, 13))),
+                false));
         assertEquals(4, count("unreadable"));
         assertEquals("", shown());
         List<Change> many = new ArrayList<>();
@@ -362,7 +380,8 @@
         on(new Event.Whole(confirm.call(), 40, List.of(item("b", 1, 5, 5)), true));
         assertEquals("a- b=1", shown());
         on(new Event.Whole(call(), 0, List.of(), true));
-        assertEquals(1, count("breaks_malformed"), "an index below 1 would make the next read return at once, for ever");
+        assertEquals(
+                1, count("breaks_malformed"), "an index below 1 would make the next read return at once, for ever");
     }
 
     @Test
--- a/src/test/java/mintstair/registry/WiresTest.java
+++ b/src/test/java/mintstair/registry/WiresTest.java
@@ -43,6 +43,7 @@
     }
 
     private final RegistryModel model = new RegistryModel();
+
     @TempDir
     Path folder;
 
@@ -58,9 +59,12 @@
             many.put(key("h" + i), host("h" + i, i));
         }
         model.change(many);
-        try (EtcdMember one = new EtcdMember(model); EtcdMember two = new EtcdMember(model); Relay first = new Relay(one.port());
-                Relay second = new Relay(two.port()); Registries seen = new Registries(config(Kind.ETCD, null, null, null, null,
-                    first.port(), second.port()), 3)) {
+        try (EtcdMember one = new EtcdMember(model);
+                EtcdMember two = new EtcdMember(model);
+                Relay first = new Relay(one.port());
+                Relay second = new Relay(two.port());
+                Registries seen =
+                        new Registries(config(Kind.ETCD, null, null, null, null, first.port(), second.port()), 3)) {
             awaitVersion(seen, "h1199", 1199);
             assertTrue(one.reads.get() + two.reads.get() >= 3, "three pages");
             one.fragment = two.fragment = 1;
@@ -111,9 +115,12 @@
     @Test
     void consulIsFollowedThroughEveryKindOfBreak() throws Exception {
         model.put(key("a"), host("a", 1));
-        try (ConsulServer one = new ConsulServer(model, null); ConsulServer two = new ConsulServer(model, null);
-                Relay first = new Relay(one.port()); Relay second = new Relay(two.port());
-                Registries seen = new Registries(config(Kind.CONSUL, null, null, null, null, first.port(), second.port()), 3)) {
+        try (ConsulServer one = new ConsulServer(model, null);
+                ConsulServer two = new ConsulServer(model, null);
+                Relay first = new Relay(one.port());
+                Relay second = new Relay(two.port());
+                Registries seen =
+                        new Registries(config(Kind.CONSUL, null, null, null, null, first.port(), second.port()), 3)) {
             awaitVersion(seen, "a", 1);
             List<Relay> relays = List.of(first, second);
             for (int kind = 0; kind < 8; kind++) {
@@ -152,7 +159,8 @@
         try (EtcdMember member = new EtcdMember(model)) {
             member.users = Map.of("proxy", "secret");
             try (Registries seen = new Registries(config(Kind.ETCD, "proxy", "secret", null, null, member.port()), 1);
-                    Registries stranger = new Registries(config(Kind.ETCD, "proxy", "guessed", null, null, member.port()), 1)) {
+                    Registries stranger =
+                            new Registries(config(Kind.ETCD, "proxy", "guessed", null, null, member.port()), 1)) {
                 awaitVersion(seen, "a", 1);
                 int before = member.authenticated.get();
                 member.tokens.clear();
@@ -173,16 +181,23 @@
         RegistryConfig.Tls known = new RegistryConfig.Tls(server.certificate, client.certificate, client.key);
         RegistryConfig.Tls unknown = new RegistryConfig.Tls(server.certificate, null, null);
         RegistryConfig.Tls distrusting = new RegistryConfig.Tls(client.certificate, client.certificate, client.key);
-        try (EtcdMember member = new EtcdMember(model, TlsServerCredentials.newBuilder()
-                .keyManager(server.certificate.toFile(), server.key.toFile()).trustManager(client.certificate.toFile())
-                .clientAuth(TlsServerCredentials.ClientAuth.REQUIRE).build());
-                ConsulServer consul = new ConsulServer(model, new TlsFiles(new RegistryConfig.Tls(client.certificate, server.certificate,
-                    server.key)).context());
+        try (EtcdMember member = new EtcdMember(
+                        model,
+                        TlsServerCredentials.newBuilder()
+                                .keyManager(server.certificate.toFile(), server.key.toFile())
+                                .trustManager(client.certificate.toFile())
+                                .clientAuth(TlsServerCredentials.ClientAuth.REQUIRE)
+                                .build());
+                ConsulServer consul = new ConsulServer(
+                        model,
+                        new TlsFiles(new RegistryConfig.Tls(client.certificate, server.certificate, server.key))
+                                .context());
                 Registries seen = new Registries(config(Kind.ETCD, null, null, known, null, member.port()), 1);
                 Registries polled = new Registries(config(Kind.CONSUL, null, null, known, null, consul.port()), 1);
                 Registries bare = new Registries(config(Kind.ETCD, null, null, unknown, null, member.port()), 1);
                 Registries wary = new Registries(config(Kind.ETCD, null, null, distrusting, null, member.port()), 1);
-                Registries waryToo = new Registries(config(Kind.CONSUL, null, null, distrusting, null, consul.port()), 1)) {
+                Registries waryToo =
+                        new Registries(config(Kind.CONSUL, null, null, distrusting, null, consul.port()), 1)) {
             awaitVersion(seen, "a", 1);
             awaitVersion(polled, "a", 1);
             for (Registries none : List.of(bare, wary, waryToo)) {
@@ -191,22 +206,28 @@
             }
         }
         Files.writeString(folder.resolve("none.pem"), "nothing");
-        ConfigException bad = assertThrows(ConfigException.class, () -> new TlsFiles(new RegistryConfig.Tls(folder.resolve("none.pem"),
-            null, null)));
+        ConfigException bad = assertThrows(
+                ConfigException.class,
+                () -> new TlsFiles(new RegistryConfig.Tls(folder.resolve("none.pem"), null, null)));
         assertTrue(bad.getMessage().startsWith(folder + "/none.pem: "), bad.getMessage());
     }
 
     @Test
     void commandsChangeOnlyWhatTheyHaveRead() throws Exception {
-        try (EtcdMember member = new EtcdMember(model); ConsulServer consul = new ConsulServer(model, null)) {
-            for (RegistryConfig at : List.of(config(Kind.ETCD, null, null, null, null, 1, member.port()),
+        try (EtcdMember member = new EtcdMember(model);
+                ConsulServer consul = new ConsulServer(model, null)) {
+            for (RegistryConfig at : List.of(
+                    config(Kind.ETCD, null, null, null, null, 1, member.port()),
                     config(Kind.CONSUL, null, null, null, null, 1, consul.port()))) {
                 assertEquals("0: a is added\n", run(at, "put-host", host("a", 1)));
                 assertEquals("0: a drains\n", run(at, "drain", "a"));
                 assertTrue(new String(model.now().get(key("a")).value()).contains("\"state\":\"DRAINING\""));
-                assertTrue(new String(model.now().get(key("a")).value()).contains("\"boot_ms\":1"), "what else there was stays");
+                assertTrue(
+                        new String(model.now().get(key("a")).value()).contains("\"boot_ms\":1"),
+                        "what else there was stays");
                 long stale = model.revision - 1;
-                assertEquals("1: ", run(at, "put-host", "--if-revision", "" + stale, host("a", 2)), "a lost race is told");
+                assertEquals(
+                        "1: ", run(at, "put-host", "--if-revision", "" + stale, host("a", 2)), "a lost race is told");
                 assertTrue(run(at, "show").contains("a DRAINING 127.0.0.1:5432 group=1"));
                 assertEquals("0: a is deleted\n", run(at, "delete", "a"));
                 assertThrows(ConfigException.class, () -> run(at, "drain", "a"));
@@ -223,8 +244,10 @@
 
     @Test
     void aRaceLostBetweenReadAndWriteChangesNothing() throws Exception {
-        try (EtcdMember member = new EtcdMember(model); ConsulServer consul = new ConsulServer(model, null)) {
-            for (RegistryConfig at : List.of(config(Kind.ETCD, null, null, null, null, member.port()),
+        try (EtcdMember member = new EtcdMember(model);
+                ConsulServer consul = new ConsulServer(model, null)) {
+            for (RegistryConfig at : List.of(
+                    config(Kind.ETCD, null, null, null, null, member.port()),
                     config(Kind.CONSUL, null, null, null, null, consul.port()))) {
                 try (RegistryEditor editor = RegistryClient.editor(at)) {
                     assertTrue(editor.put(key("a"), host("a", 1).getBytes(), 0));
@@ -252,7 +275,11 @@
             }
             try (Registries down = new Registries(config(Kind.ETCD, null, null, null, file, 1), 1)) {
                 awaitVersion(down, "a", 1);
-                assertTrue(((Told.Hosts) down.told.stream().filter(t -> t instanceof Told.Hosts).findFirst().orElseThrow()).old());
+                assertTrue(((Told.Hosts) down.told.stream()
+                                .filter(t -> t instanceof Told.Hosts)
+                                .findFirst()
+                                .orElseThrow())
+                        .old());
                 assertFalse(down.client.figures().live());
                 assertTrue(down.client.figures().age() > 0);
             }
--- a/src/test/java/mintstair/registry/etcd/EtcdMember.java
+++ b/src/test/java/mintstair/registry/etcd/EtcdMember.java
@@ -1,5 +1,6 @@
 package mintstair.registry.etcd;
 
+import com.google.protobuf.ByteString;
 import io.grpc.InsecureServerCredentials;
 import io.grpc.Metadata;
 import io.grpc.Server;
@@ -23,7 +24,6 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
-import com.google.protobuf.ByteString;
 import mintstair.registry.etcd.api.AuthenticateRequest;
 import mintstair.registry.etcd.api.AuthenticateResponse;
 import mintstair.registry.etcd.api.Event;
@@ -44,14 +44,17 @@
 /** One member of a stand-in registry on etcd's v3 wire, as the public API describes it; scripted by its fields. */
 public final class EtcdMember implements AutoCloseable {
     /** Run at each call. */
-    public volatile Runnable onCall = () -> { };
+    public volatile Runnable onCall = () -> {};
+
     public final AtomicInteger reads = new AtomicInteger();
     public final AtomicInteger authenticated = new AtomicInteger();
     /** The member has come no further than this; negative: it is up to date. */
     public volatile long lagsAt = -1;
+
     public volatile boolean noLeader;
     /** Watches are given this many changes a message at most, the rest as fragments. */
     public volatile int fragment = Integer.MAX_VALUE;
+
     public volatile Map<String, String> users = Map.of();
     public final Set<String> tokens = ConcurrentHashMap.newKeySet();
     private final RegistryModel model;
@@ -65,20 +68,29 @@
     public EtcdMember(RegistryModel model, ServerCredentials credentials) throws IOException {
         this.model = model;
         ServerServiceDefinition.Builder kv = ServerServiceDefinition.builder("etcdserverpb.KV");
-        kv.addMethod(Etcd.RANGE, ServerCalls.asyncUnaryCall((RangeRequest r, StreamObserver<RangeResponse> out) -> range(r, out)));
-        kv.addMethod(Etcd.TXN, ServerCalls.asyncUnaryCall((TxnRequest r, StreamObserver<TxnResponse> out) -> txn(r, out)));
+        kv.addMethod(
+                Etcd.RANGE,
+                ServerCalls.asyncUnaryCall((RangeRequest r, StreamObserver<RangeResponse> out) -> range(r, out)));
+        kv.addMethod(
+                Etcd.TXN, ServerCalls.asyncUnaryCall((TxnRequest r, StreamObserver<TxnResponse> out) -> txn(r, out)));
         ServerServiceDefinition.Builder watch = ServerServiceDefinition.builder("etcdserverpb.Watch");
         watch.addMethod(Etcd.WATCH, ServerCalls.asyncBidiStreamingCall(out -> new Stream(out)));
         ServerServiceDefinition.Builder auth = ServerServiceDefinition.builder("etcdserverpb.Auth");
-        auth.addMethod(Etcd.AUTHENTICATE, ServerCalls.asyncUnaryCall(
-            (AuthenticateRequest r, StreamObserver<AuthenticateResponse> out) -> authenticate(r, out)));
+        auth.addMethod(
+                Etcd.AUTHENTICATE,
+                ServerCalls.asyncUnaryCall(
+                        (AuthenticateRequest r, StreamObserver<AuthenticateResponse> out) -> authenticate(r, out)));
         server = OkHttpServerBuilder.forPort(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), credentials)
-            .executor(Executors.newCachedThreadPool(task -> {
-                Thread thread = new Thread(task, "etcd");
-                thread.setDaemon(true);
-                return thread;
-            })).addService(ServerInterceptors.intercept(kv.build(), new Door())).addService(
-                ServerInterceptors.intercept(watch.build(), new Door())).addService(auth.build()).build().start();
+                .executor(Executors.newCachedThreadPool(task -> {
+                    Thread thread = new Thread(task, "etcd");
+                    thread.setDaemon(true);
+                    return thread;
+                }))
+                .addService(ServerInterceptors.intercept(kv.build(), new Door()))
+                .addService(ServerInterceptors.intercept(watch.build(), new Door()))
+                .addService(auth.build())
+                .build()
+                .start();
     }
 
     public int port() {
@@ -88,15 +100,16 @@
     /** Turns away who has no valid token, and everybody while no leader is known. */
     private final class Door implements ServerInterceptor {
         @Override
-        public <A, B> ServerCall.Listener<A> interceptCall(ServerCall<A, B> call, Metadata headers, ServerCallHandler<A, B> next) {
+        public <A, B> ServerCall.Listener<A> interceptCall(
+                ServerCall<A, B> call, Metadata headers, ServerCallHandler<A, B> next) {
             onCall.run();
             String token = headers.get(Metadata.Key.of("token", Metadata.ASCII_STRING_MARSHALLER));
             Status status = !users.isEmpty() && (token == null || !tokens.contains(token))
-                ? Status.UNAUTHENTICATED.withDescription("etcdserver: invalid auth token")
-                : noLeader ? Status.UNAVAILABLE.withDescription("etcdserver: no leader") : null;
+                    ? Status.UNAUTHENTICATED.withDescription("etcdserver: invalid auth token")
+                    : noLeader ? Status.UNAVAILABLE.withDescription("etcdserver: no leader") : null;
             if (status != null) {
                 call.close(status, new Metadata());
-                return new ServerCall.Listener<>() { };
+                return new ServerCall.Listener<>() {};
             }
             return next.startCall(call, headers);
         }
@@ -104,19 +117,27 @@
 
     private void authenticate(AuthenticateRequest r, StreamObserver<AuthenticateResponse> out) {
         if (!r.getPassword().equals(users.get(r.getName()))) {
-            out.onError(Status.INVALID_ARGUMENT.withDescription("etcdserver: authentication failed, invalid user ID or password")
-                .asRuntimeException());
+            out.onError(Status.INVALID_ARGUMENT
+                    .withDescription("etcdserver: authentication failed, invalid user ID or password")
+                    .asRuntimeException());
             return;
         }
         String token = "token" + authenticated.incrementAndGet();
         tokens.add(token);
-        out.onNext(AuthenticateResponse.newBuilder().setHeader(header()).setToken(token).build());
+        out.onNext(AuthenticateResponse.newBuilder()
+                .setHeader(header())
+                .setToken(token)
+                .build());
         out.onCompleted();
     }
 
     private ResponseHeader header() {
         synchronized (model) {
-            return ResponseHeader.newBuilder().setClusterId(model.cluster).setRevision(model.revision).setRaftTerm(model.term).build();
+            return ResponseHeader.newBuilder()
+                    .setClusterId(model.cluster)
+                    .setRevision(model.revision)
+                    .setRaftTerm(model.term)
+                    .build();
         }
     }
 
@@ -125,8 +146,12 @@
     }
 
     private static KeyValue kv(Item item, boolean keysOnly) {
-        return KeyValue.newBuilder().setKey(Etcd.bytes(item.key())).setCreateRevision(item.created()).setModRevision(item.modified())
-            .setValue(keysOnly ? ByteString.EMPTY : ByteString.copyFrom(item.value())).build();
+        return KeyValue.newBuilder()
+                .setKey(Etcd.bytes(item.key()))
+                .setCreateRevision(item.created())
+                .setModRevision(item.modified())
+                .setValue(keysOnly ? ByteString.EMPTY : ByteString.copyFrom(item.value()))
+                .build();
     }
 
     private void range(RangeRequest r, StreamObserver<RangeResponse> out) {
@@ -135,16 +160,24 @@
         synchronized (model) {
             long at = r.getRevision() == 0 ? model.revision : r.getRevision();
             if (at < model.compacted || at > model.revision) {
-                out.onError(Status.OUT_OF_RANGE.withDescription(at > model.revision
-                    ? "etcdserver: mvcc: required revision is a future revision"
-                    : "etcdserver: mvcc: required revision has been compacted").asRuntimeException());
+                out.onError(Status.OUT_OF_RANGE
+                        .withDescription(
+                                at > model.revision
+                                        ? "etcdserver: mvcc: required revision is a future revision"
+                                        : "etcdserver: mvcc: required revision has been compacted")
+                        .asRuntimeException());
                 return;
             }
             String from = r.getKey().toString(java.nio.charset.StandardCharsets.ISO_8859_1);
-            String end = r.getRangeEnd().isEmpty() ? from + '\0' : r.getRangeEnd().toString(java.nio.charset.StandardCharsets.ISO_8859_1);
+            String end = r.getRangeEnd().isEmpty()
+                    ? from + '\0'
+                    : r.getRangeEnd().toString(java.nio.charset.StandardCharsets.ISO_8859_1);
             List<Item> all = new ArrayList<>(model.at(at).subMap(from, end).values());
             int size = r.getLimit() > 0 ? (int) Math.min(r.getLimit(), all.size()) : all.size();
-            RangeResponse.Builder b = RangeResponse.newBuilder().setHeader(header()).setMore(size < all.size()).setCount(all.size());
+            RangeResponse.Builder b = RangeResponse.newBuilder()
+                    .setHeader(header())
+                    .setMore(size < all.size())
+                    .setCount(all.size());
             all.subList(0, size).forEach(item -> b.addKvs(kv(item, r.getKeysOnly())));
             answer = b.build();
         }
@@ -161,13 +194,18 @@
             });
             for (RequestOp op : holds ? r.getSuccessList() : List.<RequestOp>of()) {
                 if (op.hasRequestPut()) {
-                    model.put(op.getRequestPut().getKey().toString(java.nio.charset.StandardCharsets.ISO_8859_1),
-                        op.getRequestPut().getValue().toStringUtf8());
+                    model.put(
+                            op.getRequestPut().getKey().toString(java.nio.charset.StandardCharsets.ISO_8859_1),
+                            op.getRequestPut().getValue().toStringUtf8());
                 } else {
-                    model.delete(op.getRequestDeleteRange().getKey().toString(java.nio.charset.StandardCharsets.ISO_8859_1));
+                    model.delete(
+                            op.getRequestDeleteRange().getKey().toString(java.nio.charset.StandardCharsets.ISO_8859_1));
                 }
             }
-            answer = TxnResponse.newBuilder().setHeader(header()).setSucceeded(holds).build();
+            answer = TxnResponse.newBuilder()
+                    .setHeader(header())
+                    .setSucceeded(holds)
+                    .build();
         }
         out.onNext(answer);
         out.onCompleted();
@@ -199,26 +237,41 @@
             try {
                 long next = from;
                 long cluster = model.cluster;
-                out.onNext(WatchResponse.newBuilder().setHeader(headerAt(reached())).setCreated(true).build());
+                out.onNext(WatchResponse.newBuilder()
+                        .setHeader(headerAt(reached()))
+                        .setCreated(true)
+                        .build());
                 while (true) {
                     List<Change> changes = new ArrayList<>();
                     WatchResponse answer = null;
                     synchronized (model) {
-                        while (!over && !closed && next > reached() && !progress && !noLeader && cluster == model.cluster
+                        while (!over
+                                && !closed
+                                && next > reached()
+                                && !progress
+                                && !noLeader
+                                && cluster == model.cluster
                                 && next <= model.revision + 1) {
                             model.wait(500);
                         }
                         if (over || closed || cluster != model.cluster || next > model.revision + 1) {
-                            out.onError(Status.UNAVAILABLE.withDescription("the member ends").asRuntimeException());
+                            out.onError(Status.UNAVAILABLE
+                                    .withDescription("the member ends")
+                                    .asRuntimeException());
                             return;
                         }
                         if (noLeader) {
-                            out.onError(Status.UNAVAILABLE.withDescription("etcdserver: no leader").asRuntimeException());
+                            out.onError(Status.UNAVAILABLE
+                                    .withDescription("etcdserver: no leader")
+                                    .asRuntimeException());
                             return;
                         }
                         if (next <= model.compacted && next <= reached()) {
-                            answer = WatchResponse.newBuilder().setHeader(header()).setCanceled(true)
-                                .setCompactRevision(model.compacted + 1).build();
+                            answer = WatchResponse.newBuilder()
+                                    .setHeader(header())
+                                    .setCanceled(true)
+                                    .setCompactRevision(model.compacted + 1)
+                                    .build();
                             next = Long.MAX_VALUE;
                         } else if (next <= reached()) {
                             for (long end = Math.min(reached(), next + 50); next <= end; next++) {
@@ -226,7 +279,10 @@
                             }
                         } else {
                             progress = false;
-                            answer = WatchResponse.newBuilder().setHeader(headerAt(reached())).setWatchId(-1).build();
+                            answer = WatchResponse.newBuilder()
+                                    .setHeader(headerAt(reached()))
+                                    .setWatchId(-1)
+                                    .build();
                         }
                     }
                     if (answer != null) {
@@ -238,9 +294,13 @@
                     }
                     for (int i = 0; i < changes.size(); i += fragment) {
                         int end = (int) Math.min(changes.size(), (long) i + fragment);
-                        WatchResponse.Builder b = WatchResponse.newBuilder().setHeader(headerAt(reached())).setFragment(end < changes.size());
-                        changes.subList(i, end).forEach(c -> b.addEvents(Event.newBuilder()
-                            .setType(c.deleted() ? Event.EventType.DELETE : Event.EventType.PUT).setKv(kv(c.item(), false))));
+                        WatchResponse.Builder b = WatchResponse.newBuilder()
+                                .setHeader(headerAt(reached()))
+                                .setFragment(end < changes.size());
+                        changes.subList(i, end)
+                                .forEach(c -> b.addEvents(Event.newBuilder()
+                                        .setType(c.deleted() ? Event.EventType.DELETE : Event.EventType.PUT)
+                                        .setKv(kv(c.item(), false))));
                         out.onNext(b.build());
                     }
                 }
--- a/src/test/java/mintstair/retry/BackoffTest.java
+++ b/src/test/java/mintstair/retry/BackoffTest.java
@@ -21,7 +21,11 @@
         }
         one.reset();
         assertTrue(one.next() <= 100);
-        assertEquals(48, LongStream.range(0, 48).map(seed -> new Backoff(new Random(seed), 1_000_000, 2_000_000).next())
-            .distinct().count());
+        assertEquals(
+                48,
+                LongStream.range(0, 48)
+                        .map(seed -> new Backoff(new Random(seed), 1_000_000, 2_000_000).next())
+                        .distinct()
+                        .count());
     }
 }
--- a/src/test/java/mintstair/serve/AttemptRulesTest.java
+++ b/src/test/java/mintstair/serve/AttemptRulesTest.java
@@ -71,7 +71,9 @@
         Matcher told = TOLD_DEADLINE.matcher(statement);
         assertTrue(told.find(), statement);
         long left = 2_000 - 400;
-        assertTrue(Long.parseLong(told.group(1)) <= left + 150, "told " + told.group(1) + " ms of " + left + " left, seen after " + waited);
+        assertTrue(
+                Long.parseLong(told.group(1)) <= left + 150,
+                "told " + told.group(1) + " ms of " + left + " left, seen after " + waited);
     }
 
     /** The connection comes up while the loop is busy, which it is until the request's time is over. */
--- a/src/test/java/mintstair/serve/BothFrontsTest.java
+++ b/src/test/java/mintstair/serve/BothFrontsTest.java
@@ -35,10 +35,11 @@
 class BothFrontsTest {
     /** Positions far from the present, so that no decision hangs on how fast this machine is. */
     private static final long NOW = 1_800_000_000_000L;
+
     private static final long AHEAD = NOW + 3_600_000;
     private static final long BEHIND = NOW - 3_600_000;
 
-    private record Asked(boolean write, String comment, int deadline) { }
+    private record Asked(boolean write, String comment, int deadline) {}
 
     /** Makes one kind of stand-in host. */
     interface Maker {
@@ -62,8 +63,11 @@
     }
 
     private static List<StandInHost> hosts(Maker maker, List<String> decisions) throws IOException {
-        List<StandInHost> hosts = List.of(maker.host("p", true, AHEAD), maker.host("r1", false, AHEAD),
-            maker.host("r2", false, BEHIND), maker.host("r3", false, AHEAD));
+        List<StandInHost> hosts = List.of(
+                maker.host("p", true, AHEAD),
+                maker.host("r1", false, AHEAD),
+                maker.host("r2", false, BEHIND),
+                maker.host("r3", false, AHEAD));
         for (StandInHost h : hosts) {
             h.witness = decisions::add;
             h.script.put("break", Act.BREAK);
@@ -84,12 +88,21 @@
         AtomicLong clock = new AtomicLong(NOW * 1000);
         boolean pg = protocol instanceof PgProtocol;
         String listed = hosts.stream().map(h -> h.listed("SERVING")).collect(Collectors.joining(","));
-        HostList list = ListReader.read(Json.read(("{\"rev\":1,\"all\":true,\"targets\":[" + listed + "]}").getBytes()));
-        Env env = new Env((Map<?, ?>) Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
+        HostList list =
+                ListReader.read(Json.read(("{\"rev\":1,\"all\":true,\"targets\":[" + listed + "]}").getBytes()));
+        Env env = new Env((Map<?, ?>)
+                Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
         try (Loop loop = new Loop(clock::get)) {
-            Service service = new Service(loop, transport, protocol, 20261201, env, 100, (dispatcher, counters) -> pg
-                ? new PgFront(loop, dispatcher, transport, counters, 10)
-                : new MongoFront(loop, dispatcher, transport, counters, 10));
+            Service service = new Service(
+                    loop,
+                    transport,
+                    protocol,
+                    20261201,
+                    env,
+                    100,
+                    (dispatcher, counters) -> pg
+                            ? new PgFront(loop, dispatcher, transport, counters, 10)
+                            : new MongoFront(loop, dispatcher, transport, counters, 10));
             service.begin(null, list, false);
             int port = service.open(new InetSocketAddress("127.0.0.1", 0), null);
             List<String> answers = new ArrayList<>();
@@ -100,7 +113,8 @@
                         Program.await(() -> hosts.stream().anyMatch(h -> h.seen.contains("silent")), "an attempt");
                         clock.addAndGet(a.deadline * 1000L);
                     } else if (a.comment.startsWith("id=full")) {
-                        Program.await(() -> counters(loop, service).contains(" ended_turned_away=1"), "the host's refusal");
+                        Program.await(
+                                () -> counters(loop, service).contains(" ended_turned_away=1"), "the host's refusal");
                         clock.addAndGet(a.deadline * 1000L);
                     }
                     answers.add(a.comment + ": " + client.answer());
@@ -132,12 +146,15 @@
             assertEquals(pgAnswers, mongoAnswers);
             assertEquals(pgDecisions, mongoDecisions);
             // What is compared holds all that it should: each ending, and each kind of choice.
-            assertEquals(1, pgDecisions.stream().filter(d -> d.startsWith("break ")).count(), "a write runs once");
+            assertEquals(
+                    1, pgDecisions.stream().filter(d -> d.startsWith("break ")).count(), "a write runs once");
             assertTrue(pgAnswers.contains("id=m0,c=any,cluster=1: served m0"), pgAnswers.toString());
-            for (String ending : List.of("id=break,c=write,cluster=1: failed", "id=error,c=any,cluster=1: served error")) {
+            for (String ending :
+                    List.of("id=break,c=write,cluster=1: failed", "id=error,c=any,cluster=1: served error")) {
                 assertTrue(pgAnswers.contains(ending), pgAnswers.toString());
             }
-            assertTrue(pgAnswers.stream().anyMatch(a -> a.startsWith("id=full") && a.contains("refused")), "" + pgAnswers);
+            assertTrue(
+                    pgAnswers.stream().anyMatch(a -> a.startsWith("id=full") && a.contains("refused")), "" + pgAnswers);
             assertTrue(pgDecisions.stream().anyMatch(d -> d.endsWith(" r2")), "any reads use the one behind");
             assertTrue(pgDecisions.contains("m3 at p") && pgDecisions.contains("m11 at p"), "" + pgDecisions);
         } finally {
--- a/src/test/java/mintstair/serve/ConnectionEndsTest.java
+++ b/src/test/java/mintstair/serve/ConnectionEndsTest.java
@@ -128,7 +128,7 @@
         String words = new String(client.in.readNBytes(client.in.readInt() - 4), StandardCharsets.UTF_8);
         assertTrue(words.contains("08P01"), words);
         // Whoever wrote the words has gone on by then, and asked for the end.
-        CompletableFuture.runAsync(() -> { }, loop::execute).join();
+        CompletableFuture.runAsync(() -> {}, loop::execute).join();
         // The loop's clock stands still from here on: however slow the machine, nobody has lingered for long enough.
         CountDownLatch looping = new CountDownLatch(1);
         hold(loop::execute, looping);
--- a/src/test/java/mintstair/serve/GoneClientsTest.java
+++ b/src/test/java/mintstair/serve/GoneClientsTest.java
@@ -26,15 +26,17 @@
     }
 
     private void awaitFigure(String name, long wanted) {
-        Program.await(() -> {
-            CompletableFuture<Long> value = new CompletableFuture<>();
-            loop.execute(() -> {
-                Figures.Sum sum = new Figures.Sum();
-                service.addTo(sum);
-                value.complete(sum.figures().value(name));
-            });
-            return value.join() == wanted;
-        }, name + "=" + wanted);
+        Program.await(
+                () -> {
+                    CompletableFuture<Long> value = new CompletableFuture<>();
+                    loop.execute(() -> {
+                        Figures.Sum sum = new Figures.Sum();
+                        service.addTo(sum);
+                        value.complete(sum.figures().value(name));
+                    });
+                    return value.join() == wanted;
+                },
+                name + "=" + wanted);
     }
 
     private LateHost lateHost() throws IOException {
@@ -138,7 +140,10 @@
         (first.seen.isEmpty() ? second : first).close();
         Client.Pg next = client();
         assertEquals("served next", next.ask(false, "id=next,c=any,cluster=1", 15_000));
-        assertEquals(1, first.seen.stream().filter("gone"::equals).count() + second.seen.stream().filter("gone"::equals).count());
+        assertEquals(
+                1,
+                first.seen.stream().filter("gone"::equals).count()
+                        + second.seen.stream().filter("gone"::equals).count());
     }
 
     /** The loop is busy when request and end of its connection arrive: what it does first must already know of the end. */
@@ -170,8 +175,9 @@
         Client.Pg gone = client();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 50; i++) {
-            all.append(new String(Client.Pg.query(Client.Pg.words(true, "id=m" + i + ",c=write,cluster=1", 15_000)),
-                StandardCharsets.ISO_8859_1));
+            all.append(new String(
+                    Client.Pg.query(Client.Pg.words(true, "id=m" + i + ",c=write,cluster=1", 15_000)),
+                    StandardCharsets.ISO_8859_1));
         }
         gone.raw(all.toString().getBytes(StandardCharsets.ISO_8859_1));
         Program.await(() -> primary.seen.contains("m0"), "the first of many");
--- a/src/test/java/mintstair/serve/LeaversTest.java
+++ b/src/test/java/mintstair/serve/LeaversTest.java
@@ -36,6 +36,7 @@
 class LeaversTest {
     /** Nothing new goes to a host later than this after it was told to leave. */
     private static final long GRACE_MILLIS = 1_000;
+
     private static final long SILENCE_MILLIS = 6_000;
 
     private final Loop loop = new Loop();
@@ -63,14 +64,22 @@
 
     private Service service(int proxies, String discovery, String connectTimeout) throws IOException {
         Env env = env(proxies, discovery, connectTimeout);
-        return new Service(loop, transport, new PgProtocol(), 5, env, 16,
-            (dispatcher, counters) -> new PgFront(loop, dispatcher, transport, counters, 16));
+        return new Service(
+                loop,
+                transport,
+                new PgProtocol(),
+                5,
+                env,
+                16,
+                (dispatcher, counters) -> new PgFront(loop, dispatcher, transport, counters, 16));
     }
 
     private static Env env(int proxies, String discovery, String connectTimeout) throws IOException {
-        String settings = Program.SETTINGS.replace("PROBING", "false").replace("\"connectTimeoutS\":0.25",
-            "\"connectTimeoutS\":" + connectTimeout).replace("automatic", discovery)
-            .replace("\"balancers\":1,", "\"balancers\":" + proxies + ",");
+        String settings = Program.SETTINGS
+                .replace("PROBING", "false")
+                .replace("\"connectTimeoutS\":0.25", "\"connectTimeoutS\":" + connectTimeout)
+                .replace("automatic", discovery)
+                .replace("\"balancers\":1,", "\"balancers\":" + proxies + ",");
         return new Env((Map<?, ?>) Json.read(settings.getBytes(StandardCharsets.UTF_8)));
     }
 
@@ -172,7 +181,9 @@
         leaves("h7");
         way.silence(false);
         knownWithin(GRACE_MILLIS);
-        assertTrue(agent.asked.stream().skip(calls).anyMatch("index=1&wait=1"::equals), "no wait that hides a further silence");
+        assertTrue(
+                agent.asked.stream().skip(calls).anyMatch("index=1&wait=1"::equals),
+                "no wait that hides a further silence");
     }
 
     /** A list that cannot be read changes nothing, and the whole is asked for at once. */
@@ -194,7 +205,9 @@
         agent.tell(Discovery.hosts(hosts, "h7=DRAINING").replaceFirst("127.0.0.1:1\"", "127.0.0.1:99999\""));
         knownWithin(GRACE_MILLIS);
         agent.tell(Discovery.hosts(hosts, "h7=DRAINING"));
-        Program.await(() -> figure("db_hosts_known") == hosts && figure("db_hosts_excluded") == 1, "the entry once it can be used");
+        Program.await(
+                () -> figure("db_hosts_known") == hosts && figure("db_hosts_excluded") == 1,
+                "the entry once it can be used");
     }
 
     /** What the agent has counts as told from the first moment of a process, whose own list is from before. */
@@ -215,7 +228,9 @@
         knownWithin(GRACE_MILLIS);
         way.cut();
         agent.tell(Discovery.hosts(hosts - 1));
-        Program.await(() -> figure("db_hosts_known") == hosts - 1 && figure("db_hosts_excluded") == 0, "the one gone, the other back");
+        Program.await(
+                () -> figure("db_hosts_known") == hosts - 1 && figure("db_hosts_excluded") == 0,
+                "the one gone, the other back");
         agent.tell(Discovery.hosts(hosts));
         Program.await(() -> figure("db_hosts_known") == hosts, "the one listed anew");
     }
@@ -224,7 +239,8 @@
     @Test
     void discoveryBeforeIsFollowedUntilTheOtherSpeaks() throws IOException {
         watch();
-        try (Discovery other = new Discovery(Discovery.hosts(hosts - 1, "h8=DRAINING")); Relay there = new Relay(other.port())) {
+        try (Discovery other = new Discovery(Discovery.hosts(hosts - 1, "h8=DRAINING"));
+                Relay there = new Relay(other.port())) {
             there.refuse(true);
             loop.execute(() -> service.discover(address(there.port())));
             awaitTries();
@@ -281,8 +297,8 @@
                 client.send(false, "id=held,c=any,cluster=1", 15_000);
                 mute.accept();
                 HostList.Entry leaver = replica("mute", mute.getLocalPort(), HostList.State.DRAINING);
-                loop.execute(() -> service.listed(new HostList(2, true,
-                    List.of(leaver, replica("other", other.port(), HostList.State.SERVING)))));
+                loop.execute(() -> service.listed(new HostList(
+                        2, true, List.of(leaver, replica("other", other.port(), HostList.State.SERVING)))));
                 assertEquals("served held", client.answer());
             }
             service.front.stopListening();
