--- a/src/test/java/mintstair/serve/LimitsTest.java
+++ b/src/test/java/mintstair/serve/LimitsTest.java
@@ -39,8 +39,14 @@
 
     private int listen(int mostClients) throws IOException {
         HostList.Entry replica = new HostList.Entry("r", "127.0.0.1:9", "z", 1, HostList.State.SERVING, false, 1, 0);
-        Service service = new Service(loop, transport, new PgProtocol(), 1, env(), 10,
-            (dispatcher, counters) -> new PgFront(loop, dispatcher, transport, counters, mostClients));
+        Service service = new Service(
+                loop,
+                transport,
+                new PgProtocol(),
+                1,
+                env(),
+                10,
+                (dispatcher, counters) -> new PgFront(loop, dispatcher, transport, counters, mostClients));
         service.begin(null, new HostList(1, true, List.of(replica)), false);
         return service.open(new InetSocketAddress("127.0.0.1", 0), null);
     }
@@ -53,7 +59,8 @@
 
     @Test
     void oneClientTooManyIsToldSoAndTheOthersStay() throws IOException {
-        try (Client.Pg first = new Client.Pg(port); Client.Pg second = new Client.Pg(port)) {
+        try (Client.Pg first = new Client.Pg(port);
+                Client.Pg second = new Client.Pg(port)) {
             // No primary is known, so that these wait.
             first.send(true, "id=one,c=write,cluster=1", 3000);
             second.send(true, "id=two,c=write,cluster=1", 3000);
@@ -126,7 +133,8 @@
             for (int known : new int[] {0, 12, 60, 500}) {
                 Descriptors share = Descriptors.of(sockets, 1, true, known);
                 int full = share.clients() + Front.slack(share.clients()) + share.hosts() + Descriptors.OWN;
-                assertTrue(sockets < 256 || full + share.hosts() + Descriptors.OWN <= sockets, share + " of " + sockets);
+                assertTrue(
+                        sockets < 256 || full + share.hosts() + Descriptors.OWN <= sockets, share + " of " + sockets);
                 assertTrue(share.hosts() <= Math.max(16, sockets / 3), share.toString());
                 assertTrue(sockets < 256 || share.clients() >= sockets / 8, share.toString());
             }
@@ -136,7 +144,8 @@
     /** Guards against a start that waits for its time to run out: in memory nothing has to be waited for. */
     @Test
     void rehearsalComesThroughAndReachesNoHost() throws IOException {
-        assertTrue(Rehearsal.requests(2) > 2 * Rehearsal.requests(14) && Rehearsal.requests(1000) == Rehearsal.requests(100));
+        assertTrue(Rehearsal.requests(2) > 2 * Rehearsal.requests(14)
+                && Rehearsal.requests(1000) == Rehearsal.requests(100));
         assertTrue(Rehearsal.run(env(), new InetSocketAddress("127.0.0.1", port), 30_000));
         try (Client.Pg client = new Client.Pg(port)) {
             client.raw(Client.Pg.query("SHOW counters"));
@@ -145,7 +154,8 @@
     }
 
     private static Env env() throws IOException {
-        return new Env((Map<?, ?>) Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
+        return new Env((Map<?, ?>)
+                Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
     }
 
     private void assertServes() throws IOException {
@@ -158,7 +168,8 @@
     /** Guards against clients that ask once and stay for good: the longest idle makes room for one that asks. */
     @Test
     void longestIdleClientMakesRoom() throws IOException {
-        try (Client.Pg first = new Client.Pg(port); Client.Pg second = new Client.Pg(port)) {
+        try (Client.Pg first = new Client.Pg(port);
+                Client.Pg second = new Client.Pg(port)) {
             long end = System.nanoTime() + 20_000_000_000L;
             String answer = "none";
             while (!answer.equals("empty") && System.nanoTime() < end) {
@@ -181,7 +192,8 @@
     /** Guards against those who come and ask nothing: one who asked and kept its connection stays in their place. */
     @Test
     void thoseWhoHaveNotAskedMakeRoomFirst() throws IOException {
-        try (Client.Pg asked = new Client.Pg(port); Client.Pg fresh = new Client.Pg(port)) {
+        try (Client.Pg asked = new Client.Pg(port);
+                Client.Pg fresh = new Client.Pg(port)) {
             assertTrue(asked.ask(true, "id=a,c=write,cluster=1", 200).startsWith("refused "));
             fresh.raw(Client.Pg.query(""));
             assertEquals("empty", fresh.answer(), "the one that was heard last");
@@ -233,7 +245,8 @@
     /** Guards against floods of connections that say nothing: they give way at once, and end by themselves. */
     @Test
     void silentConnectionsGiveWayAndEndByADeadline() throws IOException {
-        try (Client.Pg first = new Client.Pg(port, true); Client.Pg second = new Client.Pg(port, true)) {
+        try (Client.Pg first = new Client.Pg(port, true);
+                Client.Pg second = new Client.Pg(port, true)) {
             assertServes();
             assertEquals("refused 0", first.answer());
             assertEquals("failed", second.answer());
@@ -245,8 +258,13 @@
     @Test
     void whatCannotBeServedEndsWithOneError() throws IOException {
         byte[] half = Client.Pg.query("SELECT");
-        for (byte[] words : new byte[][] {Arrays.copyOf(half, half.length - 1), {'Q', -1, -1, -1, -1},
-            {'Q', 0x7f, -1, -1, -1}, {'@', 0, 0, 0, 4}, {'Q', 0, 0, 0, 3}}) {
+        for (byte[] words : new byte[][] {
+            Arrays.copyOf(half, half.length - 1),
+            {'Q', -1, -1, -1, -1},
+            {'Q', 0x7f, -1, -1, -1},
+            {'@', 0, 0, 0, 4},
+            {'Q', 0, 0, 0, 3}
+        }) {
             try (Client.Pg client = new Client.Pg(port)) {
                 client.raw(words);
                 assertEquals("failed", client.answer(), Arrays.toString(words));
@@ -284,7 +302,8 @@
     /** Guards against answers that go to the wrong client: the id of an open request stays with its owner. */
     @Test
     void idOfAnOpenRequestBelongsToItsFirstOwner() throws IOException {
-        try (Client.Pg owner = new Client.Pg(port); Client.Pg other = new Client.Pg(port)) {
+        try (Client.Pg owner = new Client.Pg(port);
+                Client.Pg other = new Client.Pg(port)) {
             owner.send(true, "id=mine,c=write,cluster=1", 1000);
             awaitTaken(other);
             String answer = other.ask(true, "id=mine,c=write,cluster=1", 1000);
--- a/src/test/java/mintstair/serve/ListHandoverTest.java
+++ b/src/test/java/mintstair/serve/ListHandoverTest.java
@@ -22,7 +22,9 @@
     void whatWaitsGivesWayToOneWholeList() {
         Deque<Runnable> loop = new ArrayDeque<>();
         List<String> taken = new ArrayList<>();
-        ListHandover handover = new ListHandover(loop::add, h -> taken.add((h.list().whole() ? "whole " : "") + h.list().revision()));
+        ListHandover handover = new ListHandover(
+                loop::add,
+                h -> taken.add((h.list().whole() ? "whole " : "") + h.list().revision()));
         handover.offer(List.of(list(1, false), list(2, false)), List::of);
         handover.offer(List.of(), List::of);
         assertEquals(1, loop.size());
@@ -35,7 +37,9 @@
             handover.offer(List.of(list(at, false)), () -> List.of(list(at, true)));
         }
         loop.forEach(Runnable::run);
-        assertEquals(List.of("whole " + (ListHandover.MOST + 1), "" + (ListHandover.MOST + 2), "" + (ListHandover.MOST + 3)), taken);
+        assertEquals(
+                List.of("whole " + (ListHandover.MOST + 1), "" + (ListHandover.MOST + 2), "" + (ListHandover.MOST + 3)),
+                taken);
         assertEquals(1, handover.conflated());
     }
 
@@ -44,7 +48,8 @@
     void manyHostsWaitInNoMoreThanOneWholeList() {
         Deque<Runnable> loop = new ArrayDeque<>();
         List<Long> taken = new ArrayList<>();
-        ListHandover handover = new ListHandover(loop::add, h -> taken.add(h.list().revision()));
+        ListHandover handover =
+                new ListHandover(loop::add, h -> taken.add(h.list().revision()));
         HostList.Entry host = new HostList.Entry("h", "127.0.0.1:1", "z", 1, HostList.State.SERVING, false, 1, 0);
         List<HostList.Entry> thousand = Collections.nCopies(1_024, host);
         for (long i = 1; i <= 40; i++) {
--- a/src/test/java/mintstair/serve/OneService.java
+++ b/src/test/java/mintstair/serve/OneService.java
@@ -55,7 +55,10 @@
 
     /** Serves these hosts, over so many connections to them at most; attempts may be called off or not. */
     final void serve(boolean cancelling, int mostHostConnections, HostList.Entry... hosts) throws IOException {
-        serve(Program.SETTINGS.replace("\"cancelling\":true", "\"cancelling\":" + cancelling), mostHostConnections, hosts);
+        serve(
+                Program.SETTINGS.replace("\"cancelling\":true", "\"cancelling\":" + cancelling),
+                mostHostConnections,
+                hosts);
     }
 
     /** Serves these hosts over one connection at a time; writes may be repeated within so many seconds. */
@@ -64,10 +67,17 @@
     }
 
     private void serve(String settingsText, int mostHostConnections, HostList.Entry... hosts) throws IOException {
-        String settings = settingsText.replace("PROBING", "false").replace("\"connectTimeoutS\":0.25", "\"connectTimeoutS\":20");
+        String settings =
+                settingsText.replace("PROBING", "false").replace("\"connectTimeoutS\":0.25", "\"connectTimeoutS\":20");
         Env env = new Env((Map<?, ?>) Json.read(settings.getBytes(StandardCharsets.UTF_8)));
-        service = new Service(loop, transport, new PgProtocol(), 5, env, mostHostConnections,
-            (dispatcher, counters) -> new PgFront(loop, dispatcher, transport, counters, 600));
+        service = new Service(
+                loop,
+                transport,
+                new PgProtocol(),
+                5,
+                env,
+                mostHostConnections,
+                (dispatcher, counters) -> new PgFront(loop, dispatcher, transport, counters, 600));
         service.begin(null, new HostList(1, true, List.of(hosts)), false);
         port = service.open(new InetSocketAddress("127.0.0.1", 0), null);
     }
--- a/src/test/java/mintstair/soak/Ledger.java
+++ b/src/test/java/mintstair/soak/Ledger.java
@@ -1,6 +1,5 @@
 package mintstair.soak;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -14,18 +13,24 @@
 final class Ledger {
     /** What the rules leave on sockets, and what a process may be held up for between reading its clock and writing. */
     private static final long SLACK = 200;
+
     private static final long WAIT_SLACK = 150;
     /** Up to half a second after its time an answer only earns nothing. */
     private static final long ANSWER_SLACK = 500;
+
     private static final long CLIENT_GONE = 100;
     private static final long GRACE = 1_000;
     /** What a silent watch misses counts as told so much later. */
     private static final long SILENCE = 6_000;
+
     private static final long NEVER = Long.MAX_VALUE;
 
     /** The classes of the play's settings. */
     enum Kind {
-        BOUNDED("bounded", false, 1_000), SESSION("session", false, 750), ANY("any", false, 1_500), WRITE("write", true, 2_000),
+        BOUNDED("bounded", false, 1_000),
+        SESSION("session", false, 750),
+        ANY("any", false, 1_500),
+        WRITE("write", true, 2_000),
         KEYED("keyed", true, 2_000);
 
         final String title;
@@ -41,6 +46,7 @@
 
     /** In which a keyed request's repeats are dropped. */
     static final long WINDOW = 400;
+
     static final long BOUND = 200;
 
     /** What a request's client did and heard. */
@@ -65,10 +71,17 @@
     }
 
     /** A request's arrival at a host. */
-    private record Arrival(long at, SoakHost host, long drainingSince, boolean wasPrimary, long toldWait, long position, boolean mayRun) { }
+    private record Arrival(
+            long at,
+            SoakHost host,
+            long drainingSince,
+            boolean wasPrimary,
+            long toldWait,
+            long position,
+            boolean mayRun) {}
 
     /** A time in which somebody is excused from being in time, and from when on. */
-    private record Span(int proxy, long from, long to) { }
+    private record Span(int proxy, long from, long to) {}
 
     private final Map<String, Asked> asked = new ConcurrentHashMap<>();
     private final Map<String, List<Arrival>> arrivals = new ConcurrentHashMap<>();
@@ -91,7 +104,7 @@
 
     void arrived(String id, SoakHost host, long wait, long position, boolean mayRun) {
         arrivals.computeIfAbsent(id, key -> new CopyOnWriteArrayList<>())
-            .add(new Arrival(now(), host, host.drainingSince, host.countsAsPrimary(), wait, position, mayRun));
+                .add(new Arrival(now(), host, host.drainingSince, host.countsAsPrimary(), wait, position, mayRun));
     }
 
     /** A proxy, or all for -1, stood still in this time. */
@@ -127,7 +140,8 @@
     }
 
     private static boolean touches(List<Span> spans, int proxy, long from, long to) {
-        return spans.stream().anyMatch(span -> (span.proxy == proxy || span.proxy < 0) && span.from <= to && span.to >= from);
+        return spans.stream()
+                .anyMatch(span -> (span.proxy == proxy || span.proxy < 0) && span.from <= to && span.to >= from);
     }
 
     private void count(String what) {
@@ -144,8 +158,12 @@
     }
 
     private void judgeAnswer(Asked each) {
-        count(each.answer.isEmpty() ? each.leftAt < NEVER ? "left" : "unanswered" : each.answer.split(" ")[0]);
-        if (each.leftAt < NEVER || touches(killed, each.proxy, each.sentAt - SLACK, Math.min(each.endedAt, each.sentAt + 10_000))) {
+        count(
+                each.answer.isEmpty()
+                        ? each.leftAt < NEVER ? "left" : "unanswered"
+                        : each.answer.split(" ")[0]);
+        if (each.leftAt < NEVER
+                || touches(killed, each.proxy, each.sentAt - SLACK, Math.min(each.endedAt, each.sentAt + 10_000))) {
             return;
         }
         boolean seen = arrivals.containsKey(each.id);
@@ -153,7 +171,8 @@
         long excused = overlap(heldUp, each.proxy, each.sentAt, each.endedAt == NEVER ? due : each.endedAt);
         if (each.answer.startsWith("served ") && !each.answer.equals("served " + each.id)) {
             tell(each, "served another's value: " + each.answer);
-        } else if (each.answer.isEmpty() && (seen || each.firstOnConnection && !touches(ending, each.proxy, each.sentAt - 10, each.endedAt))) {
+        } else if (each.answer.isEmpty()
+                && (seen || each.firstOnConnection && !touches(ending, each.proxy, each.sentAt - 10, each.endedAt))) {
             tell(each, "has no answer, " + (seen ? "and was sent on" : "on a new connection"));
         } else if (!each.answer.isEmpty() && each.endedAt > due + excused) {
             tell(each, "was answered " + (each.endedAt - each.sentAt) + " ms after it was sent");
@@ -168,7 +187,9 @@
             if (each.kind == Kind.WRITE && firstThatMayRun < NEVER) {
                 tell(each, "is a write and arrived again at " + arrival.host.name);
             }
-            if (each.kind == Kind.KEYED && arrival.at > firstThatMayRun + WINDOW + SLACK + excused && firstThatMayRun < NEVER) {
+            if (each.kind == Kind.KEYED
+                    && arrival.at > firstThatMayRun + WINDOW + SLACK + excused
+                    && firstThatMayRun < NEVER) {
                 tell(each, "arrived again " + (arrival.at - firstThatMayRun) + " ms after its first attempt");
             }
             if (arrival.toldWait > left + WAIT_SLACK + excused) {
@@ -189,7 +210,10 @@
             told += SILENCE;
         }
         if (told < NEVER && arrival.at > told + GRACE + SLACK + excused) {
-            tell(each, "arrived at " + arrival.host.name + " " + (arrival.at - arrival.drainingSince) + " ms after that began to drain");
+            tell(
+                    each,
+                    "arrived at " + arrival.host.name + " " + (arrival.at - arrival.drainingSince)
+                            + " ms after that began to drain");
         }
     }
 
@@ -199,9 +223,12 @@
         }
         long age = System.currentTimeMillis() - (now() - arrival.at) - arrival.position;
         if (each.kind == Kind.SESSION && arrival.position < each.after) {
-            tell(each, "was answered by " + arrival.host.name + " from " + (each.after - arrival.position) + " ms before its session's write, at "
-                + arrival.at);
-        } else if (each.kind == Kind.BOUNDED && age > BOUND + SLACK + overlap(heldUp, each.proxy, arrival.at - SLACK, arrival.at)) {
+            tell(
+                    each,
+                    "was answered by " + arrival.host.name + " from " + (each.after - arrival.position)
+                            + " ms before its session's write, at " + arrival.at);
+        } else if (each.kind == Kind.BOUNDED
+                && age > BOUND + SLACK + overlap(heldUp, each.proxy, arrival.at - SLACK, arrival.at)) {
             tell(each, "was answered by " + arrival.host.name + " with data that was " + age + " ms old");
         }
     }
--- a/src/test/java/mintstair/soak/Soak.java
+++ b/src/test/java/mintstair/soak/Soak.java
@@ -9,7 +9,7 @@
  * [--seconds S] [--first SEED] [--seeds N]}. Logs and the story of each play are kept below target/soak.
  */
 public final class Soak {
-    private Soak() { }
+    private Soak() {}
 
     private static int option(List<String> args, String name, int otherwise) {
         int at = args.indexOf(name);
@@ -35,7 +35,8 @@
             List<String> violations = play.play();
             Files.write(folder.resolve("story.txt"), play.story());
             Files.write(folder.resolve("violations.txt"), violations);
-            System.out.println("seed " + seed + ": " + play + ", " + play.story().size() + " troubles, " + violations.size() + " violations");
+            System.out.println("seed " + seed + ": " + play + ", "
+                    + play.story().size() + " troubles, " + violations.size() + " violations");
             violations.stream().limit(20).forEach(each -> System.out.println("  " + each));
             return violations.isEmpty();
         }
--- a/src/test/java/mintstair/soak/SoakClient.java
+++ b/src/test/java/mintstair/soak/SoakClient.java
@@ -66,12 +66,16 @@
     private boolean ask(Client.Pg client, boolean first) throws IOException, InterruptedException {
         Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
         long after = kind == Kind.SESSION && random.nextDouble() < ASKS_SOON_AFTER_WRITE
-            ? System.currentTimeMillis() - random.nextInt(500) : 0;
+                ? System.currentTimeMillis() - random.nextInt(500)
+                : 0;
         String id = prefix + "-" + count++;
         int cluster = random.nextInt(groups);
         Asked asked = ledger.asks(id, kind, proxy.number, after, first);
         try {
-            client.send(kind.writes, "id=" + id + ",c=" + kind.title + ",cluster=" + cluster + (after > 0 ? ",after=" + after : ""), kind.deadline);
+            client.send(
+                    kind.writes,
+                    "id=" + id + ",c=" + kind.title + ",cluster=" + cluster + (after > 0 ? ",after=" + after : ""),
+                    kind.deadline);
             if (random.nextDouble() < LEAVES) {
                 Thread.sleep(random.nextInt(MOST_LEAVING_MILLIS));
                 asked.leftAt = Ledger.now();
--- a/src/test/java/mintstair/soak/SoakHost.java
+++ b/src/test/java/mintstair/soak/SoakHost.java
@@ -18,7 +18,14 @@
 /** A db host that misbehaves as the play wants it and notes each request that arrives. */
 final class SoakHost implements AutoCloseable {
     /** What becomes of a request that has arrived. */
-    enum Mode { SERVE, HANG, RESET, ERROR, TURN_AWAY, TORN }
+    enum Mode {
+        SERVE,
+        HANG,
+        RESET,
+        ERROR,
+        TURN_AWAY,
+        TORN
+    }
 
     private static final Pattern ID = Pattern.compile("id=([^,]*),");
     private static final Pattern WAIT = Pattern.compile("d=(\\d+)");
@@ -32,13 +39,16 @@
     private volatile boolean primary;
     /** Until when it was primary, on the ledger's clock. */
     private volatile long primaryUntil;
+
     volatile Mode mode = Mode.SERVE;
     volatile boolean greetsLate;
     /** Since when it applies nothing, in Unix milliseconds; 0 while it keeps up. */
     private volatile long stoppedAt;
+
     private long furthest;
     /** When discovery told that it drains, on the ledger's clock; {@link Long#MAX_VALUE} while it serves. */
     volatile long drainingSince = Long.MAX_VALUE;
+
     final long bootMillis;
     private final Ledger ledger;
     private final Random random;
@@ -57,9 +67,11 @@
 
     /** As discovery lists it. */
     String listed() {
-        return "{\"uid\":\"" + name + "\",\"endpoint\":\"127.0.0.1:" + server.getLocalPort() + "\",\"az\":\"a\",\"model\":\"m\",\"pod_group\":"
-            + group + ",\"state\":\"" + (drainingSince < Long.MAX_VALUE ? "DRAINING" : "SERVING") + "\",\"capacity_hint\":1.0,\"boot_ms\":"
-            + bootMillis + ",\"rank\":\"" + (primary ? "source" : "copy") + "\"}";
+        return "{\"uid\":\"" + name + "\",\"endpoint\":\"127.0.0.1:" + server.getLocalPort()
+                + "\",\"az\":\"a\",\"model\":\"m\",\"pod_group\":"
+                + group + ",\"state\":\"" + (drainingSince < Long.MAX_VALUE ? "DRAINING" : "SERVING")
+                + "\",\"capacity_hint\":1.0,\"boot_ms\":"
+                + bootMillis + ",\"rank\":\"" + (primary ? "source" : "copy") + "\"}";
     }
 
     private void accept() {
@@ -127,7 +139,9 @@
         for (int type = in.read(); type == 'Q'; type = in.read()) {
             String text = new String(in.readNBytes(in.readInt() - 4), StandardCharsets.UTF_8).replace("\0", "");
             if (text.equals("SHOW vitals")) {
-                out.write(row("inflight=0,util=0.1,x0=" + position() / 1e3 + ",x1=" + (primary ? 1 : 0)).ready().bytes());
+                out.write(row("inflight=0,util=0.1,x0=" + position() / 1e3 + ",x1=" + (primary ? 1 : 0))
+                        .ready()
+                        .bytes());
             } else if (!answer(socket, out, text)) {
                 return;
             }
@@ -154,12 +168,17 @@
             return false;
         }
         Thread.sleep(1 + chance(MOST_WORK_MILLIS));
-        PgWriter words = miss ? error("25006") : switch (now) {
-            case ERROR -> error("XX000");
-            case TURN_AWAY -> error("53300");
-            default -> row(id.group(1));
-        };
-        byte[] bytes = words.message('S', "rank", primary ? "source" : "copy").message('S', "as_of", Long.toString(position)).ready().bytes();
+        PgWriter words = miss
+                ? error("25006")
+                : switch (now) {
+                    case ERROR -> error("XX000");
+                    case TURN_AWAY -> error("53300");
+                    default -> row(id.group(1));
+                };
+        byte[] bytes = words.message('S', "rank", primary ? "source" : "copy")
+                .message('S', "as_of", Long.toString(position))
+                .ready()
+                .bytes();
         if (now == Mode.TORN) {
             out.write(bytes, 0, bytes.length / 2);
             return false;
@@ -174,8 +193,10 @@
 
     private static PgWriter row(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-        return new PgWriter().message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
-            .message('D', '\0', '\1', bytes.length, bytes).message('C', "SELECT 1");
+        return new PgWriter()
+                .message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
+                .message('D', '\0', '\1', bytes.length, bytes)
+                .message('C', "SELECT 1");
     }
 
     @Override
--- a/src/test/java/mintstair/soak/SoakPlay.java
+++ b/src/test/java/mintstair/soak/SoakPlay.java
@@ -25,8 +25,29 @@
 
     /** What may go wrong. */
     private enum Trouble {
-        STOP, HAND_OVER, KILL, PAUSE, RELOAD, CLOCK_STEP, ACCEPT_FAILS, CONNECT_FAILS, SOCKET_FAILS, SHORT_READS, SHORT_WRITES, INTERRUPTS,
-        HOST_HANGS, HOST_RESETS, HOST_ERRORS, HOST_FULL, HOST_TEARS, HOST_LATE, HOST_LAGS, HOST_REPLACED, NEW_PRIMARY, WATCH_MUTE, WATCH_CUT,
+        STOP,
+        HAND_OVER,
+        KILL,
+        PAUSE,
+        RELOAD,
+        CLOCK_STEP,
+        ACCEPT_FAILS,
+        CONNECT_FAILS,
+        SOCKET_FAILS,
+        SHORT_READS,
+        SHORT_WRITES,
+        INTERRUPTS,
+        HOST_HANGS,
+        HOST_RESETS,
+        HOST_ERRORS,
+        HOST_FULL,
+        HOST_TEARS,
+        HOST_LATE,
+        HOST_LAGS,
+        HOST_REPLACED,
+        NEW_PRIMARY,
+        WATCH_MUTE,
+        WATCH_CUT,
         LIST_SILENT
     }
 
@@ -66,7 +87,8 @@
         for (SoakProxy proxy : proxies) {
             for (int i = 0; i < CLIENTS_EACH; i++) {
                 String prefix = "s" + seed + "p" + proxy.number + "c" + i;
-                start(new SoakClient(proxy, GROUPS, ledger, seed * 31 + proxy.number * 7L + i, prefix, until + SETTLE_MILLIS / 2));
+                start(new SoakClient(
+                        proxy, GROUPS, ledger, seed * 31 + proxy.number * 7L + i, prefix, until + SETTLE_MILLIS / 2));
             }
         }
     }
@@ -128,21 +150,40 @@
         }
     }
 
-    private void make(Trouble trouble, SoakProxy proxy, Random chance, long millis) throws IOException, InterruptedException {
+    private void make(Trouble trouble, SoakProxy proxy, Random chance, long millis)
+            throws IOException, InterruptedException {
         switch (trouble) {
             case STOP -> signalled(proxy, () -> proxy.restart(false));
             case HAND_OVER -> signalled(proxy, () -> proxy.restart(true));
             case KILL -> signalled(proxy, proxy::kill);
             case PAUSE -> signalled(proxy, () -> proxy.pause(millis / 3));
-            case RELOAD -> signalled(proxy, () -> {
-                proxy.configure(chance.nextBoolean() ? agent.port() : otherAgent.port(), listed());
-                proxy.signal("HUP");
-            });
+            case RELOAD ->
+                signalled(proxy, () -> {
+                    proxy.configure(chance.nextBoolean() ? agent.port() : otherAgent.port(), listed());
+                    proxy.signal("HUP");
+                });
             case CLOCK_STEP -> proxy.shim.shiftWallClock(Duration.ofSeconds(chance.nextInt(7_200) - 3_600));
-            case ACCEPT_FAILS -> fail(proxy, Call.ACCEPT, chance, millis, Fault.EMFILE, Fault.ENFILE, Fault.ECONNABORTED, Fault.ENOBUFS,
-                Fault.EINTR);
-            case CONNECT_FAILS -> fail(proxy, Call.CONNECT, chance, millis, Fault.EADDRNOTAVAIL, Fault.ENETUNREACH, Fault.ETIMEDOUT,
-                Fault.EHOSTUNREACH);
+            case ACCEPT_FAILS ->
+                fail(
+                        proxy,
+                        Call.ACCEPT,
+                        chance,
+                        millis,
+                        Fault.EMFILE,
+                        Fault.ENFILE,
+                        Fault.ECONNABORTED,
+                        Fault.ENOBUFS,
+                        Fault.EINTR);
+            case CONNECT_FAILS ->
+                fail(
+                        proxy,
+                        Call.CONNECT,
+                        chance,
+                        millis,
+                        Fault.EADDRNOTAVAIL,
+                        Fault.ENETUNREACH,
+                        Fault.ETIMEDOUT,
+                        Fault.EHOSTUNREACH);
             case SOCKET_FAILS -> fail(proxy, Call.SOCKET, chance, millis, Fault.ENOBUFS, Fault.ENFILE, Fault.EMFILE);
             case SHORT_READS -> fail(proxy, Call.READ, chance, millis, Fault.ONE_BYTE);
             case SHORT_WRITES -> fail(proxy, Call.WRITE, chance, millis, Fault.ONE_BYTE);
@@ -166,8 +207,8 @@
             }
             case HOST_REPLACED -> replace(anyHost(chance), millis);
             case NEW_PRIMARY -> handOver(chance);
-            case WATCH_MUTE -> listTrouble(agent::mute, () -> { }, 0);
-            case WATCH_CUT -> listTrouble(agent::cut, () -> { }, 0);
+            case WATCH_MUTE -> listTrouble(agent::mute, () -> {}, 0);
+            case WATCH_CUT -> listTrouble(agent::cut, () -> {}, 0);
             case LIST_SILENT -> listTrouble(() -> agent.silence(true), () -> agent.silence(false), millis);
         }
     }
@@ -184,7 +225,8 @@
         }
     }
 
-    private static void fail(SoakProxy proxy, Call call, Random chance, long millis, Fault... faults) throws InterruptedException {
+    private static void fail(SoakProxy proxy, Call call, Random chance, long millis, Fault... faults)
+            throws InterruptedException {
         proxy.shim.fail(call, faults[chance.nextInt(faults.length)], 300 + chance.nextInt(700));
         Thread.sleep(millis);
         proxy.shim.heal();
@@ -231,8 +273,9 @@
     private void handOver(Random chance) throws InterruptedException {
         int group = chance.nextInt(GROUPS);
         synchronized (discovery) {
-            List<SoakHost> replicas = hosts.stream().filter(each -> each.group == group && !each.isPrimary()
-                && each.drainingSince == Long.MAX_VALUE).toList();
+            List<SoakHost> replicas = hosts.stream()
+                    .filter(each -> each.group == group && !each.isPrimary() && each.drainingSince == Long.MAX_VALUE)
+                    .toList();
             if (replicas.isEmpty()) {
                 return;
             }
--- a/src/test/java/mintstair/soak/SoakProxy.java
+++ b/src/test/java/mintstair/soak/SoakProxy.java
@@ -15,21 +15,24 @@
 final class SoakProxy implements AutoCloseable {
     /** SIGKILL comes no sooner after SIGTERM: the longest deadline, which is 2 s here, and 0.7 s; and what a busy machine takes. */
     private static final long END_MILLIS = 2_700 + 300;
+
     private static final long READY_MILLIS = 30_000;
     /** The status of a process that SIGTERM ended by itself. */
     private static final int TERMINATED = 143;
-    private static final String SETTINGS = "{\"discovery\":\"automatic\",\"balancers\":PROXIES,\"position\":0,\"locality\":\"a\",\"classes\":["
-        + "{\"name\":\"bounded\",\"repeat\":\"idempotent\",\"sloS\":0.3,\"deadlineS\":1,\"worth\":1,\"lateValue\":0.2},"
-        + "{\"name\":\"session\",\"repeat\":\"idempotent\",\"sloS\":0.3,\"deadlineS\":0.75,\"worth\":3,\"lateValue\":0},"
-        + "{\"name\":\"any\",\"repeat\":\"idempotent\",\"sloS\":0.5,\"deadlineS\":1.5,\"worth\":4,\"lateValue\":0.2},"
-        + "{\"name\":\"write\",\"repeat\":\"at_most_once\",\"sloS\":1,\"deadlineS\":2,\"worth\":3,\"lateValue\":0.3},"
-        + "{\"name\":\"keyed\",\"repeat\":\"deduplicated\",\"windowS\":0.4,\"sloS\":1,\"deadlineS\":2,\"worth\":3,\"lateValue\":0.3}],"
-        + "\"familyInfo\":{\"classBoundS\":[0.2,0,0,0,0],\"consistency\":[\"bounded\",\"session\",\"any\",\"write\",\"write\"],"
-        + "\"listRole\":\"late\",\"serverChecks\":\"none\",\"sessionMarks\":\"carried\",\"tellsPosition\":true},"
-        + "\"limits\":{\"maxAttempts\":8,\"cancelling\":true,\"probing\":true,\"secondCopies\":true,"
-        + "\"retryAfter\":true,\"maxRetryAfterS\":RETRY,\"connectTimeoutS\":0.25,\"connIdleS\":15},"
-        + "\"invariants\":{\"coldFrom\":0.24,\"drainGraceS\":1,\"fallMultiple\":3,\"fallS\":1.5,\"warmAfterS\":5},"
-        + "\"prices\":{\"probe\":0.04},\"report\":{\"fields\":[\"x0\",\"x1\"],\"how\":\"probe\"}}";
+
+    private static final String SETTINGS =
+            "{\"discovery\":\"automatic\",\"balancers\":PROXIES,\"position\":0,\"locality\":\"a\",\"classes\":["
+                    + "{\"name\":\"bounded\",\"repeat\":\"idempotent\",\"sloS\":0.3,\"deadlineS\":1,\"worth\":1,\"lateValue\":0.2},"
+                    + "{\"name\":\"session\",\"repeat\":\"idempotent\",\"sloS\":0.3,\"deadlineS\":0.75,\"worth\":3,\"lateValue\":0},"
+                    + "{\"name\":\"any\",\"repeat\":\"idempotent\",\"sloS\":0.5,\"deadlineS\":1.5,\"worth\":4,\"lateValue\":0.2},"
+                    + "{\"name\":\"write\",\"repeat\":\"at_most_once\",\"sloS\":1,\"deadlineS\":2,\"worth\":3,\"lateValue\":0.3},"
+                    + "{\"name\":\"keyed\",\"repeat\":\"deduplicated\",\"windowS\":0.4,\"sloS\":1,\"deadlineS\":2,\"worth\":3,\"lateValue\":0.3}],"
+                    + "\"familyInfo\":{\"classBoundS\":[0.2,0,0,0,0],\"consistency\":[\"bounded\",\"session\",\"any\",\"write\",\"write\"],"
+                    + "\"listRole\":\"late\",\"serverChecks\":\"none\",\"sessionMarks\":\"carried\",\"tellsPosition\":true},"
+                    + "\"limits\":{\"maxAttempts\":8,\"cancelling\":true,\"probing\":true,\"secondCopies\":true,"
+                    + "\"retryAfter\":true,\"maxRetryAfterS\":RETRY,\"connectTimeoutS\":0.25,\"connIdleS\":15},"
+                    + "\"invariants\":{\"coldFrom\":0.24,\"drainGraceS\":1,\"fallMultiple\":3,\"fallS\":1.5,\"warmAfterS\":5},"
+                    + "\"prices\":{\"probe\":0.04},\"report\":{\"fields\":[\"x0\",\"x1\"],\"how\":\"probe\"}}";
 
     final int number;
     final int port;
@@ -57,9 +60,14 @@
     /** Writes the configuration: where discovery is, and the list as last known. */
     void configure(int discovery, String known) throws IOException {
         reloads++;
-        Files.writeString(config, "{\"name\":\"n" + number + "\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:" + discovery
-            + "\",\"seed\":\"" + Long.toHexString(number * 7919L + 1) + "\",\"limits\":{\"sockets\":1024},\"known\":{\"rev\":0,\"all\":true,\"targets\":["
-            + known + "]},\"settings\":" + SETTINGS.replace("PROXIES", "" + proxies).replace("RETRY", "" + (1 + reloads % 2)) + "}");
+        Files.writeString(
+                config,
+                "{\"name\":\"n" + number + "\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:"
+                        + discovery
+                        + "\",\"seed\":\"" + Long.toHexString(number * 7919L + 1)
+                        + "\",\"limits\":{\"sockets\":1024},\"known\":{\"rev\":0,\"all\":true,\"targets\":["
+                        + known + "]},\"settings\":"
+                        + SETTINGS.replace("PROXIES", "" + proxies).replace("RETRY", "" + (1 + reloads % 2)) + "}");
     }
 
     void start() throws IOException {
@@ -67,9 +75,20 @@
     }
 
     private Process launch() throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-Xms32m", "-Xmx64m", "-Xss512k", "-cp", System.getProperty("java.class.path"), "mintstair.Main",
-            "serve", config.toString()).redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+        ProcessBuilder builder = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xms32m",
+                        "-Xmx64m",
+                        "-Xss512k",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "mintstair.Main",
+                        "serve",
+                        config.toString())
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
         builder.environment().putAll(shim.environment());
         launches++;
         return builder.start();
@@ -77,7 +96,7 @@
 
     /** Waits until a client can connect. */
     void awaitReady() throws InterruptedException {
-        for (long end = Ledger.now() + READY_MILLIS; Ledger.now() < end;) {
+        for (long end = Ledger.now() + READY_MILLIS; Ledger.now() < end; ) {
             try (Socket probe = new Socket("127.0.0.1", port)) {
                 return;
             } catch (IOException e) {
@@ -88,7 +107,9 @@
     }
 
     void signal(String name) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
+        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                .start()
+                .waitFor();
     }
 
     /** Stands still for so long. */
@@ -131,8 +152,10 @@
         for (long end = Ledger.now() + READY_MILLIS; Ledger.now() < end; Thread.sleep(20)) {
             long count = 0;
             for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
-                count += Files.readAllLines(Path.of(table)).stream().map(line -> line.strip().split("\\s+"))
-                    .filter(words -> words[1].endsWith(address) && words[3].equals("0A")).count();
+                count += Files.readAllLines(Path.of(table)).stream()
+                        .map(line -> line.strip().split("\\s+"))
+                        .filter(words -> words[1].endsWith(address) && words[3].equals("0A"))
+                        .count();
             }
             if (count >= listeners) {
                 return;
@@ -169,8 +192,11 @@
     /** What the log tells of rules that the program itself found broken, and of faults. */
     List<String> faultsInLog() throws IOException {
         try (var lines = Files.lines(log, StandardCharsets.UTF_8)) {
-            return lines.filter(line -> line.startsWith("unexpected") || line.startsWith("rule broken")
-                || line.startsWith("counters: ") && !line.contains(" rules_broken={}")).map(line -> "proxy " + number + ": " + line).toList();
+            return lines.filter(line -> line.startsWith("unexpected")
+                            || line.startsWith("rule broken")
+                            || line.startsWith("counters: ") && !line.contains(" rules_broken={}"))
+                    .map(line -> "proxy " + number + ": " + line)
+                    .toList();
         }
     }
 
--- a/src/test/java/mintstair/standin/Client.java
+++ b/src/test/java/mintstair/standin/Client.java
@@ -62,7 +62,9 @@
         }
 
         public static byte[] startup() {
-            return new PgWriter().packet(196608, "user", "web", "database", "orders", "").bytes();
+            return new PgWriter()
+                    .packet(196608, "user", "web", "database", "orders", "")
+                    .bytes();
         }
 
         public static byte[] query(String text) {
@@ -70,8 +72,10 @@
         }
 
         public static String words(boolean write, String comment, int deadline) {
-            return (write ? "INSERT INTO entries (ref, payload) VALUES ('7f', '\\x9f') RETURNING payload"
-                : "SELECT payload FROM entries WHERE ref = '7f'") + " /* " + comment + ",d=" + deadline + " */";
+            return (write
+                            ? "INSERT INTO entries (ref, payload) VALUES ('7f', '\\x9f') RETURNING payload"
+                            : "SELECT payload FROM entries WHERE ref = '7f'")
+                    + " /* " + comment + ",d=" + deadline + " */";
         }
 
         @Override
@@ -96,8 +100,9 @@
                     String text = new String(m, StandardCharsets.UTF_8);
                     code = text.replaceAll("(?s).*\0C([^\0]*).*", "$1");
                     boolean refused = code.equals("53300") || code.equals("57P03");
-                    answer = refused ? "refused " + (text.contains("\0D") ? text.replaceAll("(?s).*\0D(\\d+).*", "$1") : 0)
-                        : "failed";
+                    answer = refused
+                            ? "refused " + (text.contains("\0D") ? text.replaceAll("(?s).*\0D(\\d+).*", "$1") : 0)
+                            : "failed";
                 }
             }
             return answer;
@@ -125,22 +130,34 @@
         @Override
         public void send(boolean write, String comment, int deadline) throws IOException {
             BsonDocument entry = new BsonDocument("ref", new BsonString("7f"));
-            BsonDocument command = write ? new BsonDocument("insert", new BsonString("e"))
-                .append("documents", new BsonArray(List.of(entry)))
-                : new BsonDocument("find", new BsonString("e")).append("filter", entry);
-            raw(MongoMessage.opMsg(command.append("comment", new BsonString(comment + ",session=7f"))
-                .append("maxTimeMS", new BsonInt64(deadline)).append("$db", new BsonString("orders")), 0));
+            BsonDocument command = write
+                    ? new BsonDocument("insert", new BsonString("e")).append("documents", new BsonArray(List.of(entry)))
+                    : new BsonDocument("find", new BsonString("e")).append("filter", entry);
+            raw(MongoMessage.opMsg(
+                    command.append("comment", new BsonString(comment + ",session=7f"))
+                            .append("maxTimeMS", new BsonInt64(deadline))
+                            .append("$db", new BsonString("orders")),
+                    0));
         }
 
         @Override
         public String answer() throws IOException {
             last = MongoHost.read(in).body();
             if (last.getNumber("ok").intValue() == 1) {
-                return "served " + (last.containsKey("cursor") ? last.getDocument("cursor").getArray("firstBatch").get(0)
-                    .asDocument() : last).getString("id").getValue();
+                return "served "
+                        + (last.containsKey("cursor")
+                                        ? last.getDocument("cursor")
+                                                .getArray("firstBatch")
+                                                .get(0)
+                                                .asDocument()
+                                        : last)
+                                .getString("id")
+                                .getValue();
             }
             return last.getNumber("code").intValue() == 462
-                ? "refused " + last.getNumber("retryAfterMS", new BsonInt64(0)).intValue() : "failed";
+                    ? "refused "
+                            + last.getNumber("retryAfterMS", new BsonInt64(0)).intValue()
+                    : "failed";
         }
     }
 }
--- a/src/test/java/mintstair/standin/ConsulServer.java
+++ b/src/test/java/mintstair/standin/ConsulServer.java
@@ -22,6 +22,7 @@
     public volatile boolean noLeader;
     /** What the next reads are answered with in place of the list; 0 for the list. */
     public volatile int status;
+
     public volatile String token;
     private final RegistryModel model;
     private final HttpServer server;
@@ -41,7 +42,8 @@
             thread.setDaemon(true);
             return thread;
         }));
-        server.createContext("/v1/status/leader", exchange -> answer(exchange, 200, noLeader ? "\"\"" : "\"127.0.0.1:8300\""));
+        server.createContext(
+                "/v1/status/leader", exchange -> answer(exchange, 200, noLeader ? "\"\"" : "\"127.0.0.1:8300\""));
         server.createContext("/v1/kv/", this::kv);
         server.start();
     }
@@ -92,7 +94,10 @@
         List<Item> items;
         synchronized (model) {
             long end = System.nanoTime() + 4_000_000_000L;
-            while (!known.isEmpty() && Long.parseLong(known) == model.revision && System.nanoTime() < end && !noLeader) {
+            while (!known.isEmpty()
+                    && Long.parseLong(known) == model.revision
+                    && System.nanoTime() < end
+                    && !noLeader) {
                 try {
                     model.wait(200);
                 } catch (InterruptedException e) {
@@ -101,14 +106,25 @@
                 }
             }
             boolean tree = query != null && query.contains("recurse");
-            items = model.now().values().stream().filter(i -> tree ? i.key().startsWith(key) : i.key().equals(key)).toList();
+            items = model.now().values().stream()
+                    .filter(i -> tree ? i.key().startsWith(key) : i.key().equals(key))
+                    .toList();
             exchange.getResponseHeaders().set("X-Consul-Index", "" + model.revision);
         }
         exchange.getResponseHeaders().set("X-Consul-KnownLeader", "true");
         exchange.getResponseHeaders().set("X-Consul-LastContact", "0");
-        answer(exchange, items.isEmpty() ? 404 : 200, items.isEmpty() ? "" : items.stream().map(i -> "{\"Key\":\"" + i.key()
-            + "\",\"Value\":\"" + Base64.getEncoder().encodeToString(i.value()) + "\",\"CreateIndex\":" + i.created()
-            + ",\"ModifyIndex\":" + i.modified() + ",\"Flags\":0,\"LockIndex\":0}").collect(Collectors.joining(",", "[", "]")));
+        answer(
+                exchange,
+                items.isEmpty() ? 404 : 200,
+                items.isEmpty()
+                        ? ""
+                        : items.stream()
+                                .map(i -> "{\"Key\":\"" + i.key()
+                                        + "\",\"Value\":\""
+                                        + Base64.getEncoder().encodeToString(i.value()) + "\",\"CreateIndex\":"
+                                        + i.created()
+                                        + ",\"ModifyIndex\":" + i.modified() + ",\"Flags\":0,\"LockIndex\":0}")
+                                .collect(Collectors.joining(",", "[", "]")));
     }
 
     private static void answer(HttpExchange exchange, int status, String text) throws IOException {
--- a/src/test/java/mintstair/standin/Discovery.java
+++ b/src/test/java/mintstair/standin/Discovery.java
@@ -31,11 +31,15 @@
         server.createContext("/registry/instances", exchange -> {
             String query = exchange.getRequestURI().getQuery();
             asked.add(String.valueOf(query));
-            byte[] body = (query == null ? answer(-1, 0) : answer(Integer.parseInt(query.replaceAll(".*index=(\\d+).*", "$1")),
-                Long.parseLong(query.replaceAll(".*wait=(\\d+).*", "$1")))).getBytes(StandardCharsets.UTF_8);
+            byte[] body = (query == null
+                            ? answer(-1, 0)
+                            : answer(
+                                    Integer.parseInt(query.replaceAll(".*index=(\\d+).*", "$1")),
+                                    Long.parseLong(query.replaceAll(".*wait=(\\d+).*", "$1"))))
+                    .getBytes(StandardCharsets.UTF_8);
             exchange.sendResponseHeaders(200, body.length);
             Random pieces = new Random(body.length);
-            for (int at = 0; at < body.length;) {
+            for (int at = 0; at < body.length; ) {
                 int n = Math.min(body.length - at, 1 + pieces.nextInt(4096));
                 exchange.getResponseBody().write(body, at, n);
                 exchange.getResponseBody().flush();
@@ -48,10 +52,15 @@
 
     /** So many hosts that nobody is behind, h0 and on in groups of three, indented; of some their states, as in h7=DRAINING. */
     public static String hosts(int count, String... states) {
-        Map<String, String> told = Stream.of(states).map(s -> s.split("=")).collect(Collectors.toMap(s -> s[0], s -> s[1]));
-        return IntStream.range(0, count).mapToObj(i -> ("{#\"uid\":\"h" + i + "\",#\"endpoint\":\"127.0.0.1:1\",#\"az\":\"a\",#\"model\":\"m\","
-            + "#\"pod_group\":" + i / 3 + ",#\"state\":\"" + told.getOrDefault("h" + i, "SERVING") + "\",#\"capacity_hint\":1.0,#\"boot_ms\":0,"
-            + "#\"rank\":\"" + (i % 3 == 0 ? "source" : "copy") + "\"}").replace("#", "\n    ")).collect(Collectors.joining(",\n  "));
+        Map<String, String> told =
+                Stream.of(states).map(s -> s.split("=")).collect(Collectors.toMap(s -> s[0], s -> s[1]));
+        return IntStream.range(0, count)
+                .mapToObj(i -> ("{#\"uid\":\"h" + i + "\",#\"endpoint\":\"127.0.0.1:1\",#\"az\":\"a\",#\"model\":\"m\","
+                                + "#\"pod_group\":" + i / 3 + ",#\"state\":\"" + told.getOrDefault("h" + i, "SERVING")
+                                + "\",#\"capacity_hint\":1.0,#\"boot_ms\":0,"
+                                + "#\"rank\":\"" + (i % 3 == 0 ? "source" : "copy") + "\"}")
+                        .replace("#", "\n    "))
+                .collect(Collectors.joining(",\n  "));
     }
 
     public int port() {
--- a/src/test/java/mintstair/standin/FaultRelay.java
+++ b/src/test/java/mintstair/standin/FaultRelay.java
@@ -101,8 +101,10 @@
                 in.receive(packet);
                 Link link = link(packet.getAddress(), to);
                 if (!link.cut) {
-                    DatagramPacket on = new DatagramPacket(Arrays.copyOf(bytes, packet.getLength()), packet.getLength(),
-                        new InetSocketAddress(address(1, to), ports[to]));
+                    DatagramPacket on = new DatagramPacket(
+                            Arrays.copyOf(bytes, packet.getLength()),
+                            packet.getLength(),
+                            new InetSocketAddress(address(1, to), ports[to]));
                     later.schedule(() -> send(on), link.delayMillis, TimeUnit.MILLISECONDS);
                 }
             } catch (IOException e) {
@@ -133,7 +135,8 @@
     /** What the process says goes to the caller; one that is gone is told by closing, a cut link by nothing at all. */
     private void pass(Socket caller, int to) {
         Link link = link(caller.getInetAddress(), to);
-        try (caller; Socket behind = new Socket()) {
+        try (caller;
+                Socket behind = new Socket()) {
             if (link.cut || back(caller.getInetAddress(), to).cut) {
                 caller.setSoTimeout(10_000);
                 caller.getInputStream().read();
--- a/src/test/java/mintstair/standin/FaultShim.java
+++ b/src/test/java/mintstair/standin/FaultShim.java
@@ -18,12 +18,31 @@
  */
 public final class FaultShim {
     /** A system call that can fail; in the library's order. */
-    public enum Call { ACCEPT, SOCKET, CONNECT, EPOLL_WAIT, READ, WRITE, FILE_WRITE, SYNC }
+    public enum Call {
+        ACCEPT,
+        SOCKET,
+        CONNECT,
+        EPOLL_WAIT,
+        READ,
+        WRITE,
+        FILE_WRITE,
+        SYNC
+    }
 
     /** Errors by their Linux numbers; with the last one a read or write takes one byte. */
     public enum Fault {
-        EINTR(4), EIO(5), ENFILE(23), EMFILE(24), ENOSPC(28), EADDRNOTAVAIL(99), ENETUNREACH(101), ECONNABORTED(103), ENOBUFS(105),
-        ETIMEDOUT(110), EHOSTUNREACH(113), ONE_BYTE(1000);
+        EINTR(4),
+        EIO(5),
+        ENFILE(23),
+        EMFILE(24),
+        ENOSPC(28),
+        EADDRNOTAVAIL(99),
+        ENETUNREACH(101),
+        ECONNABORTED(103),
+        ENOBUFS(105),
+        ETIMEDOUT(110),
+        EHOSTUNREACH(113),
+        ONE_BYTE(1000);
 
         final long number;
 
@@ -65,8 +84,10 @@
         Path made = Files.createTempDirectory("fault-shim").resolve("fault_shim.so");
         Process compiler;
         try {
-            compiler = new ProcessBuilder("cc", "-O1", "-shared", "-fPIC", "-o", made.toString(), SOURCE.toString(), "-ldl")
-                .inheritIO().start();
+            compiler = new ProcessBuilder(
+                            "cc", "-O1", "-shared", "-fPIC", "-o", made.toString(), SOURCE.toString(), "-ldl")
+                    .inheritIO()
+                    .start();
         } catch (IOException e) {
             throw new IOException("a C compiler named cc is needed, see README.md: " + e.getMessage(), e);
         }
--- a/src/test/java/mintstair/standin/LateHost.java
+++ b/src/test/java/mintstair/standin/LateHost.java
@@ -72,8 +72,13 @@
     /** An answer with this value, from a primary. */
     public static byte[] answer(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-        return new PgWriter().message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
-            .message('D', '\0', '\1', bytes.length, bytes).message('C', "SELECT 1").message('S', "rank", "source").ready().bytes();
+        return new PgWriter()
+                .message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
+                .message('D', '\0', '\1', bytes.length, bytes)
+                .message('C', "SELECT 1")
+                .message('S', "rank", "source")
+                .ready()
+                .bytes();
     }
 
     @Override
--- a/src/test/java/mintstair/standin/MongoHost.java
+++ b/src/test/java/mintstair/standin/MongoHost.java
@@ -37,8 +37,8 @@
             }
             if (!reply.isEmpty()) {
                 reply.append("isWritablePrimary", BsonBoolean.valueOf(primary))
-                    .append("lastWrite", new BsonDocument("lastWriteDate", new BsonDateTime(positionMillis)))
-                    .append("localTime", new BsonDateTime(positionMillis));
+                        .append("lastWrite", new BsonDocument("lastWriteDate", new BsonDateTime(positionMillis)))
+                        .append("localTime", new BsonDateTime(positionMillis));
                 out.write(MongoMessage.opMsg(reply, m.requestId()));
             }
         }
@@ -65,14 +65,21 @@
             c.getArray("cursors").forEach(id -> cursors.remove(id.asInt64().getValue()));
             return ok;
         }
-        String id = byKey ? "value of " + c.getString("comment").getValue().replaceAll(".*session=([^,]*).*", "$1") : id(c);
+        String id =
+                byKey ? "value of " + c.getString("comment").getValue().replaceAll(".*session=([^,]*).*", "$1") : id(c);
         switch (act(id)) {
-            case BREAK: return null;
-            case SILENT: return new BsonDocument();
-            case MISS: return error(10107);
-            case ERROR: return error(11600);
-            case FULL: return error(462);
-            default: break;
+            case BREAK:
+                return null;
+            case SILENT:
+                return new BsonDocument();
+            case MISS:
+                return error(10107);
+            case ERROR:
+                return error(11600);
+            case FULL:
+                return error(462);
+            default:
+                break;
         }
         if (!c.containsKey("find") && !c.containsKey("getMore")) {
             return ok.append("n", new BsonInt32(1)).append("id", new BsonString(id));
@@ -83,8 +90,11 @@
             cursors.add(cursor);
         }
         BsonArray batch = new BsonArray(List.of(new BsonDocument("id", new BsonString(id))));
-        return ok.append("cursor", new BsonDocument("id", new BsonInt64(cursor)).append("ns", new BsonString("orders.e"))
-            .append(c.containsKey("find") ? "firstBatch" : "nextBatch", batch));
+        return ok.append(
+                "cursor",
+                new BsonDocument("id", new BsonInt64(cursor))
+                        .append("ns", new BsonString("orders.e"))
+                        .append(c.containsKey("find") ? "firstBatch" : "nextBatch", batch));
     }
 
     private static String id(BsonDocument c) {
@@ -95,7 +105,8 @@
     }
 
     private static BsonDocument error(int code) {
-        return new BsonDocument("ok", new BsonInt32(0)).append("code", new BsonInt32(code))
-            .append("errmsg", new BsonString("as the script says"));
+        return new BsonDocument("ok", new BsonInt32(0))
+                .append("code", new BsonInt32(code))
+                .append("errmsg", new BsonString("as the script says"));
     }
 }
--- a/src/test/java/mintstair/standin/PgHost.java
+++ b/src/test/java/mintstair/standin/PgHost.java
@@ -32,7 +32,9 @@
             String text = new String(query, 0, query.length - 1, StandardCharsets.UTF_8);
             Matcher id = ID.matcher(text);
             if (text.equals("SHOW vitals")) {
-                String vitals = script.get("vitals") == Act.NOISE ? "inflight=%%%,x0=nan,x1=q" : "inflight=0,util=0.1,x0=" + positionMillis / 1e3 + ",x1=" + (primary ? 1 : 0);
+                String vitals = script.get("vitals") == Act.NOISE
+                        ? "inflight=%%%,x0=nan,x1=q"
+                        : "inflight=0,util=0.1,x0=" + positionMillis / 1e3 + ",x1=" + (primary ? 1 : 0);
                 out.write(row(vitals).ready().bytes());
                 continue;
             }
@@ -45,8 +47,10 @@
             }
             if (act == Act.NOISE || act == Act.HUGE) {
                 // The connection stays open, and is of no further use.
-                out.write(act == Act.NOISE ? "q\0?%%%".repeat(9).getBytes(StandardCharsets.UTF_8)
-                    : new byte[] {'D', -1, -1, -1, -16, 0, 1, -1, -1, -1, 0, 7, 7, 7});
+                out.write(
+                        act == Act.NOISE
+                                ? "q\0?%%%".repeat(9).getBytes(StandardCharsets.UTF_8)
+                                : new byte[] {'D', -1, -1, -1, -16, 0, 1, -1, -1, -1, 0, 7, 7, 7});
                 continue;
             }
             if (act == Act.LONG_TORN) {
@@ -63,7 +67,9 @@
                 default -> row(byKey ? "value of " + text.split("'")[1] : id.group(1));
             };
             byte[] answer = words.message('S', "rank", primary ? "source" : "copy")
-                .message('S', "as_of", Long.toString(positionMillis)).ready().bytes();
+                    .message('S', "as_of", Long.toString(positionMillis))
+                    .ready()
+                    .bytes();
             out.write(answer);
             if (act == Act.TWICE) {
                 out.write(answer);
@@ -81,7 +87,9 @@
 
     private static PgWriter row(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-        return new PgWriter().message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
-            .message('D', '\0', '\1', bytes.length, bytes).message('C', "SELECT 1");
+        return new PgWriter()
+                .message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
+                .message('D', '\0', '\1', bytes.length, bytes)
+                .message('C', "SELECT 1");
     }
 }
--- a/src/test/java/mintstair/standin/RegistryModel.java
+++ b/src/test/java/mintstair/standin/RegistryModel.java
@@ -16,6 +16,7 @@
     public long compacted;
     /** The changes of each revision from the first on, the compacted ones too: they are only not given out any more. */
     private List<List<Change>> history = new ArrayList<>(List.of(List.of(), List.of()));
+
     private TreeMap<String, Item> now = new TreeMap<>();
     private long cachedAt = -1;
     private TreeMap<String, Item> cached;
@@ -36,7 +37,8 @@
         values.forEach((key, value) -> {
             Item before = now.get(key);
             if (value != null) {
-                Item item = new Item(key, value.getBytes(StandardCharsets.UTF_8), before == null ? at : before.created(), at);
+                Item item = new Item(
+                        key, value.getBytes(StandardCharsets.UTF_8), before == null ? at : before.created(), at);
                 now.put(key, item);
                 changes.add(new Change(false, item));
             } else if (before != null) {
--- a/src/test/java/mintstair/standin/StandInHost.java
+++ b/src/test/java/mintstair/standin/StandInHost.java
@@ -19,7 +19,21 @@
 /** A db host of either protocol: it answers at once, or as its script says for a request's id. */
 public abstract class StandInHost implements AutoCloseable {
     /** What a host does with a request. */
-    public enum Act { SERVE, MISS, ERROR, FULL, BREAK, SILENT, NOISE, TORN, HUGE, TWICE, TRAILED, LONG, LONG_TORN }
+    public enum Act {
+        SERVE,
+        MISS,
+        ERROR,
+        FULL,
+        BREAK,
+        SILENT,
+        NOISE,
+        TORN,
+        HUGE,
+        TWICE,
+        TRAILED,
+        LONG,
+        LONG_TORN
+    }
 
     public final String name;
     public final List<String> seen = Collections.synchronizedList(new ArrayList<>());
@@ -29,7 +43,8 @@
     /** Whether a value is that of its key, the same each time, in place of the request's id. */
     public volatile boolean byKey;
     /** What sees each request first, in the order of arrival at all hosts that share it. */
-    public Consumer<String> witness = line -> { };
+    public Consumer<String> witness = line -> {};
+
     private final AtomicInteger open = new AtomicInteger();
     private final ServerSocket server;
     private final Set<Socket> sockets = Collections.synchronizedSet(new HashSet<>());
@@ -54,8 +69,8 @@
     /** This host as discovery lists it. */
     public final String listed(String state) {
         return "{\"uid\":\"" + name + "\",\"endpoint\":\"127.0.0.1:" + port() + "\",\"az\":\"a\",\"model\":\"m\","
-            + "\"pod_group\":1,\"state\":\"" + state + "\",\"capacity_hint\":1.0,\"boot_ms\":0,\"rank\":\""
-            + (primary ? "source" : "copy") + "\"}";
+                + "\"pod_group\":1,\"state\":\"" + state + "\",\"capacity_hint\":1.0,\"boot_ms\":0,\"rank\":\""
+                + (primary ? "source" : "copy") + "\"}";
     }
 
     /** Notes a request and says what to do with it; {@code SILENT} ones are never answered. */
--- a/src/test/java/mintstair/store/StoreTest.java
+++ b/src/test/java/mintstair/store/StoreTest.java
@@ -25,6 +25,7 @@
 class StoreTest {
     @TempDir
     private Path folder;
+
     private final Map<String, InetSocketAddress> members = new LinkedHashMap<>();
     private final Map<String, Store> running = new TreeMap<>();
 
@@ -57,16 +58,18 @@
 
     private String leader() {
         String[] found = new String[1];
-        Program.await(() -> {
-            for (Map.Entry<String, Store> e : running.entrySet()) {
-                try {
-                    found[0] = e.getValue().leads() ? e.getKey() : found[0];
-                } catch (IOException ex) {
-                    return false;
-                }
-            }
-            return found[0] != null;
-        }, "a leader");
+        Program.await(
+                () -> {
+                    for (Map.Entry<String, Store> e : running.entrySet()) {
+                        try {
+                            found[0] = e.getValue().leads() ? e.getKey() : found[0];
+                        } catch (IOException ex) {
+                            return false;
+                        }
+                    }
+                    return found[0] != null;
+                },
+                "a leader");
         return found[0];
     }
 
@@ -97,7 +100,9 @@
         stop("n2");
         Path snapshots;
         try (Stream<Path> files = Files.walk(folder.resolve("n2"))) {
-            snapshots = files.filter(file -> file.getFileName().toString().equals("sm")).findFirst().orElseThrow();
+            snapshots = files.filter(file -> file.getFileName().toString().equals("sm"))
+                    .findFirst()
+                    .orElseThrow();
         }
         // A count of seven entries, and none of them.
         Files.write(snapshots.resolve("snapshot.1_1"), new byte[] {0, 0, 0, 7, 0, 0});
--- a/src/test/java/mintstair/traffic/RecordingTest.java
+++ b/src/test/java/mintstair/traffic/RecordingTest.java
@@ -22,8 +22,8 @@
 import mintstair.pcap.Losses;
 import mintstair.pcap.PcapWriter;
 import mintstair.standin.Client;
-import mintstair.traffic.Recording.Protocol;
 import mintstair.traffic.RecordedExchange.Result;
+import mintstair.traffic.Recording.Protocol;
 import mintstair.wire.MongoMessage;
 import mintstair.wire.PgWriter;
 import net.jqwik.api.Example;
@@ -90,8 +90,12 @@
 
     private static byte[] row(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-        return new PgWriter().message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
-            .message('D', '\0', '\1', bytes.length, bytes).message('C', "SELECT 1").ready().bytes();
+        return new PgWriter()
+                .message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
+                .message('D', '\0', '\1', bytes.length, bytes)
+                .message('C', "SELECT 1")
+                .ready()
+                .bytes();
     }
 
     private static byte[] query(boolean write, String comment) {
@@ -101,20 +105,39 @@
     @Example
     void eachRequestOfPostgresqlHasItsFinalAnswer() throws IOException {
         List<RecordedExchange> found = read(file -> {
-            Said c = new Said(file, 40001, PG).asks(Client.Pg.startup()).answers(new PgWriter().message('R', 0).ready().bytes());
-            c.asks(Client.Pg.query("")).answers(new PgWriter().message('I').ready().bytes());
-            c.asks(query(false, "id=a,c=basket,cluster=2,after=1767225600123,r=1")).answers(row("first"));
-            c.asks(query(true, "id=b,c=order,cluster=2")).answers(new PgWriter().error("ERROR", "53300", "no room", "250").ready().bytes());
-            c.asks(query(true, "id=c,c=order,cluster=2")).answers(new PgWriter().error("ERROR", "XX000", "lost", null).ready().bytes());
-            c.asks(query(false, "id=d,c=any,cluster=2")).asks(query(false, "id=e,c=any,cluster=2")).answers(row("first")).answers(row("other"));
+            Said c = new Said(file, 40001, PG)
+                    .asks(Client.Pg.startup())
+                    .answers(new PgWriter().message('R', 0).ready().bytes());
+            c.asks(Client.Pg.query(""))
+                    .answers(new PgWriter().message('I').ready().bytes());
+            c.asks(query(false, "id=a,c=basket,cluster=2,after=1767225600123,r=1"))
+                    .answers(row("first"));
+            c.asks(query(true, "id=b,c=order,cluster=2"))
+                    .answers(new PgWriter()
+                            .error("ERROR", "53300", "no room", "250")
+                            .ready()
+                            .bytes());
+            c.asks(query(true, "id=c,c=order,cluster=2"))
+                    .answers(new PgWriter()
+                            .error("ERROR", "XX000", "lost", null)
+                            .ready()
+                            .bytes());
+            c.asks(query(false, "id=d,c=any,cluster=2"))
+                    .asks(query(false, "id=e,c=any,cluster=2"))
+                    .answers(row("first"))
+                    .answers(row("other"));
             c.asks(query(false, "id=f,c=any,cluster=2"));
             c.to.ended(now += 1_000);
         });
-        assertEquals("a SERVED b REFUSED c FAILED d SERVED e SERVED f NONE", String.join(" ", found.stream().map(e -> e.id() + " "
-            + e.result()).toList()));
+        assertEquals(
+                "a SERVED b REFUSED c FAILED d SERVED e SERVED f NONE",
+                String.join(
+                        " ", found.stream().map(e -> e.id() + " " + e.result()).toList()));
         RecordedExchange a = found.get(0);
-        assertEquals("basket 2 7f true 480 1767225600123 false", a.requestClass() + " " + a.cluster() + " " + a.session() + " " + a.retry()
-            + " " + a.deadlineMillis() + " " + a.afterMillis() + " " + a.write());
+        assertEquals(
+                "basket 2 7f true 480 1767225600123 false",
+                a.requestClass() + " " + a.cluster() + " " + a.session() + " " + a.retry() + " " + a.deadlineMillis()
+                        + " " + a.afterMillis() + " " + a.write());
         assertEquals(1_000_000, a.answered() - a.asked());
         assertEquals(250, found.get(1).comeBackMillis());
         assertTrue(found.get(1).write());
@@ -124,9 +147,13 @@
     }
 
     private static byte[] find(String id, int number) {
-        byte[] m = MongoMessage.opMsg(new BsonDocument("find", new BsonString("e")).append("filter", new BsonDocument())
-            .append("comment", new BsonString("id=" + id + ",c=any,cluster=1,session=s7")).append("maxTimeMS", new BsonInt32(300))
-            .append("$db", new BsonString("orders")), 0);
+        byte[] m = MongoMessage.opMsg(
+                new BsonDocument("find", new BsonString("e"))
+                        .append("filter", new BsonDocument())
+                        .append("comment", new BsonString("id=" + id + ",c=any,cluster=1,session=s7"))
+                        .append("maxTimeMS", new BsonInt32(300))
+                        .append("$db", new BsonString("orders")),
+                0);
         java.nio.ByteBuffer.wrap(m).order(java.nio.ByteOrder.LITTLE_ENDIAN).putInt(4, number);
         return m;
     }
@@ -137,15 +164,23 @@
 
     @Example
     void answersOfMongodbAreFoundByWhatTheyAnswer() throws IOException {
-        BsonDocument value = new BsonDocument("cursor", new BsonDocument("firstBatch", new BsonArray())).append("ok", new BsonDouble(1));
+        BsonDocument value = new BsonDocument("cursor", new BsonDocument("firstBatch", new BsonArray()))
+                .append("ok", new BsonDouble(1));
         List<RecordedExchange> found = read(file -> {
             Said c = new Said(file, 40002, MONGO);
             c.asks(find("a", 11)).asks(find("b", 12)).asks(find("c", 13)).asks(find("d", 14));
-            c.answers(reply(12, new BsonDocument("ok", new BsonDouble(0)).append("code", new BsonInt32(462))
-                .append("retryAfterMS", new BsonInt64(90))));
-            c.answers(reply(11, value)).answers(reply(13, new BsonDocument("ok", new BsonDouble(0)).append("code", new BsonInt32(6))));
+            c.answers(reply(
+                    12,
+                    new BsonDocument("ok", new BsonDouble(0))
+                            .append("code", new BsonInt32(462))
+                            .append("retryAfterMS", new BsonInt64(90))));
+            c.answers(reply(11, value))
+                    .answers(reply(13, new BsonDocument("ok", new BsonDouble(0)).append("code", new BsonInt32(6))));
         });
-        assertEquals("b REFUSED a SERVED c FAILED d NONE", String.join(" ", found.stream().map(e -> e.id() + " " + e.result()).toList()));
+        assertEquals(
+                "b REFUSED a SERVED c FAILED d NONE",
+                String.join(
+                        " ", found.stream().map(e -> e.id() + " " + e.result()).toList()));
         assertEquals(90, found.get(0).comeBackMillis());
         assertEquals("s7 300", found.get(1).session() + " " + found.get(1).deadlineMillis());
     }
@@ -172,11 +207,18 @@
     @Example
     void whatComesBeforeASpoiltMessageStands() throws IOException {
         List<RecordedExchange> found = read(file -> {
-            Said c = new Said(file, 40004, PG).asks(Client.Pg.startup()).answers(new PgWriter().message('R', 0).ready().bytes());
+            Said c = new Said(file, 40004, PG)
+                    .asks(Client.Pg.startup())
+                    .answers(new PgWriter().message('R', 0).ready().bytes());
             c.asks(query(false, "id=a,c=any,cluster=1")).answers(row("x"));
-            c.asks(query(false, "id=b,c=any,cluster=1")).answers("q?%%%%%%%".getBytes()).answers(row("x"));
+            c.asks(query(false, "id=b,c=any,cluster=1"))
+                    .answers("q?%%%%%%%".getBytes())
+                    .answers(row("x"));
         });
-        assertEquals("a SERVED b NONE", String.join(" ", found.stream().map(e -> e.id() + " " + e.result()).toList()));
+        assertEquals(
+                "a SERVED b NONE",
+                String.join(
+                        " ", found.stream().map(e -> e.id() + " " + e.result()).toList()));
         assertEquals("no_message=1", losses.toString());
     }
 
@@ -185,9 +227,13 @@
     void rotatedFilesAreReadAsOne() throws IOException {
         Path file = Files.createTempFile("mintstair", ".pcap");
         try (PcapWriter out = new PcapWriter(file, 1 << 20)) {
-            Said c = new Said(out, 40005, PG).asks(Client.Pg.startup()).answers(new PgWriter().message('R', 0).ready().bytes());
+            Said c = new Said(out, 40005, PG)
+                    .asks(Client.Pg.startup())
+                    .answers(new PgWriter().message('R', 0).ready().bytes());
             byte[] q = query(false, "id=a,c=any,cluster=1");
-            c.asks(Arrays.copyOf(q, 20)).asks(Arrays.copyOfRange(q, 20, q.length)).answers(row("x"));
+            c.asks(Arrays.copyOf(q, 20))
+                    .asks(Arrays.copyOfRange(q, 20, q.length))
+                    .answers(row("x"));
         }
         byte[] all = Files.readAllBytes(file);
         int second = 24;
@@ -209,10 +255,13 @@
 
     /** Cut anywhere or spoilt anywhere: no crash, no request twice, and of a cut file what whole requests there are. */
     @Property(seed = "6", tries = 200)
-    void cutAndSpoiltRecordingsGiveWhatIsWhole(@ForAll Random dice, @ForAll @Size(max = 20) byte[] garbage) throws IOException {
+    void cutAndSpoiltRecordingsGiveWhatIsWhole(@ForAll Random dice, @ForAll @Size(max = 20) byte[] garbage)
+            throws IOException {
         Path file = Files.createTempFile("mintstair", ".pcap");
         try (PcapWriter out = new PcapWriter(file, 1 << 20)) {
-            Said c = new Said(out, 40006, PG).asks(Client.Pg.startup()).answers(new PgWriter().message('R', 0).ready().bytes());
+            Said c = new Said(out, 40006, PG)
+                    .asks(Client.Pg.startup())
+                    .answers(new PgWriter().message('R', 0).ready().bytes());
             Said m = new Said(out, 40007, MONGO);
             for (int i = 0; i < 10; i++) {
                 c.asks(query(i % 2 == 0, "id=p" + i + ",c=any,cluster=1")).answers(row("x" + i));
@@ -225,12 +274,13 @@
         read(List.of(file), cut::add);
         long served = cut.stream().filter(e -> e.result() == Result.SERVED).count();
         assertTrue(cut.size() - served <= 2, "one open on each connection at most");
-        assertEquals(cut.size(), cut.stream().map(RecordedExchange::id).distinct().count());
+        assertEquals(
+                cut.size(), cut.stream().map(RecordedExchange::id).distinct().count());
         for (byte b : garbage) {
             all[24 + dice.nextInt(all.length - 24)] = b;
         }
         Files.write(file, all);
-        read(List.of(file), e -> { });
+        read(List.of(file), e -> {});
         Files.delete(file);
     }
 
@@ -238,7 +288,9 @@
     void infoTellsWhatThereIsAndEndsWithStatusTwoOnWhatItCannotRead() throws IOException {
         Path file = Files.createTempFile("mintstair", ".pcap");
         try (PcapWriter out = new PcapWriter(file, 1 << 20)) {
-            Said c = new Said(out, 40008, PG).asks(Client.Pg.startup()).answers(new PgWriter().message('R', 0).ready().bytes());
+            Said c = new Said(out, 40008, PG)
+                    .asks(Client.Pg.startup())
+                    .answers(new PgWriter().message('R', 0).ready().bytes());
             c.asks(query(false, "id=a,c=basket,cluster=1")).answers(row("x"));
         }
         StringWriter text = new StringWriter();
@@ -249,9 +301,13 @@
         StringWriter lines = new StringWriter();
         assertEquals(0, TrafficCommand.run(List.of("convert", "--to", "-", file.toString()), new PrintWriter(lines)));
         Map<?, ?> line = (Map<?, ?>) Json.read(lines.toString().getBytes(StandardCharsets.UTF_8));
-        assertEquals("a basket 7f served 1.0", line.get("id") + " " + line.get("class") + " " + line.get("session") + " " + line.get("result") + " "
-            + line.get("latency_ms"));
-        assertEquals(2, TrafficCommand.run(List.of("convert", "--to", "/nowhere/x", file.toString()), new PrintWriter(lines)));
+        assertEquals(
+                "a basket 7f served 1.0",
+                line.get("id") + " " + line.get("class") + " " + line.get("session") + " " + line.get("result") + " "
+                        + line.get("latency_ms"));
+        assertEquals(
+                2,
+                TrafficCommand.run(List.of("convert", "--to", "/nowhere/x", file.toString()), new PrintWriter(lines)));
         Files.writeString(file, "no capture");
         assertEquals(2, TrafficCommand.run(List.of("info", file.toString()), new PrintWriter(text)));
         assertEquals(2, TrafficCommand.run(List.of("info"), new PrintWriter(text)));
--- a/src/test/java/mintstair/wire/MessageFilterTest.java
+++ b/src/test/java/mintstair/wire/MessageFilterTest.java
@@ -16,16 +16,18 @@
     /** Guards against connections that are counted for good: one closed while it is let in must still be told closed. */
     @Test
     void listenerOfAConnectionThatIsClosedAlreadyIsToldSo() throws Exception {
-        TCPNIOTransport transport = TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
+        TCPNIOTransport transport =
+                TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
         transport.start();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            Connection<?> connection = transport.connect(
-                new InetSocketAddress(server.getInetAddress(), server.getLocalPort())).get(20, TimeUnit.SECONDS);
+            Connection<?> connection = transport
+                    .connect(new InetSocketAddress(server.getInetAddress(), server.getLocalPort()))
+                    .get(20, TimeUnit.SECONDS);
             connection.terminate().get(20, TimeUnit.SECONDS);
             CountDownLatch told = new CountDownLatch(1);
             new MessageFilter().listen(connection, new MessageFilter.Listener() {
                 @Override
-                public void read(ByteBuffer bytes) { }
+                public void read(ByteBuffer bytes) {}
 
                 @Override
                 public void closed() {
--- a/src/test/java/mintstair/wire/ParsersTest.java
+++ b/src/test/java/mintstair/wire/ParsersTest.java
@@ -33,16 +33,21 @@
 
 /** Random cuts of valid messages and random garbage, from fixed seeds, against each parser. */
 class ParsersTest {
-    private static final byte[] ROW = new PgWriter().message('S', "rank", "copy").message('S', "as_of", "1700000000123")
-        .message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
-        .message('D', '\0', '\1', 3, new byte[] {1, 0, 2}).message('C', "SELECT 1").ready().bytes();
-    private static final byte[] DOCUMENT = MongoMessage.opMsg(BsonDocument.parse(
-        "{find: 'e', filter: {a: [1, {b: 'x'}]}, comment: {id: '1'}, $db: 'd'}"), 4);
+    private static final byte[] ROW = new PgWriter()
+            .message('S', "rank", "copy")
+            .message('S', "as_of", "1700000000123")
+            .message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
+            .message('D', '\0', '\1', 3, new byte[] {1, 0, 2})
+            .message('C', "SELECT 1")
+            .ready()
+            .bytes();
+    private static final byte[] DOCUMENT = MongoMessage.opMsg(
+            BsonDocument.parse("{find: 'e', filter: {a: [1, {b: 'x'}]}, comment: {id: '1'}, $db: 'd'}"), 4);
 
     /** All messages that come of the bytes when they are read in pieces of random length. */
     private static List<byte[]> cut(Framer framer, byte[] bytes, Random random) {
         List<byte[]> messages = new ArrayList<>();
-        for (int at = 0; at < bytes.length;) {
+        for (int at = 0; at < bytes.length; ) {
             int n = Math.min(bytes.length - at, 1 + random.nextInt(random.nextBoolean() ? 3 : 400));
             framer.feed(ByteBuffer.wrap(bytes, at, n));
             at += n;
@@ -120,7 +125,9 @@
         ByteBuffer.wrap(reply).putInt(at + 7, claimed);
         var parser = new PgProtocol().newParser();
         if (claimed != 3) {
-            assertThrows(ProtocolException.class, () -> cut(new PgFramer.OfHost(), reply, new Random(1)).forEach(parser::take));
+            assertThrows(
+                    ProtocolException.class,
+                    () -> cut(new PgFramer.OfHost(), reply, new Random(1)).forEach(parser::take));
         }
     }
 
@@ -129,8 +136,10 @@
     void longValueGoesOnInPartsAsItWas(@ForAll long seed, @ForAll @IntRange(min = 65_537, max = 200_000) int length) {
         byte[] value = new byte[length];
         new Random(seed).nextBytes(value);
-        byte[] row = new PgWriter().message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
-            .message('D', '\0', '\1', length, value).bytes();
+        byte[] row = new PgWriter()
+                .message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
+                .message('D', '\0', '\1', length, value)
+                .bytes();
         byte[] rest = new PgWriter().message('C', "SELECT 1").bytes();
         byte[] reply = new PgWriter().raw(row).raw(rest).ready().bytes();
         Framer framer = new PgFramer.OfHost();
@@ -152,10 +161,12 @@
         byte[] spoilt = reply.clone();
         ByteBuffer.wrap(spoilt).putInt(row.length - length - 4, length - 1);
         var wary = new PgProtocol().newParser();
-        assertThrows(ProtocolException.class, () -> cut(new PgFramer.OfHost(), spoilt, new Random(seed)).forEach(m -> {
-            wary.take(m);
-            assertNull(wary.takePart());
-        }));
+        assertThrows(
+                ProtocolException.class,
+                () -> cut(new PgFramer.OfHost(), spoilt, new Random(seed)).forEach(m -> {
+                    wary.take(m);
+                    assertNull(wary.takePart());
+                }));
     }
 
     private static void tolerant(Runnable parse) {
@@ -179,10 +190,15 @@
     @Example
     void oversizedMessagesAreRefusedBeforeTheyAreHeld() {
         Framer pg = new PgFramer.OfHost();
-        pg.feed(ByteBuffer.allocate(5).put((byte) 'D').putInt(PgFramer.LONGEST_VALUE + 1).flip());
+        pg.feed(ByteBuffer.allocate(5)
+                .put((byte) 'D')
+                .putInt(PgFramer.LONGEST_VALUE + 1)
+                .flip());
         assertThrows(ProtocolException.class, pg::next);
         Framer mongo = new MongoFramer();
-        mongo.feed(ByteBuffer.allocate(16).putInt(Integer.reverseBytes(MongoFramer.LONGEST + 1)).rewind());
+        mongo.feed(ByteBuffer.allocate(16)
+                .putInt(Integer.reverseBytes(MongoFramer.LONGEST + 1))
+                .rewind());
         assertThrows(ProtocolException.class, mongo::next);
     }
 
@@ -196,8 +212,14 @@
             document.putInt(8 * (depth - i) + 5).put((byte) 3).put((byte) 'a').put((byte) 0);
         }
         document.putInt(5);
-        out.writeBytes(ByteBuffer.allocate(21).putInt(0).putInt(0).putInt(0).putInt(Integer.reverseBytes(2013))
-            .putInt(0).put((byte) 0).array());
+        out.writeBytes(ByteBuffer.allocate(21)
+                .putInt(0)
+                .putInt(0)
+                .putInt(0)
+                .putInt(Integer.reverseBytes(2013))
+                .putInt(0)
+                .put((byte) 0)
+                .array());
         out.writeBytes(document.array());
         assertThrows(ProtocolException.class, () -> MongoMessage.parse(out.toByteArray()));
     }
@@ -206,8 +228,11 @@
     @Example
     void reportIsReadFromTheRowAlone() {
         byte[] vitals = "inflight=7,util=0.61,x0=1700000000.25,x1=1".getBytes();
-        byte[] reply = new PgWriter().message('T', '\0', '\1', "vitals", new byte[18])
-            .message('D', '\0', '\1', vitals.length, vitals).message('C', "SHOW").bytes();
+        byte[] reply = new PgWriter()
+                .message('T', '\0', '\1', "vitals", new byte[18])
+                .message('D', '\0', '\1', vitals.length, vitals)
+                .message('C', "SHOW")
+                .bytes();
         assertEquals(HostRole.PRIMARY, new PgProtocol().report(reply).role());
         assertEquals(1_700_000_000_250_000L, new PgProtocol().report(reply).position());
     }
@@ -217,8 +242,13 @@
         BsonDocument body = BsonDocument.parse("{insert: 'e', $db: 'd'}");
         byte[] plain = MongoMessage.opMsg(body, 0);
         byte[] one = MongoMessage.bytes(new BsonDocument("a", new BsonInt32(1)));
-        ByteBuffer whole = ByteBuffer.allocate(plain.length + 15 + one.length + 4).order(ByteOrder.LITTLE_ENDIAN);
-        whole.put(plain).put((byte) 1).putInt(14 + one.length).put("documents\0".getBytes()).put(one);
+        ByteBuffer whole =
+                ByteBuffer.allocate(plain.length + 15 + one.length + 4).order(ByteOrder.LITTLE_ENDIAN);
+        whole.put(plain)
+                .put((byte) 1)
+                .putInt(14 + one.length)
+                .put("documents\0".getBytes())
+                .put(one);
         whole.putInt(0, whole.capacity()).putInt(16, MongoMessage.CHECKSUM_PRESENT);
         CRC32C sum = new CRC32C();
         sum.update(whole.array(), 0, whole.position());
