--- a/src/test/java/mintstair/decision/DecisionDigestTest.java
+++ b/src/test/java/mintstair/decision/DecisionDigestTest.java
@@ -57,8 +57,9 @@
                 reached.add(line.split(" ")[1]);
             }
         }
-        assertTrue(reached.containsAll(List.of("send", "cancel", "refuse", "fail", "probe", "timer", "subscribe")),
-            reached.toString());
+        assertTrue(
+                reached.containsAll(List.of("send", "cancel", "refuse", "fail", "probe", "timer", "subscribe")),
+                reached.toString());
     }
 
     private static void keep(String name, List<String> record) throws IOException {
--- a/src/test/java/mintstair/decision/DecisionSchedule.java
+++ b/src/test/java/mintstair/decision/DecisionSchedule.java
@@ -35,11 +35,18 @@
     private static final long FAULT_EVERY = 250 * MS;
     private static final long OUT_OF_REACH_AFTER = 250 * MS;
 
-    private enum Mode { UP, HUNG, DOWN, FAILING, SLOW, CROWDED }
+    private enum Mode {
+        UP,
+        HUNG,
+        DOWN,
+        FAILING,
+        SLOW,
+        CROWDED
+    }
 
-    private record Event(long at, long number, Runnable action) { }
+    private record Event(long at, long number, Runnable action) {}
 
-    private record AttemptKey(long id, int attempt) { }
+    private record AttemptKey(long id, int attempt) {}
 
     private static final class SimulatedHost {
         final String name;
@@ -70,7 +77,7 @@
     private final Random random;
     private final Settings settings;
     private final PriorityQueue<Event> events =
-        new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
+            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
     private final Map<String, SimulatedHost> hosts = new LinkedHashMap<>();
     private final SimulatedHost[] primaries = new SimulatedHost[GROUPS];
     private final Map<Long, OpenRequest> requests = new LinkedHashMap<>();
@@ -162,13 +169,15 @@
     private void arrival() {
         long id = nextRequest++;
         int classIndex = random.nextInt(settings.classes().size());
-        long patience = chance(0.03) ? random.nextInt(30_000) : settings.classes().get(classIndex).deadline();
+        long patience = chance(0.03)
+                ? random.nextInt(30_000)
+                : settings.classes().get(classIndex).deadline();
         String session = chance(0.8) ? "session" + random.nextInt(SESSIONS) : null;
         int tenant = random.nextInt(settings.tenants().size() + 1) - 1;
         long tokenAge = chance(0.5) ? random.nextInt(400_000) : SplitterApi.UNKNOWN;
         String pinned = chance(0.02) ? anyHost().name : null;
-        Request request =
-            new Request(id, classIndex, random.nextInt(GROUPS), session, tenant, chance(0.05), patience, tokenAge, pinned);
+        Request request = new Request(
+                id, classIndex, random.nextInt(GROUPS), session, tenant, chance(0.05), patience, tokenAge, pinned);
         requests.put(id, new OpenRequest(request, now + patience));
         router.onRequest(now, request);
         if (chance(0.03)) {
@@ -252,9 +261,23 @@
     private Settings changedSettings() {
         DecisionSettings[] all = DecisionSettings.values();
         Settings other = all[random.nextInt(all.length)].settings();
-        return new Settings(other.routers(), 0, "z", settings.classes(), settings.tenants(), other.overShareWorth(),
-            settings.rememberedTokens(), other.readCheck(), true, settings.listTellsRole(), true, false,
-            other.probePrice(), 0, other.guards(), other.limits());
+        return new Settings(
+                other.routers(),
+                0,
+                "z",
+                settings.classes(),
+                settings.tenants(),
+                other.overShareWorth(),
+                settings.rememberedTokens(),
+                other.readCheck(),
+                true,
+                settings.listTellsRole(),
+                true,
+                false,
+                other.probePrice(),
+                0,
+                other.guards(),
+                other.limits());
     }
 
     private void replaceHost() {
@@ -321,12 +344,13 @@
             return;
         }
         OpenRequest open = requests.get(key.id());
-        boolean answered = ending == Ending.OK || ending == Ending.ERROR || ending == Ending.FULL || ending == Ending.MISS;
+        boolean answered =
+                ending == Ending.OK || ending == Ending.ERROR || ending == Ending.FULL || ending == Ending.MISS;
         open.over |= ending == Ending.OK;
         Role role = answered && chance(0.9) ? role(host) : Role.UNTOLD;
         long position = answered && chance(0.7) ? position(host) : SplitterApi.UNKNOWN;
-        router.onOutcome(now,
-            new Outcome(key.id(), key.attempt(), host.name, ending, now - sentAt, open.over, role, position));
+        router.onOutcome(
+                now, new Outcome(key.id(), key.attempt(), host.name, ending, now - sentAt, open.over, role, position));
     }
 
     private Role role(SimulatedHost host) {
@@ -391,5 +415,5 @@
 
     /** Lines for people may change without another decision, so they are no part of the record. */
     @Override
-    public void log(String text) { }
+    public void log(String text) {}
 }
--- a/src/test/java/mintstair/decision/DecisionSettings.java
+++ b/src/test/java/mintstair/decision/DecisionSettings.java
@@ -69,8 +69,23 @@
             Settings base = bed.settings();
             List<Tenant> tenants = List.of(new Tenant("small", 20), new Tenant("large", 400), new Tenant("none", 0));
             Guards guards = new Guards(250 * Bed.MS, 0.1, 20_000 * Bed.MS, 2, 1_000 * Bed.MS, false);
-            return new Settings(base.routers(), 0, "z", base.classes(), tenants, 0.2, true, ReadCheck.NONE, true, false,
-                true, true, 0.2, 0.1, guards, base.limits());
+            return new Settings(
+                    base.routers(),
+                    0,
+                    "z",
+                    base.classes(),
+                    tenants,
+                    0.2,
+                    true,
+                    ReadCheck.NONE,
+                    true,
+                    false,
+                    true,
+                    true,
+                    0.2,
+                    0.1,
+                    guards,
+                    base.limits());
         }
     };
 
@@ -78,8 +93,22 @@
     abstract Settings settings();
 
     private static Settings altered(Settings base, Limits limits, boolean listTellsRole) {
-        return new Settings(base.routers(), 0, "z", base.classes(), base.tenants(), base.overShareWorth(), false,
-            base.readCheck(), base.positionsInAnswers(), listTellsRole, true, false, base.probePrice(), 0,
-            base.guards(), limits);
+        return new Settings(
+                base.routers(),
+                0,
+                "z",
+                base.classes(),
+                base.tenants(),
+                base.overShareWorth(),
+                false,
+                base.readCheck(),
+                base.positionsInAnswers(),
+                listTellsRole,
+                true,
+                false,
+                base.probePrice(),
+                0,
+                base.guards(),
+                limits);
     }
 }
