--- a/src/main/java/mintstair/adapter/Reply.java
+++ b/src/main/java/mintstair/adapter/ActionWriter.java
@@ -6,11 +6,11 @@
 import mintstair.decision.SplitterApi;
 
 /** The actions of one instance, written to the reply shared by its batch. */
-final class Reply implements SplitterApi.Actions {
+final class ActionWriter implements SplitterApi.Actions {
     private final StringBuilder out;
     private final int who;
 
-    Reply(StringBuilder out, int who) {
+    ActionWriter(StringBuilder out, int who) {
         this.out = out;
         this.who = who;
     }
--- a/src/main/java/mintstair/adapter/Wire.java
+++ b/src/main/java/mintstair/adapter/Wire.java
@@ -67,7 +67,7 @@
             }
             finishArray(0);
             if (!inBatch) {
-                Reply.flush(reply, out);
+                ActionWriter.flush(reply, out);
             }
         }
         require(!inBatch, "the input ended inside a batch");
@@ -123,7 +123,7 @@
         } catch (ConfigException e) {
             throw new WireException(e.getMessage());
         }
-        SplitterApi.Actions actions = new Reply(reply, who);
+        SplitterApi.Actions actions = new ActionWriter(reply, who);
         instances.put(who, new Instance(new ReadWriteSplitter(now, seed, env.settings, actions), env));
         return true;
     }
--- a/src/main/java/mintstair/backend/Backends.java
+++ b/src/main/java/mintstair/backend/Backends.java
@@ -10,8 +10,8 @@
 import mintstair.proxy.Hosts;
 import mintstair.proxy.Loop;
 import mintstair.request.ConnectionEnd;
-import mintstair.request.HostList;
-import mintstair.request.Reply;
+import mintstair.request.EndpointList;
+import mintstair.request.HostReply;
 import mintstair.request.Statement;
 import mintstair.stats.Counters;
 import mintstair.wire.MessageFilter;
@@ -115,9 +115,9 @@
     }
 
     @Override
-    public void listed(HostList list) {
+    public void listed(EndpointList list) {
         Set<String> named = new HashSet<>();
-        for (HostList.Entry entry : list.entries()) {
+        for (EndpointList.Entry entry : list.entries()) {
             named.add(entry.host());
             pools.computeIfAbsent(entry.host(), name -> new HostPool(name, this))
                     .listed(entry);
@@ -151,7 +151,7 @@
         HostPool pool = pools.get(host);
         if (pool == null) {
             call.timer = loop.at(call.until, () -> {});
-            call.end(Reply.of(ConnectionEnd.NEVER_SENT));
+            call.end(HostReply.of(ConnectionEnd.NEVER_SENT));
         } else {
             pool.send(call);
         }
--- a/src/main/java/mintstair/backend/Call.java
+++ b/src/main/java/mintstair/backend/Call.java
@@ -5,7 +5,7 @@
 import mintstair.proxy.Hosts;
 import mintstair.request.AttemptVerdict;
 import mintstair.request.ConnectionEnd;
-import mintstair.request.Reply;
+import mintstair.request.HostReply;
 
 /** One attempt or probe on its way: it waits for a connection, is written, and ends exactly once. */
 final class Call implements Hosts.Sent {
@@ -57,7 +57,7 @@
         listener.part(bytes, taken);
     }
 
-    void end(Reply reply) {
+    void end(HostReply reply) {
         if (!ended) {
             ended = true;
             timer.cancel(false);
@@ -77,7 +77,7 @@
             if (connection != null) {
                 connection.abandon();
             }
-            end(Reply.of(why));
+            end(HostReply.of(why));
         }
     }
 }
--- a/src/main/java/mintstair/backend/HostConnection.java
+++ b/src/main/java/mintstair/backend/HostConnection.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 import mintstair.request.ConnectionEnd;
-import mintstair.request.Reply;
+import mintstair.request.HostReply;
 import mintstair.wire.Framer;
 import mintstair.wire.Intake;
 import mintstair.wire.MessageFilter;
@@ -221,7 +221,7 @@
         }
         try {
             framer.feed(bytes);
-            Reply reply = null;
+            HostReply reply = null;
             byte[] message = framer.next();
             while (message != null) {
                 reply = parser.take(message);
@@ -236,7 +236,7 @@
         }
     }
 
-    private void replied(Reply reply, boolean more) {
+    private void replied(HostReply reply, boolean more) {
         boolean greeted = state == State.OPENING;
         if (greeted && (more || reply.end() != ConnectionEnd.SERVED)) {
             ended(reply.end() == ConnectionEnd.TURNED_AWAY ? reply.end() : ConnectionEnd.GARBLED);
@@ -244,7 +244,7 @@
         }
         Call over = call;
         call = null;
-        Reply heard = over != null && over.probe && reply.end() == ConnectionEnd.SERVED ? report(reply) : reply;
+        HostReply heard = over != null && over.probe && reply.end() == ConnectionEnd.SERVED ? report(reply) : reply;
         idleSince = backends.loop.now();
         if (!greeted) {
             backends.trust.ended(idleSince, idled, false);
@@ -254,7 +254,7 @@
             close();
             pool.closed(this);
             heard = heard.end() == ConnectionEnd.SERVED
-                    ? new Reply(ConnectionEnd.SERVED_AND_MORE, heard.body(), heard.note())
+                    ? new HostReply(ConnectionEnd.SERVED_AND_MORE, heard.body(), heard.report())
                     : heard;
         } else if (greeted) {
             state = State.IDLE;
@@ -275,17 +275,17 @@
         }
     }
 
-    private Reply report(Reply reply) {
+    private HostReply report(HostReply reply) {
         try {
-            return new Reply(reply.end(), null, backends.protocol.report(reply.body()));
+            return new HostReply(reply.end(), null, backends.protocol.report(reply.body()));
         } catch (ProtocolException e) {
-            return Reply.of(ConnectionEnd.REPORT_UNREADABLE);
+            return HostReply.of(ConnectionEnd.REPORT_UNREADABLE);
         }
     }
 
     private void broken() {
         if (state != State.CLOSED) {
-            Reply last = state == State.BUSY ? parser.atEnd() : null;
+            HostReply last = state == State.BUSY ? parser.atEnd() : null;
             if (last != null) {
                 Call over = call;
                 call = null;
@@ -314,7 +314,7 @@
         } else {
             pool.closed(this);
             if (over != null) {
-                over.end(Reply.of(why));
+                over.end(HostReply.of(why));
             }
         }
     }
--- a/src/main/java/mintstair/backend/HostPool.java
+++ b/src/main/java/mintstair/backend/HostPool.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import mintstair.request.AttemptVerdict;
 import mintstair.request.ConnectionEnd;
-import mintstair.request.HostList;
-import mintstair.request.Reply;
+import mintstair.request.EndpointList;
+import mintstair.request.HostReply;
 import mintstair.retry.Backoff;
 
 /** The connections to one db host and the calls that wait for one. */
@@ -47,8 +47,8 @@
         restUntil = backends.loop.now() + (long) (backends.random.nextDouble() * REST);
     }
 
-    void listed(HostList.Entry entry) {
-        if (entry.state() == HostList.State.DELETED) {
+    void listed(EndpointList.Entry entry) {
+        if (entry.state() == EndpointList.State.REMOVED) {
             gone();
             return;
         }
@@ -56,7 +56,7 @@
         InetSocketAddress now = new InetSocketAddress(
                 entry.endpoint().substring(0, colon),
                 Integer.parseInt(entry.endpoint().substring(colon + 1)));
-        serving = entry.state() == HostList.State.SERVING;
+        serving = entry.state() == EndpointList.State.SERVING;
         goneSince = backends.loop.now();
         if (!now.equals(address) || !serving) {
             closeIdle(Long.MAX_VALUE);
@@ -193,7 +193,7 @@
         closed(c);
         Call first = waiting.pollFirst();
         if (first != null) {
-            first.end(Reply.of(why));
+            first.end(HostReply.of(why));
         }
     }
 
--- a/src/main/java/mintstair/backend/Protocol.java
+++ b/src/main/java/mintstair/backend/Protocol.java
@@ -1,7 +1,7 @@
 package mintstair.backend;
 
-import mintstair.request.Note;
-import mintstair.request.Reply;
+import mintstair.request.HostReply;
+import mintstair.request.HostReport;
 import mintstair.wire.Framer;
 import mintstair.wire.ProtocolException;
 
@@ -14,7 +14,7 @@
     byte[] probe();
 
     /** What a host says of itself in its answer to a probe; throws {@link ProtocolException} where that is no report. */
-    Note report(byte[] body);
+    HostReport report(byte[] body);
 
     /** What one connection needs to read its replies. */
     Framer newFramer();
@@ -27,7 +27,7 @@
         default void asked(byte[] words) {}
 
         /** Takes in a message; gives the reply that it completes, or null. */
-        Reply take(byte[] message);
+        HostReply take(byte[] message);
 
         /** What of a long answer can go on before it is whole, since the last call; null for nothing. */
         default byte[] takePart() {
@@ -35,6 +35,6 @@
         }
 
         /** The reply that stands when the connection ends here, or null where there is none. */
-        Reply atEnd();
+        HostReply atEnd();
     }
 }
--- a/src/main/java/mintstair/backend/mongo/MongoProtocol.java
+++ b/src/main/java/mintstair/backend/mongo/MongoProtocol.java
@@ -3,9 +3,9 @@
 import java.util.Set;
 import mintstair.backend.Protocol;
 import mintstair.request.ConnectionEnd;
-import mintstair.request.HostRole;
-import mintstair.request.Note;
-import mintstair.request.Reply;
+import mintstair.request.HostReply;
+import mintstair.request.HostReport;
+import mintstair.request.ReplicationRole;
 import mintstair.wire.Framer;
 import mintstair.wire.MongoFramer;
 import mintstair.wire.MongoMessage;
@@ -57,7 +57,7 @@
             }
 
             @Override
-            public Reply take(byte[] message) {
+            public HostReply take(byte[] message) {
                 MongoMessage m = MongoMessage.parse(message);
                 if (m.opCode() != MongoMessage.OP_MSG
                         || (m.flags() & MongoMessage.MORE_TO_COME) != 0
@@ -65,23 +65,23 @@
                         || !m.body().isNumber("ok")) {
                     throw new ProtocolException("not the one reply that was asked for");
                 }
-                return new Reply(end(m.body()), MongoMessage.bytes(m.body()), note(m.body()));
+                return new HostReply(end(m.body()), MongoMessage.bytes(m.body()), note(m.body()));
             }
 
             @Override
-            public Reply atEnd() {
+            public HostReply atEnd() {
                 return null;
             }
         };
     }
 
     @Override
-    public Note report(byte[] body) {
-        Note note = note(MongoMessage.document(body));
-        if (note.role() == HostRole.UNTOLD) {
+    public HostReport report(byte[] body) {
+        HostReport report = note(MongoMessage.document(body));
+        if (report.role() == ReplicationRole.UNKNOWN) {
             throw new ProtocolException("hello does not tell the role");
         }
-        return note;
+        return report;
     }
 
     /** An error that is the statement's own fault is the host's answer: no other host would give a better. */
@@ -97,22 +97,22 @@
                         : code == 0 || MAY_HAVE_RUN.contains(code) ? ConnectionEnd.HOST_ERROR : ConnectionEnd.SERVED;
     }
 
-    private static Note note(BsonDocument body) {
-        HostRole role = HostRole.UNTOLD;
+    private static HostReport note(BsonDocument body) {
+        ReplicationRole role = ReplicationRole.UNKNOWN;
         if (body.isBoolean("isWritablePrimary")) {
             boolean primary = body.getBoolean("isWritablePrimary").getValue();
-            role = primary ? HostRole.PRIMARY : HostRole.REPLICA;
+            role = primary ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA;
         }
         BsonValue lastWrite =
                 body.isDocument("lastWrite") ? body.getDocument("lastWrite").get("lastWriteDate") : null;
-        long position = Note.UNKNOWN;
-        if (role == HostRole.PRIMARY && body.isDateTime("localTime")) {
+        long position = HostReport.UNKNOWN;
+        if (role == ReplicationRole.PRIMARY && body.isDateTime("localTime")) {
             position = body.getDateTime("localTime").getValue() * 1000;
         } else if (lastWrite != null && lastWrite.isDateTime()) {
             position = lastWrite.asDateTime().getValue() * 1000;
         } else if (body.isTimestamp("operationTime")) {
             position = body.getTimestamp("operationTime").getTime() * 1_000_000L;
         }
-        return new Note(role, position);
+        return new HostReport(role, position);
     }
 }
--- a/src/main/java/mintstair/backend/pg/PgProtocol.java
+++ b/src/main/java/mintstair/backend/pg/PgProtocol.java
@@ -7,9 +7,9 @@
 import java.util.regex.Pattern;
 import mintstair.backend.Protocol;
 import mintstair.request.ConnectionEnd;
-import mintstair.request.HostRole;
-import mintstair.request.Note;
-import mintstair.request.Reply;
+import mintstair.request.HostReply;
+import mintstair.request.HostReport;
+import mintstair.request.ReplicationRole;
 import mintstair.wire.Framer;
 import mintstair.wire.PgFramer;
 import mintstair.wire.PgWriter;
@@ -51,9 +51,9 @@
 
     /** A report is one column of names and values: {@code x0=...,x1=...}; positions are in seconds there. */
     @Override
-    public Note report(byte[] body) {
-        HostRole role = HostRole.UNTOLD;
-        long position = Note.UNKNOWN;
+    public HostReport report(byte[] body) {
+        ReplicationRole role = ReplicationRole.UNKNOWN;
+        long position = HostReport.UNKNOWN;
         for (String field : row(body).split(",", -1)) {
             Matcher m = FIELD.matcher(field);
             if (!m.matches()) {
@@ -62,10 +62,10 @@
             if (m.group(1).equals("x0")) {
                 position = position(Double.parseDouble(m.group(2)) * 1e3);
             } else if (m.group(1).equals("x1")) {
-                role = Double.parseDouble(m.group(2)) == 1 ? HostRole.PRIMARY : HostRole.REPLICA;
+                role = Double.parseDouble(m.group(2)) == 1 ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA;
             }
         }
-        return new Note(role, position);
+        return new HostReport(role, position);
     }
 
     private static long position(double millis) {
@@ -105,11 +105,11 @@
         private Due due = Due.DESCRIPTION;
         private boolean greeting = true;
         private ConnectionEnd end;
-        private HostRole role = HostRole.UNTOLD;
-        private long position = Note.UNKNOWN;
+        private ReplicationRole role = ReplicationRole.UNKNOWN;
+        private long position = HostReport.UNKNOWN;
 
         @Override
-        public Reply take(byte[] m) {
+        public HostReply take(byte[] m) {
             if (valueLeft > 0) {
                 valueLeft -= m.length;
                 part.writeBytes(m);
@@ -146,14 +146,14 @@
                 }
                 case 'Z' -> {
                     check(due == Due.READY && m.length == READY_LENGTH && m[5] == 'I', "not ready for the next");
-                    Reply reply = atEnd();
+                    HostReply reply = atEnd();
                     body = new ByteArrayOutputStream(256);
                     part = null;
                     due = Due.DESCRIPTION;
                     greeting = false;
                     end = null;
-                    role = HostRole.UNTOLD;
-                    position = Note.UNKNOWN;
+                    role = ReplicationRole.UNKNOWN;
+                    position = HostReport.UNKNOWN;
                     return reply;
                 }
                 default -> throw new ProtocolException("unexpected message");
@@ -172,10 +172,13 @@
         }
 
         @Override
-        public Reply atEnd() {
+        public HostReply atEnd() {
             return end == null
                     ? null
-                    : new Reply(end, end == ConnectionEnd.SERVED ? body.toByteArray() : null, new Note(role, position));
+                    : new HostReply(
+                            end,
+                            end == ConnectionEnd.SERVED ? body.toByteArray() : null,
+                            new HostReport(role, position));
         }
 
         private void next(byte[] m, Due wanted, Due then, boolean whole) {
@@ -205,8 +208,8 @@
             String value = text(m, split + 1, stop);
             if (name.equals("rank")) {
                 role = value.equals("source")
-                        ? HostRole.PRIMARY
-                        : value.equals("copy") ? HostRole.REPLICA : HostRole.UNTOLD;
+                        ? ReplicationRole.PRIMARY
+                        : value.equals("copy") ? ReplicationRole.REPLICA : ReplicationRole.UNKNOWN;
             } else if (name.equals("as_of")) {
                 check(NUMBER.matcher(value).matches(), "a position that is no number");
                 position = position(Double.parseDouble(value));
--- a/src/main/java/mintstair/config/ListReader.java
+++ b/src/main/java/mintstair/config/ListReader.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 
 /** Discovery's form of the list of hosts, which configurations, the store and registries use as well, from JSON that was read. */
 public final class ListReader {
@@ -12,39 +12,39 @@
     private ListReader() {}
 
     /** The list; throws {@link IllegalArgumentException} where the value is none. */
-    public static HostList read(Object json) {
+    public static EndpointList read(Object json) {
         if (!(json instanceof Map<?, ?> map)
                 || !(map.get("targets") instanceof List<?> targets)
                 || !(map.get("rev") instanceof Number revision)) {
             throw new IllegalArgumentException("a list of hosts needs rev and targets");
         }
-        List<HostList.Entry> entries = new ArrayList<>();
+        List<EndpointList.Entry> entries = new ArrayList<>();
         for (Object each : targets) {
             if (!(each instanceof Map<?, ?> t)) {
                 throw new IllegalArgumentException("a target must be an object");
             }
             entries.add(entry(t));
         }
-        return new HostList(revision.longValue(), Boolean.TRUE.equals(map.get("all")), entries);
+        return new EndpointList(revision.longValue(), Boolean.TRUE.equals(map.get("all")), entries);
     }
 
     /** One host; throws {@link IllegalArgumentException} where the value is none. */
-    public static HostList.Entry entry(Map<?, ?> t) {
+    public static EndpointList.Entry entry(Map<?, ?> t) {
         String endpoint = text(t, "endpoint");
         if (!endpoint.matches("[^:]+:\\d{1,5}")) {
             throw new IllegalArgumentException("no endpoint: " + endpoint);
         }
-        HostList.State state;
+        EndpointList.State state;
         try {
-            state = HostList.State.valueOf(text(t, "state"));
+            state = EndpointList.State.valueOf(text(t, "state"));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("unknown state of a host: " + t.get("state"));
         }
         if (Integer.parseInt(endpoint.substring(endpoint.indexOf(':') + 1)) > LAST_PORT) {
             // It can't be reached, while what the list tells of other hosts counts all the same.
-            state = HostList.State.DELETED;
+            state = EndpointList.State.REMOVED;
         }
-        return new HostList.Entry(
+        return new EndpointList.Entry(
                 text(t, "uid"),
                 endpoint,
                 text(t, "az"),
--- a/src/main/java/mintstair/config/NodeConfig.java
+++ b/src/main/java/mintstair/config/NodeConfig.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 
 /** What one proxy is told at its start. */
 public record NodeConfig(
@@ -18,7 +18,7 @@
         InetSocketAddress control,
         long seed,
         int sockets,
-        HostList known,
+        EndpointList known,
         Env env,
         Map<?, ?> json) {
 
@@ -38,7 +38,7 @@
         if (!(map.get("settings") instanceof Map<?, ?> settings)) {
             throw new ConfigException("settings are missing");
         }
-        HostList known = map.get("known") == null ? null : ListReader.read(map.get("known"));
+        EndpointList known = map.get("known") == null ? null : ListReader.read(map.get("known"));
         int sockets = map.get("limits") instanceof Map<?, ?> limits && limits.get("sockets") instanceof Number n
                 ? n.intValue()
                 : 1024;
--- a/src/main/java/mintstair/config/OperatorConfig.java
+++ b/src/main/java/mintstair/config/OperatorConfig.java
@@ -7,13 +7,13 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 
 /** What an operator sets up beside the platform's front; every part is off where its name is missing. */
 public record OperatorConfig(
         Mongo mongodb, Recording record, Members store, RegistryConfig registry, MembershipConfig membership) {
     /** The second front: where it listens, and its hosts, listed here or by a discovery of their own. */
-    public record Mongo(InetSocketAddress listen, InetSocketAddress discovery, HostList hosts) {}
+    public record Mongo(InetSocketAddress listen, InetSocketAddress discovery, EndpointList hosts) {}
 
     /** The file that client traffic is recorded to, and the bytes that it may grow to; or rotated files in a folder. */
     public record Recording(Path file, long mostBytes, Rotated rotated) {}
@@ -71,7 +71,7 @@
     private static Mongo mongo(Map<?, ?> m, boolean listed) throws IOException {
         InetSocketAddress discovery =
                 m.get("discovery") == null ? null : NodeConfig.address(NodeConfig.text(m, "discovery"));
-        HostList hosts = m.get("hosts") == null ? null : ListReader.read(m.get("hosts"));
+        EndpointList hosts = m.get("hosts") == null ? null : ListReader.read(m.get("hosts"));
         if (discovery == null && hosts == null && !listed) {
             throw new ConfigException("mongodb needs hosts or discovery, or a registry");
         }
--- a/src/main/java/mintstair/discovery/Watch.java
+++ b/src/main/java/mintstair/discovery/Watch.java
@@ -13,7 +13,7 @@
 import mintstair.discovery.pace.ListPace;
 import mintstair.discovery.pace.ListPace.Failure;
 import mintstair.proxy.Loop;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.stats.Counters;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.EmptyCompletionHandler;
@@ -51,7 +51,7 @@
 
     private final Loop loop;
     private final InetSocketAddress address;
-    private final Consumer<HostList> told;
+    private final Consumer<EndpointList> told;
     private final Counters counters;
     private final TCPNIOConnectorHandler connector;
     /** Those that may still be heard, oldest first. */
@@ -77,7 +77,7 @@
             long revision,
             ListPace pace,
             Counters counters,
-            Consumer<HostList> told) {
+            Consumer<EndpointList> told) {
         this.loop = loop;
         this.address = address;
         this.told = told;
@@ -175,7 +175,7 @@
             line.askLater(Failure.TURNED_AWAY);
             return;
         }
-        HostList list;
+        EndpointList list;
         try {
             list = ListReader.read(Json.read(body));
         } catch (IOException | IllegalArgumentException e) {
--- a/src/main/java/mintstair/front/ClientSession.java
+++ b/src/main/java/mintstair/front/ClientSession.java
@@ -7,10 +7,10 @@
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.function.Consumer;
-import mintstair.request.Answer;
-import mintstair.request.Client;
 import mintstair.request.Exchange;
 import mintstair.request.ProxyRequest;
+import mintstair.request.Response;
+import mintstair.request.ResponseListener;
 import mintstair.wire.Framer;
 import mintstair.wire.Intake;
 import mintstair.wire.MessageFilter;
@@ -404,13 +404,13 @@
     }
 
     /** Hands a request on and answers it when its final answer is there. */
-    protected final void submit(ProxyRequest request, Consumer<Answer> answer) {
+    protected final void submit(ProxyRequest request, Consumer<Response> answer) {
         asked = true;
         boolean[] answered = new boolean[1];
         long waited = Math.max(0, front.loop.now() - turnSince);
-        Exchange submitted = front.dispatcher.submit(request, waited, new Client() {
+        Exchange submitted = front.dispatcher.submit(request, waited, new ResponseListener() {
             @Override
-            public void answer(Answer a) {
+            public void answer(Response a) {
                 answered[0] = true;
                 exchange = null;
                 answer.accept(a);
--- a/src/main/java/mintstair/front/RequestRules.java
+++ b/src/main/java/mintstair/front/RequestRules.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 import mintstair.proxy.Dispatcher;
-import mintstair.request.Note;
+import mintstair.request.HostReport;
 import mintstair.request.ProxyRequest;
 import mintstair.request.Statement;
 import mintstair.wire.ProtocolException;
@@ -79,7 +79,7 @@
                 session,
                 "1".equals(values.get("r")),
                 dispatcher.mayHold(wait),
-                after == null ? Note.UNKNOWN : number("after", after) * 1000,
+                after == null ? HostReport.UNKNOWN : number("after", after) * 1000,
                 statement,
                 null);
     }
--- a/src/main/java/mintstair/front/mongo/MongoSession.java
+++ b/src/main/java/mintstair/front/mongo/MongoSession.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import mintstair.front.ClientSession;
 import mintstair.front.RequestRules;
-import mintstair.request.Answer;
 import mintstair.request.ProxyRequest;
+import mintstair.request.Response;
 import mintstair.wire.MongoFramer;
 import mintstair.wire.MongoMessage;
 import mintstair.wire.ProtocolException;
@@ -109,7 +109,7 @@
                 submit(
                         request,
                         answer -> reply(
-                                m, answer instanceof Answer.Served a ? served(a) : unserved(answer, request, true)));
+                                m, answer instanceof Response.Served a ? served(a) : unserved(answer, request, true)));
             }
             default -> {
                 front.malformed();
@@ -154,7 +154,7 @@
         }
         ProxyRequest request = request(c, false);
         submit(request, answer -> {
-            if (!(answer instanceof Answer.Served a)) {
+            if (!(answer instanceof Response.Served a)) {
                 reply(m, unserved(answer, request, false));
                 return;
             }
@@ -191,7 +191,7 @@
         ProxyRequest next = goOn(cursor, c, new MongoStatement(words));
         front.cursors().take(id);
         submit(next, answer -> {
-            if (!(answer instanceof Answer.Served a)) {
+            if (!(answer instanceof Response.Served a)) {
                 // Stale, gone, or read on without an answer: there is no next batch to be had from it.
                 front.free(cursor);
                 reply(m, Fault.CURSOR_NOT_FOUND.reply("cursor id " + id + " is no longer recent enough or in reach"));
@@ -220,8 +220,8 @@
                 r.cluster(),
                 r.session(),
                 r.clientRetry(),
-                r.patienceMicros(),
-                Math.max(r.afterMicros(), opened.afterMicros()),
+                r.timeoutMicros(),
+                Math.max(r.minimumPositionMicros(), opened.minimumPositionMicros()),
                 statement,
                 cursor.host());
     }
@@ -293,7 +293,7 @@
         return values;
     }
 
-    private static BsonDocument served(Answer.Served answer) {
+    private static BsonDocument served(Response.Served answer) {
         BsonDocument body = MongoMessage.document(answer.body());
         for (String note : NOTES) {
             body.remove(note);
@@ -308,8 +308,8 @@
     }
 
     /** Refusals carry the labels by which drivers know that a retry does no harm; failures carry none. */
-    private BsonDocument unserved(Answer answer, ProxyRequest request, boolean write) {
-        if (answer instanceof Answer.Refused a) {
+    private BsonDocument unserved(Response answer, ProxyRequest request, boolean write) {
+        if (answer instanceof Response.Rejected a) {
             BsonArray labels = new BsonArray();
             labels.add(new BsonString("SystemOverloadedError"));
             labels.add(new BsonString("RetryableError"));
@@ -318,9 +318,9 @@
             }
             BsonDocument reply =
                     Fault.OVERLOADED.reply("no room now, try again").append("errorLabels", labels);
-            return a.comeBackMillis() > 0 ? reply.append("retryAfterMS", new BsonInt64(a.comeBackMillis())) : reply;
+            return a.retryAfterMillis() > 0 ? reply.append("retryAfterMS", new BsonInt64(a.retryAfterMillis())) : reply;
         }
-        Answer.Failed a = (Answer.Failed) answer;
+        Response.Failed a = (Response.Failed) answer;
         return (a.late() ? Fault.MAX_TIME_MS_EXPIRED : Fault.HOST_UNREACHABLE)
                 .reply("request " + request.id() + ": " + a.reason());
     }
--- a/src/main/java/mintstair/front/pg/PgSession.java
+++ b/src/main/java/mintstair/front/pg/PgSession.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import mintstair.front.ClientSession;
-import mintstair.request.Answer;
 import mintstair.request.ProxyRequest;
+import mintstair.request.Response;
 import mintstair.wire.PgFramer;
 import mintstair.wire.PgWriter;
 import mintstair.wire.ProtocolException;
@@ -126,19 +126,19 @@
         submit(request, answer -> write(words(answer)));
     }
 
-    private static byte[] words(Answer answer) {
-        if (answer instanceof Answer.Served a) {
+    private static byte[] words(Response answer) {
+        if (answer instanceof Response.Served a) {
             return new PgWriter().raw(a.body()).ready().bytes();
         }
-        if (answer instanceof Answer.Refused a) {
-            String comeBack = a.comeBackMillis() > 0 ? Long.toString(a.comeBackMillis()) : null;
+        if (answer instanceof Response.Rejected a) {
+            String comeBack = a.retryAfterMillis() > 0 ? Long.toString(a.retryAfterMillis()) : null;
             return new PgWriter()
                     .error("ERROR", "53300", "no room now, try again", comeBack)
                     .ready()
                     .bytes();
         }
         return new PgWriter()
-                .error("ERROR", "58000", ((Answer.Failed) answer).reason(), null)
+                .error("ERROR", "58000", ((Response.Failed) answer).reason(), null)
                 .ready()
                 .bytes();
     }
--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
 import mintstair.config.Env;
-import mintstair.request.Answer;
 import mintstair.request.AttemptVerdict;
-import mintstair.request.Client;
 import mintstair.request.ConnectionEnd;
+import mintstair.request.EndpointList;
 import mintstair.request.Exchange;
-import mintstair.request.HostList;
-import mintstair.request.Note;
+import mintstair.request.HostReply;
+import mintstair.request.HostReport;
 import mintstair.request.ProxyRequest;
-import mintstair.request.Reply;
+import mintstair.request.Response;
+import mintstair.request.ResponseListener;
 import mintstair.request.Statement;
 import mintstair.routing.Directive;
 import mintstair.routing.News;
@@ -118,7 +118,7 @@
      *
      * @param waited how many microseconds of its client's time have passed since it was read
      */
-    public Exchange submit(ProxyRequest read, long waited, Client client) {
+    public Exchange submit(ProxyRequest read, long waited, ResponseListener client) {
         long now = loop.now();
         ProxyRequest request = read.after(waited);
         Taken t = new Taken(new Exchange(++numbers, request, now, client));
@@ -155,19 +155,19 @@
         carryOut(router.report(loop.now(), proxies));
     }
 
-    public void listed(HostList list, boolean old) {
+    public void listed(EndpointList list, boolean old) {
         if (list.whole()) {
             serving.clear();
             known.clear();
         }
-        for (HostList.Entry entry : list.entries()) {
+        for (EndpointList.Entry entry : list.entries()) {
             clusters.add(entry.cluster());
-            if (entry.state() == HostList.State.DELETED) {
+            if (entry.state() == EndpointList.State.REMOVED) {
                 known.remove(entry.host());
             } else {
                 known.add(entry.host());
             }
-            if (entry.state() == HostList.State.SERVING) {
+            if (entry.state() == EndpointList.State.SERVING) {
                 serving.add(entry.host());
             } else {
                 serving.remove(entry.host());
@@ -206,7 +206,7 @@
             t.guard = loop.at(t.exchange.deadline() + OVERDUE, () -> overdue(t));
         } else if (!t.exchange.isOver()) {
             counters.overdue++;
-            answer(t, new Answer.Failed("its time ran out", true));
+            answer(t, new Response.Failed("its time ran out", true));
             carryOut(router.report(loop.now(), new News.ClientGone(t.exchange.number())));
         }
     }
@@ -247,13 +247,13 @@
         } else if (directive instanceof Directive.Refuse d) {
             Taken t = taken.get(d.request());
             if (t != null) {
-                answer(t, new Answer.Refused((d.comeBack() + 999) / 1000));
+                answer(t, new Response.Rejected((d.comeBack() + 999) / 1000));
             }
         } else if (directive instanceof Directive.Fail d) {
             Taken t = taken.get(d.request());
             if (t != null) {
                 boolean late = loop.now() >= t.exchange.deadline();
-                answer(t, new Answer.Failed(late ? "its time ran out" : "no host could serve it", late));
+                answer(t, new Response.Failed(late ? "its time ran out" : "no host could serve it", late));
             }
         } else if (directive instanceof Directive.Probe d) {
             long sentAt = loop.now();
@@ -261,7 +261,8 @@
             hosts.probe(
                     d.host(),
                     reply -> carryOut(router.report(
-                            loop.now(), new News.ProbeEnd(d.host(), reply.end(), loop.now() - sentAt, reply.note()))));
+                            loop.now(),
+                            new News.ProbeEnd(d.host(), reply.end(), loop.now() - sentAt, reply.report()))));
         } else if (directive instanceof Directive.RuleBroken d) {
             counters.ruleBroken(d.rule());
             Taken t = taken.get(d.request());
@@ -298,7 +299,7 @@
         Hosts.Sent sent =
                 hosts.send(d.host(), t.exchange.request().statement(), d.writeBy(), until, new Hosts.Receiver() {
                     @Override
-                    public void end(Reply reply) {
+                    public void end(HostReply reply) {
                         ended[0] = true;
                         attemptEnded(t, d, sentAt, reply);
                     }
@@ -326,7 +327,8 @@
     private void neverSent(long now, Directive.Send d, boolean over) {
         carryOut(router.report(
                 now,
-                new News.AttemptEnd(d.request(), d.attempt(), d.host(), ConnectionEnd.NEVER_SENT, 0, over, Note.NONE)));
+                new News.AttemptEnd(
+                        d.request(), d.attempt(), d.host(), ConnectionEnd.NEVER_SENT, 0, over, HostReport.NONE)));
     }
 
     /** A long answer goes on as it comes. With its first bytes it is the only one, and no deadline counts any more. */
@@ -346,7 +348,7 @@
                             ConnectionEnd.SERVED,
                             loop.now() - sentAt,
                             true,
-                            Reply.of(null).note())));
+                            HostReply.of(null).report())));
         }
         if (t.flows == sent) {
             t.exchange.part(bytes, taken);
@@ -357,14 +359,14 @@
         }
     }
 
-    private void attemptEnded(Taken t, Directive.Send d, long sentAt, Reply reply) {
+    private void attemptEnded(Taken t, Directive.Send d, long sentAt, HostReply reply) {
         boolean flowed = t.out.remove(d.attempt()) == t.flows && t.flows != null;
         counters.ended(reply.end());
         t.lastEnd = reply.end();
         if (reply.end().isServed() && (flowed || t.flows == null)) {
-            answer(t, new Answer.Served(d.host(), reply.body()));
+            answer(t, new Response.Served(d.host(), reply.body()));
         } else if (flowed && !t.exchange.isOver()) {
-            counters.answered(t.exchange.request().requestClass(), new Answer.Failed("its host broke off", false));
+            counters.answered(t.exchange.request().requestClass(), new Response.Failed("its host broke off", false));
             t.exchange.cut();
         }
         long now = loop.now();
@@ -382,11 +384,11 @@
                             reply.end(),
                             now - sentAt,
                             over || t.flows != null,
-                            reply.note())));
+                            reply.report())));
         }
     }
 
-    private void answer(Taken t, Answer answer) {
+    private void answer(Taken t, Response answer) {
         if (t.exchange.answer(answer)) {
             counters.answered(t.exchange.request().requestClass(), answer);
             if (t.flows == null) {
--- a/src/main/java/mintstair/proxy/Hosts.java
+++ b/src/main/java/mintstair/proxy/Hosts.java
@@ -1,8 +1,8 @@
 package mintstair.proxy;
 
 import mintstair.request.AttemptVerdict;
-import mintstair.request.HostList;
-import mintstair.request.Reply;
+import mintstair.request.EndpointList;
+import mintstair.request.HostReply;
 import mintstair.request.Statement;
 
 /** The db hosts as the dispatcher sees them; every call and every ending happens on the loop. */
@@ -10,7 +10,7 @@
     /** Takes what comes back for something that was sent. */
     interface Receiver {
         /** Its one ending. */
-        void end(Reply reply);
+        void end(HostReply reply);
 
         /** Whether it may begin now; asked when a connection for it is there, right before it is written. */
         default AttemptVerdict mayBegin(long now) {
@@ -42,7 +42,7 @@
     void probe(String host, Receiver end);
 
     /** Which hosts there are, or what changed of them. */
-    void listed(HostList list);
+    void listed(EndpointList list);
 
     /**
      * Ends as never sent what waits for a connection to a host that is listed as leaving or gone; called once what the list tells
--- a/src/main/java/mintstair/registry/RegistryCommand.java
+++ b/src/main/java/mintstair/registry/RegistryCommand.java
@@ -21,7 +21,7 @@
 import mintstair.registry.view.Times;
 import mintstair.registry.view.Told;
 import mintstair.registry.view.ViewFigures;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.time.WallClock;
 
 /** What operators do with a registry from the command line. Changes are made only to the entry that was read: a lost race is told. */
@@ -127,7 +127,7 @@
         return before;
     }
 
-    private static HostList.Entry entry(byte[] value) throws IOException {
+    private static EndpointList.Entry entry(byte[] value) throws IOException {
         if (!(Json.read(value) instanceof Map<?, ?> map)) {
             throw new ConfigException("a host must be an object");
         }
@@ -162,7 +162,7 @@
 
     private void print(Told told) {
         if (told instanceof Told.Hosts h) {
-            for (HostList.Entry e : h.list().entries()) {
+            for (EndpointList.Entry e : h.list().entries()) {
                 out.println(h.list().revision() + " " + h.front() + " " + e.host() + " " + e.state() + " "
                         + e.endpoint() + " group=" + e.cluster() + (e.primary() ? " primary" : ""));
             }
@@ -227,7 +227,7 @@
         kept.items().forEach(item -> out.println(item.key() + " at " + item.modified()));
     }
 
-    private static String line(HostList.Entry e) {
+    private static String line(EndpointList.Entry e) {
         return e.state() + " " + e.endpoint() + " group=" + e.cluster() + (e.primary() ? " primary" : "");
     }
 
--- a/src/main/java/mintstair/registry/view/HostTable.java
+++ b/src/main/java/mintstair/registry/view/HostTable.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import mintstair.config.Json;
 import mintstair.config.ListReader;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 
 /**
  * The registry's entries as last read: each host with its last valid entry, and the settings. It turns puts and deletions, or a
@@ -24,7 +24,7 @@
      * A host's life under its key; {@code hash} is of the newest value, {@code value} the last valid one, null with {@code entry}
      * where none ever was.
      */
-    private record Row(long created, long modified, int hash, byte[] value, HostList.Entry entry) {}
+    private record Row(long created, long modified, int hash, byte[] value, EndpointList.Entry entry) {}
 
     /** An odd number without pattern: a digest is a sum, in which equal small hashes must not cancel out. */
     private static final long SPREAD = 0x9E3779B97F4A7C15L;
@@ -106,7 +106,7 @@
             faults.note(now, "registry: no room for " + shown(item.key()), out);
             return;
         }
-        HostList.Entry entry = entry(item, front, now, out);
+        EndpointList.Entry entry = entry(item, front, now, out);
         Row row = entry != null
                 ? new Row(item.created(), item.modified(), hash, item.value(), entry)
                 : new Row(
@@ -143,15 +143,15 @@
         }
         keep(key, row, -1);
         if (row.entry != null) {
-            HostList.Entry e = row.entry;
+            EndpointList.Entry e = row.entry;
             steps.add(
                     names.front(key),
-                    new HostList.Entry(
+                    new EndpointList.Entry(
                             e.host(),
                             e.endpoint(),
                             e.zone(),
                             e.cluster(),
-                            HostList.State.DELETED,
+                            EndpointList.State.REMOVED,
                             e.primary(),
                             e.size(),
                             e.started()),
@@ -171,7 +171,7 @@
         bytes += times * (key.length() + (row.value == null ? 0 : row.value.length));
         if (row.entry != null) {
             hosts += times;
-            HostList.Entry e = row.entry;
+            EndpointList.Entry e = row.entry;
             long hash = Objects.hash(
                     key, e.endpoint(), e.zone(), e.cluster(), e.state().name(), e.primary(), e.size(), e.started());
             digest += times * (hash * SPREAD ^ hash);
@@ -179,7 +179,7 @@
     }
 
     /** The entry that the item holds, or null, with a line, where it holds none. */
-    private HostList.Entry entry(Item item, String front, long now, Consumer<Told> out) {
+    private EndpointList.Entry entry(Item item, String front, long now, Consumer<Told> out) {
         String fault;
         if (item.key().length() > limits.keyBytes() || item.value().length > limits.valueBytes()) {
             fault = "too long";
@@ -188,11 +188,11 @@
                 if (!(Json.read(item.value()) instanceof Map<?, ?> map)) {
                     throw new IllegalArgumentException("not an object");
                 }
-                HostList.Entry entry = ListReader.entry(map);
+                EndpointList.Entry entry = ListReader.entry(map);
                 if (!entry.host().equals(names.uid(item.key(), front))) {
                     throw new IllegalArgumentException("its uid is " + entry.host());
                 }
-                if (entry.state() == HostList.State.DELETED) {
+                if (entry.state() == EndpointList.State.REMOVED) {
                     throw new IllegalArgumentException("a host is deleted by deleting its key");
                 }
                 return entry;
@@ -213,12 +213,12 @@
     /** Tells every front the whole of its list. */
     void tellWhole(long revision, boolean old, Consumer<Told> out) {
         for (String front : names.fronts()) {
-            out.accept(new Told.Hosts(front, new HostList(revision, true, entries(front)), old));
+            out.accept(new Told.Hosts(front, new EndpointList(revision, true, entries(front)), old));
         }
     }
 
-    List<HostList.Entry> entries(String front) {
-        List<HostList.Entry> entries = new ArrayList<>();
+    List<EndpointList.Entry> entries(String front) {
+        List<EndpointList.Entry> entries = new ArrayList<>();
         rows.forEach((key, row) -> {
             if (row.entry != null && front.equals(names.front(key))) {
                 entries.add(row.entry);
--- a/src/main/java/mintstair/request/HostList.java
+++ b/src/main/java/mintstair/request/EndpointList.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /** The list of hosts as discovery tells it: all of them, or those that changed. */
-public record HostList(long revision, boolean whole, List<Entry> entries) {
+public record EndpointList(long revision, boolean whole, List<Entry> entries) {
     /** What the list says of a host's process. */
     public enum State {
         SERVING,
         DRAINING,
-        DELETED
+        REMOVED
     }
 
     /** One host; {@code started} in Unix microseconds, 0 for long ago. */
--- a/src/main/java/mintstair/request/Exchange.java
+++ b/src/main/java/mintstair/request/Exchange.java
@@ -3,12 +3,12 @@
 /** A request that was taken in, and the guarantee that its client gets one final answer, not two. */
 public final class Exchange {
     private final ProxyRequest request;
-    private final Client client;
+    private final ResponseListener client;
     private final long arrived;
     private final long number;
     private boolean over;
 
-    public Exchange(long number, ProxyRequest request, long arrived, Client client) {
+    public Exchange(long number, ProxyRequest request, long arrived, ResponseListener client) {
         this.number = number;
         this.request = request;
         this.arrived = arrived;
@@ -30,7 +30,7 @@
 
     /** When the client gives up, on the proxy's clock. */
     public long deadline() {
-        return arrived + request.patienceMicros();
+        return arrived + request.timeoutMicros();
     }
 
     public boolean isOver() {
@@ -43,7 +43,7 @@
     }
 
     /** Gives the final answer; false, and nothing done, where there was one or the client has left. */
-    public boolean answer(Answer answer) {
+    public boolean answer(Response answer) {
         if (over) {
             return false;
         }
--- a/src/main/java/mintstair/request/ProxyRequest.java
+++ b/src/main/java/mintstair/request/ProxyRequest.java
@@ -8,8 +8,8 @@
  * @param cluster the group of hosts that hold its data
  * @param session the session, or null where its class has none
  * @param clientRetry whether the client says that it tries again
- * @param patienceMicros how long the client waits from the arrival on
- * @param afterMicros the position that a session's read must see, or {@link Note#UNKNOWN}
+ * @param timeoutMicros how long the client waits from the arrival on
+ * @param minimumPositionMicros the position that a session's read must see, or {@link HostReport#UNKNOWN}
  * @param statement what to pass on
  * @param pinned the only host that can serve it, as it holds the cursor that is read on; null for any
  */
@@ -19,8 +19,8 @@
         int cluster,
         String session,
         boolean clientRetry,
-        long patienceMicros,
-        long afterMicros,
+        long timeoutMicros,
+        long minimumPositionMicros,
         Statement statement,
         String pinned) {
     /** The same request when so many microseconds of its client's time have passed; it may have none left. */
@@ -31,8 +31,8 @@
                 cluster,
                 session,
                 clientRetry,
-                Math.max(1, patienceMicros - waited),
-                afterMicros,
+                Math.max(1, timeoutMicros - waited),
+                minimumPositionMicros,
                 statement,
                 pinned);
     }
--- a/src/main/java/mintstair/request/HostRole.java
+++ b/src/main/java/mintstair/request/ReplicationRole.java
@@ -1,8 +1,8 @@
 package mintstair.request;
 
 /** What an answer tells of its host's role. */
-public enum HostRole {
-    UNTOLD,
+public enum ReplicationRole {
+    UNKNOWN,
     PRIMARY,
     REPLICA
 }
--- a/src/main/java/mintstair/request/Client.java
+++ b/src/main/java/mintstair/request/ResponseListener.java
@@ -1,9 +1,9 @@
 package mintstair.request;
 
 /** Who a request came from, as far as its answer goes. */
-public interface Client {
+public interface ResponseListener {
     /** The final answer; after parts, the rest of it. */
-    void answer(Answer answer);
+    void answer(Response answer);
 
     /** A part of an answer too long to be held, in order; {@code taken} is run when it is on its way. */
     default void part(byte[] bytes, Runnable taken) {
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -25,11 +25,11 @@
 import mintstair.decision.SplitterApi.Role;
 import mintstair.request.AttemptVerdict;
 import mintstair.request.ConnectionEnd;
+import mintstair.request.EndpointList;
 import mintstair.request.Exchange;
-import mintstair.request.HostList;
-import mintstair.request.HostRole;
-import mintstair.request.Note;
+import mintstair.request.HostReport;
 import mintstair.request.ProxyRequest;
+import mintstair.request.ReplicationRole;
 
 /**
  * The decision module in blocking style: each call takes what happened and returns what is to be done now.
@@ -98,9 +98,9 @@
     public List<Directive> pick(long at, long number, ProxyRequest r) {
         now = at;
         taken.put(number, new Taken());
-        monitor.taken(number, classOf(r.requestClass()), at + r.patienceMicros());
-        long age = at - r.afterMicros();
-        if (r.afterMicros() == Note.UNKNOWN) {
+        monitor.taken(number, classOf(r.requestClass()), at + r.timeoutMicros());
+        long age = at - r.minimumPositionMicros();
+        if (r.minimumPositionMicros() == HostReport.UNKNOWN) {
             age = SplitterApi.UNKNOWN;
         } else if (age == SplitterApi.UNKNOWN) {
             // A commit that a hasty clock puts into the future is a token all the same, not a missing one.
@@ -115,7 +115,7 @@
                         r.session(),
                         -1,
                         r.clientRetry(),
-                        r.patienceMicros(),
+                        r.timeoutMicros(),
                         age,
                         r.pinned()));
         return takeDue();
@@ -166,13 +166,13 @@
                             ending(e.end()),
                             e.latency(),
                             e.over(),
-                            role(e.note()),
-                            e.note().position()));
+                            role(e.report()),
+                            e.report().position()));
             forget(e.request(), t);
         } else if (news instanceof News.ProbeEnd e) {
-            Report report = e.note().role() == HostRole.UNTOLD
+            Report report = e.report().role() == ReplicationRole.UNKNOWN
                     ? null
-                    : new Report(e.note().position(), role(e.note()));
+                    : new Report(e.report().position(), role(e.report()));
             module.onProbed(at, e.host(), ending(e.end()), e.latency(), report);
         } else if (news instanceof News.ClientGone e) {
             Taken t = taken.get(e.request());
@@ -187,7 +187,7 @@
         } else if (news instanceof News.Listed e) {
             noteDraining(at, e.list());
             List<HostEntry> rows = new ArrayList<>();
-            for (HostList.Entry h : e.list().entries()) {
+            for (EndpointList.Entry h : e.list().entries()) {
                 rows.add(new HostEntry(
                         h.host(), h.primary(), h.zone(), h.cluster(), state(h.state()), h.size(), h.started()));
             }
@@ -197,12 +197,12 @@
         return takeDue();
     }
 
-    private void noteDraining(long at, HostList list) {
+    private void noteDraining(long at, EndpointList list) {
         if (list.whole()) {
             draining.clear();
         }
-        for (HostList.Entry host : list.entries()) {
-            boolean drains = host.state() == HostList.State.DRAINING;
+        for (EndpointList.Entry host : list.entries()) {
+            boolean drains = host.state() == EndpointList.State.DRAINING;
             monitor.listed(at, host.host(), drains);
             if (drains) {
                 draining.add(host.host());
@@ -260,19 +260,19 @@
         };
     }
 
-    private static Role role(Note note) {
-        return switch (note.role()) {
+    private static Role role(HostReport report) {
+        return switch (report.role()) {
             case PRIMARY -> Role.PRIMARY;
             case REPLICA -> Role.REPLICA;
             case UNTOLD -> Role.UNTOLD;
         };
     }
 
-    private static HostState state(HostList.State state) {
+    private static HostState state(EndpointList.State state) {
         return switch (state) {
             case SERVING -> HostState.READY;
             case DRAINING -> HostState.DRAINING;
-            case DELETED -> HostState.GONE;
+            case REMOVED -> HostState.GONE;
         };
     }
 
--- a/src/main/java/mintstair/serve/Proxy.java
+++ b/src/main/java/mintstair/serve/Proxy.java
@@ -34,7 +34,7 @@
 import mintstair.log.NonBlockingOutput;
 import mintstair.proxy.Loop;
 import mintstair.registry.view.Told;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.routing.RequestRouter;
 import mintstair.stats.Figures;
 import mintstair.stats.HeapFloor;
@@ -291,7 +291,7 @@
     }
 
     /** The store's list of MongoDB hosts stands in for the operator's. */
-    private void listed(HostList list) {
+    private void listed(EndpointList list) {
         if (operator.mongodb() != null) {
             loop.execute(() -> services.get(1).listed(list));
         }
--- a/src/main/java/mintstair/serve/Rehearsal.java
+++ b/src/main/java/mintstair/serve/Rehearsal.java
@@ -19,8 +19,8 @@
 import mintstair.proxy.Hosts;
 import mintstair.proxy.Loop;
 import mintstair.request.ConnectionEnd;
-import mintstair.request.HostList;
-import mintstair.request.Reply;
+import mintstair.request.EndpointList;
+import mintstair.request.HostReply;
 import mintstair.request.Statement;
 import mintstair.routing.RequestRouter;
 import mintstair.stats.Counters;
@@ -86,12 +86,12 @@
     }
 
     private void begin() {
-        List<HostList.Entry> hosts = new ArrayList<>();
+        List<EndpointList.Entry> hosts = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            hosts.add(new HostList.Entry(
-                    "r" + i, "127.0.0.1:" + i, "z", 1, HostList.State.SERVING, PRIMARY.equals("r" + i), 1, 0));
+            hosts.add(new EndpointList.Entry(
+                    "r" + i, "127.0.0.1:" + i, "z", 1, EndpointList.State.SERVING, PRIMARY.equals("r" + i), 1, 0));
         }
-        dispatcher.listed(new HostList(1, true, hosts), false);
+        dispatcher.listed(new EndpointList(1, true, hosts), false);
         for (int i = 0; i < AT_ONCE; i++) {
             next();
         }
@@ -124,7 +124,7 @@
             boolean lost = sent % 50 == 0;
             loop.execute(() -> end.end(
                     lost
-                            ? Reply.of(ConnectionEnd.BROKEN_AFTER_WRITTEN)
+                            ? HostReply.of(ConnectionEnd.BROKEN_AFTER_WRITTEN)
                             : read(sent % 20 == 0 ? MISS : row(host, "rehearsed"))));
             return () -> {};
         }
@@ -132,23 +132,23 @@
         @Override
         public void probe(String host, Receiver end) {
             loop.execute(() -> {
-                Reply reply = read(row(
+                HostReply reply = read(row(
                         host, "inflight=1,util=0.5,x0=" + loop.now() / 1e6 + ",x1=" + (host.equals(PRIMARY) ? 1 : 0)));
-                end.end(new Reply(reply.end(), null, protocol.report(reply.body())));
+                end.end(new HostReply(reply.end(), null, protocol.report(reply.body())));
             });
         }
 
         @Override
-        public void listed(HostList list) {}
+        public void listed(EndpointList list) {}
 
         @Override
         public void turnBack() {}
 
-        private Reply read(byte[] bytes) {
+        private HostReply read(byte[] bytes) {
             Framer framer = protocol.newFramer();
             Protocol.Parser parser = protocol.newParser();
             framer.feed(ByteBuffer.wrap(bytes));
-            Reply reply = null;
+            HostReply reply = null;
             while (reply == null) {
                 reply = parser.take(framer.next());
             }
--- a/src/main/java/mintstair/serve/Service.java
+++ b/src/main/java/mintstair/serve/Service.java
@@ -12,7 +12,7 @@
 import mintstair.front.Front;
 import mintstair.proxy.Dispatcher;
 import mintstair.proxy.Loop;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.routing.News;
 import mintstair.routing.RequestRouter;
 import mintstair.stats.Counters;
@@ -75,7 +75,7 @@
     }
 
     /** Takes what discovery, or the registry in its place, tells; {@code old} where that is what it knew at the last run; on the loop. */
-    void told(HostList list, boolean old) {
+    void told(EndpointList list, boolean old) {
         lines = list.whole() ? list.entries().size() : lines;
         dispatcher.listed(list, old);
         if (!told && !old) {
@@ -138,7 +138,7 @@
     }
 
     /** Takes a list from elsewhere than discovery; on the loop. */
-    void listed(HostList list) {
+    void listed(EndpointList list) {
         dispatcher.listed(list, false);
     }
 
@@ -156,7 +156,7 @@
      * Begins to look for hosts: from the list as last known, which is old where another tells of hosts, and from discovery where
      * there is one.
      */
-    void begin(InetSocketAddress discovery, HostList known, boolean old) {
+    void begin(InetSocketAddress discovery, EndpointList known, boolean old) {
         loop.execute(() -> {
             if (known != null) {
                 lines = known.entries().size();
--- a/src/main/java/mintstair/serve/StoreKeeper.java
+++ b/src/main/java/mintstair/serve/StoreKeeper.java
@@ -10,7 +10,7 @@
 import mintstair.config.Json;
 import mintstair.config.ListReader;
 import mintstair.config.OperatorConfig;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.store.Store;
 
 /**
@@ -32,7 +32,7 @@
     private String last = "";
 
     /** {@code hosts} is told of each new list, {@code state} gives what to keep of this daemon. */
-    StoreKeeper(OperatorConfig.Members members, String name, Consumer<HostList> hosts, Supplier<String> state)
+    StoreKeeper(OperatorConfig.Members members, String name, Consumer<EndpointList> hosts, Supplier<String> state)
             throws IOException {
         store = Store.member(members.member(), members.members(), members.folder());
         thread.scheduleWithFixedDelay(() -> guarded(() -> look(hosts)), 0, LOOK_EVERY_SECONDS, TimeUnit.SECONDS);
@@ -50,7 +50,7 @@
     }
 
     /** A list that cannot be read changes nothing. */
-    private void look(Consumer<HostList> hosts) {
+    private void look(Consumer<EndpointList> hosts) {
         String now = store.local(HOSTS);
         if (now == null || now.equals(last)) {
             return;
--- a/src/main/java/mintstair/stats/Counters.java
+++ b/src/main/java/mintstair/stats/Counters.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicLong;
-import mintstair.request.Answer;
 import mintstair.request.AttemptVerdict;
 import mintstair.request.ConnectionEnd;
+import mintstair.request.Response;
 
 /** What the proxy took in, sent and answered since its start; kept on the loop. */
 public final class Counters {
@@ -77,12 +77,12 @@
         classes.computeIfAbsent(requestClass, name -> new long[3]);
     }
 
-    public void answered(String requestClass, Answer answer) {
+    public void answered(String requestClass, Response answer) {
         long[] ofClass = classes.computeIfAbsent(requestClass, name -> new long[3]);
-        if (answer instanceof Answer.Served) {
+        if (answer instanceof Response.Served) {
             served++;
             ofClass[0]++;
-        } else if (answer instanceof Answer.Refused) {
+        } else if (answer instanceof Response.Rejected) {
             refused++;
             ofClass[1]++;
         } else {
--- a/src/main/java/mintstair/traffic/ExchangeLine.java
+++ b/src/main/java/mintstair/traffic/ExchangeLine.java
@@ -27,7 +27,7 @@
         put(line, "after_ms", e.afterMillis() >= 0 ? e.afterMillis() : null);
         line.put("result", e.result().name().toLowerCase(Locale.ROOT));
         put(line, "latency_ms", e.answered() > 0 ? (e.answered() - e.asked()) / NANOS_A_MILLI : null);
-        put(line, "come_back_ms", e.comeBackMillis() > 0 ? e.comeBackMillis() : null);
+        put(line, "come_back_ms", e.retryAfterMillis() > 0 ? e.retryAfterMillis() : null);
         put(line, "digest", e.digest() != 0 ? Long.toHexString(e.digest()) : null);
         try {
             return Json.write(line);
--- a/src/main/java/mintstair/traffic/RecordedExchange.java
+++ b/src/main/java/mintstair/traffic/RecordedExchange.java
@@ -15,7 +15,7 @@
  * @param deadlineMillis how long the client would wait, 0 where it does not say
  * @param afterMillis the position that it must see, in Unix milliseconds, -1 for none
  * @param result what came of it
- * @param comeBackMillis for a refusal the time to come back, 0 where it gives none
+ * @param retryAfterMillis for a refusal the time to come back, 0 where it gives none
  * @param digest of a served value, 0 for others; the same for the same value
  * @param message the request's message as it was sent
  */
@@ -32,7 +32,7 @@
         long deadlineMillis,
         long afterMillis,
         Result result,
-        long comeBackMillis,
+        long retryAfterMillis,
         long digest,
         byte[] message) {
     /** Final answers; {@link #NONE} where the recording shows none. */
--- a/src/main/java/mintstair/traffic/ReplaySchedule.java
+++ b/src/main/java/mintstair/traffic/ReplaySchedule.java
@@ -205,7 +205,7 @@
     }
 
     /** The final answer to a request, or {@link RecordedExchange.Result#NONE} where none will come. */
-    public void answered(Planned p, long now, RecordedExchange.Result result, long comeBackMillis) {
+    public void answered(Planned p, long now, RecordedExchange.Result result, long retryAfterMillis) {
         if (p.fate != Fate.SENT) {
             return;
         }
@@ -228,7 +228,7 @@
             }
         }
         if (options.liveRetries() && result == RecordedExchange.Result.REFUSED) {
-            retry(p, now + Math.max(0, comeBackMillis) * MILLI);
+            retry(p, now + Math.max(0, retryAfterMillis) * MILLI);
         }
     }
 
--- a/src/main/java/mintstair/traffic/Replayer.java
+++ b/src/main/java/mintstair/traffic/Replayer.java
@@ -226,7 +226,7 @@
         Sent sent = open.remove(e.id());
         if (sent != null) {
             played.add(new Played(sent.planned, e));
-            schedule.answered(sent.planned, now(), e.result(), e.comeBackMillis());
+            schedule.answered(sent.planned, now(), e.result(), e.retryAfterMillis());
         }
     }
 
--- a/src/test/java/mintstair/backend/BackendsTest.java
+++ b/src/test/java/mintstair/backend/BackendsTest.java
@@ -25,8 +25,8 @@
 import mintstair.proxy.Hosts;
 import mintstair.proxy.Loop;
 import mintstair.request.ConnectionEnd;
-import mintstair.request.HostList;
-import mintstair.request.Reply;
+import mintstair.request.EndpointList;
+import mintstair.request.HostReply;
 import mintstair.standin.Client;
 import mintstair.standin.PgHost;
 import mintstair.standin.StandInHost.Act;
@@ -56,7 +56,7 @@
         mute = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         ServerSocket closed = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         closed.close();
-        HostList list = new HostList(
+        EndpointList list = new EndpointList(
                 1,
                 true,
                 List.of(
@@ -74,12 +74,12 @@
         mute.close();
     }
 
-    private static HostList.Entry entry(String name, int port) {
-        return new HostList.Entry(name, "127.0.0.1:" + port, "z", 1, HostList.State.SERVING, false, 1, 0);
+    private static EndpointList.Entry entry(String name, int port) {
+        return new EndpointList.Entry(name, "127.0.0.1:" + port, "z", 1, EndpointList.State.SERVING, false, 1, 0);
     }
 
-    private CompletableFuture<Reply> send(String to, String id, long writeBy, long until, Hosts.Sent[] sent) {
-        CompletableFuture<Reply> end = new CompletableFuture<>();
+    private CompletableFuture<HostReply> send(String to, String id, long writeBy, long until, Hosts.Sent[] sent) {
+        CompletableFuture<HostReply> end = new CompletableFuture<>();
         byte[] words = Client.Pg.query(Client.Pg.words(true, "id=" + id + ",c=write,cluster=1", 1));
         loop.execute(() ->
                 sent[0] = backends.send(to, wait -> words, loop.now() + writeBy, loop.now() + until, end::complete));
@@ -107,7 +107,7 @@
         assertEquals(ConnectionEnd.CONNECT_TIMEOUT, end("mute", "x", 9 * SECOND, 9 * SECOND));
         assertEquals(ConnectionEnd.NEVER_SENT, end("unheard of", "x", 9 * SECOND, 9 * SECOND));
         Hosts.Sent[] sent = new Hosts.Sent[1];
-        CompletableFuture<Reply> off = send("speaks", "off", 9 * SECOND, 9 * SECOND, sent);
+        CompletableFuture<HostReply> off = send("speaks", "off", 9 * SECOND, 9 * SECOND, sent);
         while (!host.seen.contains("off")) {
             Thread.onSpinWait();
         }
@@ -126,7 +126,7 @@
             assertEquals(ConnectionEnd.SERVED, end("speaks", "after " + spoilt, 9 * SECOND, 9 * SECOND));
         }
         host.script.put("vitals", Act.NOISE);
-        CompletableFuture<Reply> report = new CompletableFuture<>();
+        CompletableFuture<HostReply> report = new CompletableFuture<>();
         loop.execute(() -> backends.probe("speaks", report::complete));
         assertEquals(
                 ConnectionEnd.REPORT_UNREADABLE,
@@ -147,7 +147,7 @@
     }
 
     private void assertServed(String id) throws Exception {
-        Reply reply =
+        HostReply reply =
                 send("speaks", id, 9 * SECOND, 9 * SECOND, new Hosts.Sent[1]).get(20, TimeUnit.SECONDS);
         assertEquals(true, reply.end().isServed());
         assertEquals(true, new String(reply.body(), StandardCharsets.UTF_8).contains(id), id);
@@ -158,15 +158,15 @@
     void callsToMoreHostsThanHaveRoomForSparesFindTheirConnectionsKept() throws Exception {
         Counters counters = new Counters();
         Backends few = new Backends(loop, new PgProtocol(), transport, SECOND, 15 * SECOND, 6, new Random(1), counters);
-        List<HostList.Entry> entries = new ArrayList<>();
+        List<EndpointList.Entry> entries = new ArrayList<>();
         for (String name : new String[] {"a", "b", "c", "d"}) {
             entries.add(entry(name, host.port()));
         }
-        loop.execute(() -> few.listed(new HostList(1, true, entries)));
+        loop.execute(() -> few.listed(new EndpointList(1, true, entries)));
         loop.execute(few::open);
         CompletableFuture<Long> opened = new CompletableFuture<>();
         for (int i = 0; i < 40; i++) {
-            CompletableFuture<Reply> end = new CompletableFuture<>();
+            CompletableFuture<HostReply> end = new CompletableFuture<>();
             byte[] words = Client.Pg.query(Client.Pg.words(true, "id=kept" + i + ",c=write,cluster=1", 1));
             String to = entries.get(i % 4).host();
             // Later on the loop than the rest that a connection takes after its reply.
@@ -186,7 +186,7 @@
         Backends starts =
                 new Backends(loop, new PgProtocol(), transport, SECOND, 15 * SECOND, 6, new Random(1), counters);
         loop.execute(() ->
-                starts.listed(new HostList(1, true, List.of(entry("a", host.port()), entry("b", host.port())))));
+                starts.listed(new EndpointList(1, true, List.of(entry("a", host.port()), entry("b", host.port())))));
         CompletableFuture<Long> before = new CompletableFuture<>();
         // Later on the loop than the sweep by which spare connections of hosts listed for a second were opened.
         loop.at(loop.now() + 2_500_000, () -> {
@@ -220,7 +220,7 @@
     @Test
     void connectionsOfAHostThatIsGoneAreClosed() throws Exception {
         assertServed("before");
-        loop.execute(() -> backends.listed(new HostList(2, true, List.of())));
+        loop.execute(() -> backends.listed(new EndpointList(2, true, List.of())));
         Program.await(() -> host.open() == 0, "the end of its connections");
     }
 
@@ -241,7 +241,7 @@
     void whatAHostHasSeenIsNeverSaidToHaveBrokenBefore() throws Exception {
         int tries = Integer.getInteger("tries", 3_000);
         for (int i = 0; i < tries; i += 20) {
-            List<CompletableFuture<Reply>> ends = new ArrayList<>();
+            List<CompletableFuture<HostReply>> ends = new ArrayList<>();
             for (int j = i; j < i + 20; j++) {
                 host.script.put("b" + j, Act.BREAK);
                 ends.add(send("speaks", "b" + j, 9 * SECOND, 9 * SECOND, new Hosts.Sent[1]));
@@ -292,7 +292,7 @@
             Program.await(() -> tries(port) == 0, "the last try to end");
             CompletableFuture<Void> listed = new CompletableFuture<>();
             loop.execute(() -> {
-                backends.listed(new HostList(2, false, List.of(entry("full", port))));
+                backends.listed(new EndpointList(2, false, List.of(entry("full", port))));
                 listed.complete(null);
             });
             listed.join();
--- a/src/test/java/mintstair/discovery/AnswerEndsTest.java
+++ b/src/test/java/mintstair/discovery/AnswerEndsTest.java
@@ -18,7 +18,7 @@
 import mintstair.discovery.pace.ListPace;
 import mintstair.program.Program;
 import mintstair.proxy.Loop;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.standin.StandInHost;
 import mintstair.stats.Counters;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
@@ -44,7 +44,7 @@
     private final Loop loop = new Loop();
     private final TCPNIOTransport transport =
             TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
-    private final List<HostList> told = new CopyOnWriteArrayList<>();
+    private final List<EndpointList> told = new CopyOnWriteArrayList<>();
     private final List<String> asked = new CopyOnWriteArrayList<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final Counters counters = new Counters();
--- a/src/test/java/mintstair/discovery/WatchTest.java
+++ b/src/test/java/mintstair/discovery/WatchTest.java
@@ -14,7 +14,7 @@
 import mintstair.discovery.pace.ListPace;
 import mintstair.program.Program;
 import mintstair.proxy.Loop;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.stats.Counters;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransportBuilder;
@@ -25,7 +25,7 @@
     private final List<String> asked = new CopyOnWriteArrayList<>();
     private final List<Integer> ports = new CopyOnWriteArrayList<>();
     private final List<Long> times = new CopyOnWriteArrayList<>();
-    private final List<HostList> told = new CopyOnWriteArrayList<>();
+    private final List<EndpointList> told = new CopyOnWriteArrayList<>();
     private final Counters counters = new Counters();
 
     /**
--- a/src/test/java/mintstair/front/DrainTest.java
+++ b/src/test/java/mintstair/front/DrainTest.java
@@ -15,7 +15,7 @@
 import mintstair.proxy.Dispatcher;
 import mintstair.proxy.Hosts;
 import mintstair.proxy.Loop;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.request.Statement;
 import mintstair.routing.RequestRouter;
 import mintstair.standin.Client;
@@ -37,7 +37,7 @@
         public void probe(String host, Receiver end) {}
 
         @Override
-        public void listed(HostList list) {}
+        public void listed(EndpointList list) {}
 
         @Override
         public void turnBack() {}
@@ -58,8 +58,9 @@
         try (Loop loop = new Loop()) {
             Dispatcher dispatcher =
                     new Dispatcher(loop, new RequestRouter(loop.now(), 1, env), new Mute(), counters, line -> {});
-            HostList.Entry primary = new HostList.Entry("p", "127.0.0.1:9", "z", 1, HostList.State.SERVING, true, 1, 0);
-            loop.execute(() -> dispatcher.listed(new HostList(1, true, List.of(primary)), false));
+            EndpointList.Entry primary =
+                    new EndpointList.Entry("p", "127.0.0.1:9", "z", 1, EndpointList.State.SERVING, true, 1, 0);
+            loop.execute(() -> dispatcher.listed(new EndpointList(1, true, List.of(primary)), false));
             PgFront front = new PgFront(loop, dispatcher, transport, counters, 10);
             int port = front.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
             for (int i = 0; i < 20; i++) {
--- a/src/test/java/mintstair/registry/Registries.java
+++ b/src/test/java/mintstair/registry/Registries.java
@@ -11,13 +11,13 @@
 import mintstair.registry.view.RegistryView;
 import mintstair.registry.view.Times;
 import mintstair.registry.view.Told;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 
 /** A client of a stand-in registry and what it was told, for tests over sockets. */
 final class Registries implements AutoCloseable {
     static final String PREFIX = "reg/";
     static final String FRONT = "postgresql";
-    final Map<String, HostList.Entry> hosts = new ConcurrentHashMap<>();
+    final Map<String, EndpointList.Entry> hosts = new ConcurrentHashMap<>();
     final List<Told> told = new CopyOnWriteArrayList<>();
     final List<String> lines = new CopyOnWriteArrayList<>();
     final RegistryClient client;
@@ -45,8 +45,8 @@
                 if (h.list().whole()) {
                     hosts.clear();
                 }
-                for (HostList.Entry e : h.list().entries()) {
-                    if (e.state() == HostList.State.DELETED) {
+                for (EndpointList.Entry e : h.list().entries()) {
+                    if (e.state() == EndpointList.State.REMOVED) {
                         hosts.remove(e.host());
                     } else {
                         hosts.put(e.host(), e);
@@ -66,7 +66,7 @@
 
     /** The boot time that is shown for a host, as the version that {@link #host} wrote; -1 for none. */
     int version(String uid) {
-        HostList.Entry e = hosts.get(uid);
+        EndpointList.Entry e = hosts.get(uid);
         return e == null ? -1 : (int) (e.started() / 1000);
     }
 
--- a/src/test/java/mintstair/registry/ScheduleTest.java
+++ b/src/test/java/mintstair/registry/ScheduleTest.java
@@ -24,7 +24,7 @@
 import mintstair.registry.view.Times;
 import mintstair.registry.view.Told;
 import mintstair.registry.view.WatchView;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.standin.RegistryModel;
 import org.junit.jupiter.api.Test;
 
@@ -61,7 +61,7 @@
         private final Random dice;
         private final RegistryModel model = new RegistryModel();
         private final RegistryView view;
-        private final Map<String, HostList.Entry> mirror = new HashMap<>();
+        private final Map<String, EndpointList.Entry> mirror = new HashMap<>();
         /** Per member: how far it has come, or -1 where it is up to date; and whether it says nothing at all. */
         private final long[] lag = {-1, -1, -1};
 
@@ -307,8 +307,8 @@
                 mirror.clear();
                 told = true;
             }
-            for (HostList.Entry e : hosts.list().entries()) {
-                if (e.state() == HostList.State.DELETED) {
+            for (EndpointList.Entry e : hosts.list().entries()) {
+                if (e.state() == EndpointList.State.REMOVED) {
                     assertNotNull(
                             mirror.remove(e.host()), "deleted twice or never there: " + e.host() + ", seed " + seed);
                 } else {
@@ -351,7 +351,7 @@
             }
             for (Map.Entry<String, Item> each : hosts.entrySet()) {
                 String value = new String(each.getValue().value());
-                HostList.Entry shown = mirror.get(each.getKey());
+                EndpointList.Entry shown = mirror.get(each.getKey());
                 if (value.startsWith("{")
                         && (shown == null || !value.contains(":" + Math.round(shown.started() / 1000.0) + "}"))) {
                     return false;
--- a/src/test/java/mintstair/registry/ViewTest.java
+++ b/src/test/java/mintstair/registry/ViewTest.java
@@ -28,7 +28,7 @@
 import mintstair.registry.view.Times;
 import mintstair.registry.view.Told;
 import mintstair.registry.view.WatchView;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import org.junit.jupiter.api.Test;
 
 /** The hard cases of a registry one by one, step by step. */
@@ -106,7 +106,7 @@
         return told.stream()
                 .filter(t -> t instanceof Told.Hosts)
                 .flatMap(t -> ((Told.Hosts) t).list().entries().stream())
-                .map(e -> e.host() + (e.state() == HostList.State.DELETED ? "-" : "=" + e.started() / 1000))
+                .map(e -> e.host() + (e.state() == EndpointList.State.REMOVED ? "-" : "=" + e.started() / 1000))
                 .collect(Collectors.joining(" "));
     }
 
--- a/src/test/java/mintstair/serve/BothFrontsTest.java
+++ b/src/test/java/mintstair/serve/BothFrontsTest.java
@@ -22,7 +22,7 @@
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
 import mintstair.proxy.Loop;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.standin.Client;
 import mintstair.standin.MongoHost;
 import mintstair.standin.PgHost;
@@ -88,7 +88,7 @@
         AtomicLong clock = new AtomicLong(NOW * 1000);
         boolean pg = protocol instanceof PgProtocol;
         String listed = hosts.stream().map(h -> h.listed("SERVING")).collect(Collectors.joining(","));
-        HostList list =
+        EndpointList list =
                 ListReader.read(Json.read(("{\"rev\":1,\"all\":true,\"targets\":[" + listed + "]}").getBytes()));
         Env env = new Env((Map<?, ?>)
                 Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
--- a/src/test/java/mintstair/serve/GoneClientsTest.java
+++ b/src/test/java/mintstair/serve/GoneClientsTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import mintstair.program.Program;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.standin.Client;
 import mintstair.standin.LateHost;
 import mintstair.standin.PgHost;
@@ -21,7 +21,7 @@
 /** A client that has closed its connection: no attempt begins for it any more, at whatever stage its request is. */
 class GoneClientsTest extends OneService {
     /** Where attempts may not be called off, so that nothing but the client's leaving keeps them back. */
-    private void serve(HostList.Entry... hosts) throws IOException {
+    private void serve(EndpointList.Entry... hosts) throws IOException {
         serve(false, 64, hosts);
     }
 
@@ -117,7 +117,7 @@
         awaitFigure("in_flight", 2);
         gone.close();
         awaitFigure("in_flight", 1);
-        loop.execute(() -> service.listed(new HostList(2, true, List.of(host("p", primary.port(), true)))));
+        loop.execute(() -> service.listed(new EndpointList(2, true, List.of(host("p", primary.port(), true)))));
         assertEquals("served stays", stays.answer());
         assertEquals(List.of("stays"), List.copyOf(primary.seen));
     }
--- a/src/test/java/mintstair/serve/LeaversTest.java
+++ b/src/test/java/mintstair/serve/LeaversTest.java
@@ -18,7 +18,7 @@
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
 import mintstair.proxy.Loop;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.standin.Client;
 import mintstair.standin.Discovery;
 import mintstair.standin.PgHost;
@@ -280,8 +280,8 @@
         knownWithin(GRACE_MILLIS);
     }
 
-    private static HostList.Entry replica(String name, int port, HostList.State state) {
-        return new HostList.Entry(name, "127.0.0.1:" + port, "a", 1, state, false, 1, 0);
+    private static EndpointList.Entry replica(String name, int port, EndpointList.State state) {
+        return new EndpointList.Entry(name, "127.0.0.1:" + port, "a", 1, state, false, 1, 0);
     }
 
     /** Guards against work that was decided before the news and written after it, where connections come up late. */
@@ -290,15 +290,15 @@
         service = service(100, "automatic", "20");
         try (ServerSocket mute = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
                 PgHost other = new PgHost("other", false, 5)) {
-            HostList.Entry before = replica("mute", mute.getLocalPort(), HostList.State.SERVING);
-            service.begin(null, new HostList(1, true, List.of(before)), false);
+            EndpointList.Entry before = replica("mute", mute.getLocalPort(), EndpointList.State.SERVING);
+            service.begin(null, new EndpointList(1, true, List.of(before)), false);
             int port = service.open(address(0), null);
             try (Client client = new Client.Pg(port)) {
                 client.send(false, "id=held,c=any,cluster=1", 15_000);
                 mute.accept();
-                HostList.Entry leaver = replica("mute", mute.getLocalPort(), HostList.State.DRAINING);
-                loop.execute(() -> service.listed(new HostList(
-                        2, true, List.of(leaver, replica("other", other.port(), HostList.State.SERVING)))));
+                EndpointList.Entry leaver = replica("mute", mute.getLocalPort(), EndpointList.State.DRAINING);
+                loop.execute(() -> service.listed(new EndpointList(
+                        2, true, List.of(leaver, replica("other", other.port(), EndpointList.State.SERVING)))));
                 assertEquals("served held", client.answer());
             }
             service.front.stopListening();
--- a/src/test/java/mintstair/serve/LimitsTest.java
+++ b/src/test/java/mintstair/serve/LimitsTest.java
@@ -18,7 +18,7 @@
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
 import mintstair.proxy.Loop;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.standin.Client;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 import org.junit.jupiter.api.AfterEach;
@@ -38,7 +38,8 @@
     }
 
     private int listen(int mostClients) throws IOException {
-        HostList.Entry replica = new HostList.Entry("r", "127.0.0.1:9", "z", 1, HostList.State.SERVING, false, 1, 0);
+        EndpointList.Entry replica =
+                new EndpointList.Entry("r", "127.0.0.1:9", "z", 1, EndpointList.State.SERVING, false, 1, 0);
         Service service = new Service(
                 loop,
                 transport,
@@ -47,7 +48,7 @@
                 env(),
                 10,
                 (dispatcher, counters) -> new PgFront(loop, dispatcher, transport, counters, mostClients));
-        service.begin(null, new HostList(1, true, List.of(replica)), false);
+        service.begin(null, new EndpointList(1, true, List.of(replica)), false);
         return service.open(new InetSocketAddress("127.0.0.1", 0), null);
     }
 
--- a/src/test/java/mintstair/serve/ListHandoverTest.java
+++ b/src/test/java/mintstair/serve/ListHandoverTest.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.stream.LongStream;
 import mintstair.registry.view.Told;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import org.junit.jupiter.api.Test;
 
 class ListHandoverTest {
     private static Told.Hosts list(long revision, boolean whole) {
-        return new Told.Hosts("postgresql", new HostList(revision, whole, List.of()), false);
+        return new Told.Hosts("postgresql", new EndpointList(revision, whole, List.of()), false);
     }
 
     /** A loop that is far behind gets one whole list in place of what waits, and then what came after it; nothing grows. */
@@ -50,10 +50,11 @@
         List<Long> taken = new ArrayList<>();
         ListHandover handover =
                 new ListHandover(loop::add, h -> taken.add(h.list().revision()));
-        HostList.Entry host = new HostList.Entry("h", "127.0.0.1:1", "z", 1, HostList.State.SERVING, false, 1, 0);
-        List<HostList.Entry> thousand = Collections.nCopies(1_024, host);
+        EndpointList.Entry host =
+                new EndpointList.Entry("h", "127.0.0.1:1", "z", 1, EndpointList.State.SERVING, false, 1, 0);
+        List<EndpointList.Entry> thousand = Collections.nCopies(1_024, host);
         for (long i = 1; i <= 40; i++) {
-            Told.Hosts each = new Told.Hosts("postgresql", new HostList(i, true, thousand), false);
+            Told.Hosts each = new Told.Hosts("postgresql", new EndpointList(i, true, thousand), false);
             handover.offer(List.of(each), () -> List.of(each));
         }
         loop.forEach(Runnable::run);
--- a/src/test/java/mintstair/serve/OneService.java
+++ b/src/test/java/mintstair/serve/OneService.java
@@ -15,7 +15,7 @@
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
 import mintstair.proxy.Loop;
-import mintstair.request.HostList;
+import mintstair.request.EndpointList;
 import mintstair.standin.Client;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
@@ -54,7 +54,7 @@
     }
 
     /** Serves these hosts, over so many connections to them at most; attempts may be called off or not. */
-    final void serve(boolean cancelling, int mostHostConnections, HostList.Entry... hosts) throws IOException {
+    final void serve(boolean cancelling, int mostHostConnections, EndpointList.Entry... hosts) throws IOException {
         serve(
                 Program.SETTINGS.replace("\"cancelling\":true", "\"cancelling\":" + cancelling),
                 mostHostConnections,
@@ -62,11 +62,11 @@
     }
 
     /** Serves these hosts over one connection at a time; writes may be repeated within so many seconds. */
-    final void serveKeyed(double window, HostList.Entry... hosts) throws IOException {
+    final void serveKeyed(double window, EndpointList.Entry... hosts) throws IOException {
         serve(Program.SETTINGS.replace("\"at_most_once\"", "\"deduplicated\",\"windowS\":" + window), 1, hosts);
     }
 
-    private void serve(String settingsText, int mostHostConnections, HostList.Entry... hosts) throws IOException {
+    private void serve(String settingsText, int mostHostConnections, EndpointList.Entry... hosts) throws IOException {
         String settings =
                 settingsText.replace("PROBING", "false").replace("\"connectTimeoutS\":0.25", "\"connectTimeoutS\":20");
         Env env = new Env((Map<?, ?>) Json.read(settings.getBytes(StandardCharsets.UTF_8)));
@@ -78,12 +78,12 @@
                 env,
                 mostHostConnections,
                 (dispatcher, counters) -> new PgFront(loop, dispatcher, transport, counters, 600));
-        service.begin(null, new HostList(1, true, List.of(hosts)), false);
+        service.begin(null, new EndpointList(1, true, List.of(hosts)), false);
         port = service.open(new InetSocketAddress("127.0.0.1", 0), null);
     }
 
-    static HostList.Entry host(String name, int port, boolean primary) {
-        return new HostList.Entry(name, "127.0.0.1:" + port, "a", 1, HostList.State.SERVING, primary, 1, 0);
+    static EndpointList.Entry host(String name, int port, boolean primary) {
+        return new EndpointList.Entry(name, "127.0.0.1:" + port, "a", 1, EndpointList.State.SERVING, primary, 1, 0);
     }
 
     final Client.Pg client() throws IOException {
--- a/src/test/java/mintstair/traffic/RecordingTest.java
+++ b/src/test/java/mintstair/traffic/RecordingTest.java
@@ -139,7 +139,7 @@
                 a.requestClass() + " " + a.cluster() + " " + a.session() + " " + a.retry() + " " + a.deadlineMillis()
                         + " " + a.afterMillis() + " " + a.write());
         assertEquals(1_000_000, a.answered() - a.asked());
-        assertEquals(250, found.get(1).comeBackMillis());
+        assertEquals(250, found.get(1).retryAfterMillis());
         assertTrue(found.get(1).write());
         assertEquals(a.digest(), found.get(3).digest(), "the same value");
         assertNotEquals(a.digest(), found.get(4).digest());
@@ -181,7 +181,7 @@
                 "b REFUSED a SERVED c FAILED d NONE",
                 String.join(
                         " ", found.stream().map(e -> e.id() + " " + e.result()).toList()));
-        assertEquals(90, found.get(0).comeBackMillis());
+        assertEquals(90, found.get(0).retryAfterMillis());
         assertEquals("s7 300", found.get(1).session() + " " + found.get(1).deadlineMillis());
     }
 
--- a/src/test/java/mintstair/traffic/ReplayerTest.java
+++ b/src/test/java/mintstair/traffic/ReplayerTest.java
@@ -215,7 +215,7 @@
                 e.deadlineMillis(),
                 e.afterMillis(),
                 e.result(),
-                e.comeBackMillis(),
+                e.retryAfterMillis(),
                 e.digest(),
                 message);
     }
--- a/src/test/java/mintstair/wire/ParsersTest.java
+++ b/src/test/java/mintstair/wire/ParsersTest.java
@@ -20,8 +20,8 @@
 import mintstair.config.Json;
 import mintstair.config.ListReader;
 import mintstair.request.ConnectionEnd;
-import mintstair.request.HostRole;
-import mintstair.request.Reply;
+import mintstair.request.HostReply;
+import mintstair.request.ReplicationRole;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -75,12 +75,12 @@
         var parser = protocol.newParser();
         int replies = 0;
         for (byte[] m : pg) {
-            Reply reply = parser.take(m);
+            HostReply reply = parser.take(m);
             if (reply != null) {
                 replies++;
                 assertEquals(ConnectionEnd.SERVED, reply.end());
-                assertEquals(HostRole.REPLICA, reply.note().role());
-                assertEquals(1_700_000_000_123_000L, reply.note().position());
+                assertEquals(ReplicationRole.REPLICA, reply.report().role());
+                assertEquals(1_700_000_000_123_000L, reply.report().position());
             }
         }
         assertEquals(times, replies);
@@ -145,9 +145,9 @@
         Framer framer = new PgFramer.OfHost();
         var parser = new PgProtocol().newParser();
         ByteArrayOutputStream went = new ByteArrayOutputStream();
-        Reply whole = null;
+        HostReply whole = null;
         for (byte[] m : cut(framer, repeat(reply, 2), new Random(seed))) {
-            Reply now = parser.take(m);
+            HostReply now = parser.take(m);
             byte[] part = parser.takePart();
             went.writeBytes(part == null ? new byte[0] : part);
             if (now != null) {
@@ -233,7 +233,7 @@
                 .message('D', '\0', '\1', vitals.length, vitals)
                 .message('C', "SHOW")
                 .bytes();
-        assertEquals(HostRole.PRIMARY, new PgProtocol().report(reply).role());
+        assertEquals(ReplicationRole.PRIMARY, new PgProtocol().report(reply).role());
         assertEquals(1_700_000_000_250_000L, new PgProtocol().report(reply).position());
     }
 
