--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -19,9 +19,9 @@
 import mintstair.request.Response;
 import mintstair.request.ResponseListener;
 import mintstair.request.Statement;
-import mintstair.routing.Directive;
-import mintstair.routing.News;
 import mintstair.routing.RequestRouter;
+import mintstair.routing.RouterAction;
+import mintstair.routing.RouterEvent;
 import mintstair.stats.Counters;
 import mintstair.stats.Figures;
 
@@ -41,7 +41,7 @@
     private final Counters counters;
     private final Consumer<String> log;
     private final Map<Long, Taken> taken = new HashMap<>();
-    private final ArrayDeque<Directive> work = new ArrayDeque<>();
+    private final ArrayDeque<RouterAction> work = new ArrayDeque<>();
     private final Set<String> openIds = new HashSet<>();
     private final Set<Integer> clusters = new HashSet<>();
     private final Set<String> serving = new HashSet<>();
@@ -91,7 +91,7 @@
     public void drainBy(long from, long by) {
         drainsFrom = from;
         drainBy = by;
-        loop.at(by, () -> carryOut(router.end(loop.now())));
+        loop.at(by, () -> carryOut(router.shutDown(loop.now())));
     }
 
     /** How long a request that comes now may be held, of the time that it would wait. */
@@ -126,7 +126,7 @@
         openIds.add(request.id());
         counters.taken++;
         t.guard = loop.at(t.exchange.deadline() + OVERDUE, () -> overdue(t));
-        carryOut(router.pick(now, numbers, request));
+        carryOut(router.route(now, numbers, request));
         return t.exchange;
     }
 
@@ -140,19 +140,19 @@
             if (t.flows != null) {
                 t.flows.callOff();
             }
-            carryOut(router.report(loop.now(), new News.ClientGone(exchange.number())));
+            carryOut(router.handle(loop.now(), new RouterEvent.ClientDisconnected(exchange.number())));
         }
     }
 
-    /** Goes over to other settings; see {@link RequestRouter#settings}. */
+    /** Goes over to other settings; see {@link RequestRouter#applySettings}. */
     public void settings(Env env) {
         env.classes.keySet().forEach(counters::knows);
-        carryOut(router.settings(loop.now(), env));
+        carryOut(router.applySettings(loop.now(), env));
     }
 
     /** How many proxies there are, as far as this one knows. */
-    public void proxies(News.Proxies proxies) {
-        carryOut(router.report(loop.now(), proxies));
+    public void proxies(RouterEvent.FleetSizeChanged proxies) {
+        carryOut(router.handle(loop.now(), proxies));
     }
 
     public void listed(EndpointList list, boolean old) {
@@ -174,7 +174,7 @@
             }
         }
         hosts.listed(list);
-        carryOut(router.report(loop.now(), new News.Listed(list, old)));
+        carryOut(router.handle(loop.now(), new RouterEvent.EndpointsUpdated(list, old)));
         // A connection may take longer to come up than a leaver may still be sent to.
         hosts.turnBack();
     }
@@ -193,7 +193,7 @@
         counters.addTo(sum);
         sum.add("in_flight", held())
                 .add("db_hosts_known", known.size())
-                .add("db_hosts_excluded", router.avoided(loop.now()));
+                .add("db_hosts_excluded", router.unavailableEndpoints(loop.now()));
     }
 
     private void tick() {
@@ -207,19 +207,19 @@
         } else if (!t.exchange.isOver()) {
             counters.overdue++;
             answer(t, new Response.Failed("its time ran out", true));
-            carryOut(router.report(loop.now(), new News.ClientGone(t.exchange.number())));
+            carryOut(router.handle(loop.now(), new RouterEvent.ClientDisconnected(t.exchange.number())));
         }
     }
 
     /** What one directive brings about is carried out after it, in order, not inside it. */
-    private void carryOut(List<Directive> directives) {
+    private void carryOut(List<RouterAction> directives) {
         work.addAll(directives);
         if (working) {
             return;
         }
         working = true;
         try {
-            for (Directive d = work.poll(); d != null; d = work.poll()) {
+            for (RouterAction d = work.poll(); d != null; d = work.poll()) {
                 carryOut(d);
             }
         } finally {
@@ -235,45 +235,46 @@
         }
     }
 
-    private void carryOut(Directive directive) {
-        if (directive instanceof Directive.Send d) {
+    private void carryOut(RouterAction directive) {
+        if (directive instanceof RouterAction.Send d) {
             send(d);
-        } else if (directive instanceof Directive.CallOff d) {
+        } else if (directive instanceof RouterAction.Cancel d) {
             Taken t = taken.get(d.request());
             Hosts.Sent sent = t == null ? null : t.out.get(d.attempt());
             if (sent != null) {
                 sent.callOff();
             }
-        } else if (directive instanceof Directive.Refuse d) {
+        } else if (directive instanceof RouterAction.Reject d) {
             Taken t = taken.get(d.request());
             if (t != null) {
-                answer(t, new Response.Rejected((d.comeBack() + 999) / 1000));
+                answer(t, new Response.Rejected((d.retryAfterMicros() + 999) / 1000));
             }
-        } else if (directive instanceof Directive.Fail d) {
+        } else if (directive instanceof RouterAction.Fail d) {
             Taken t = taken.get(d.request());
             if (t != null) {
                 boolean late = loop.now() >= t.exchange.deadline();
                 answer(t, new Response.Failed(late ? "its time ran out" : "no host could serve it", late));
             }
-        } else if (directive instanceof Directive.Probe d) {
+        } else if (directive instanceof RouterAction.CheckHealth d) {
             long sentAt = loop.now();
             counters.probes++;
             hosts.probe(
                     d.host(),
-                    reply -> carryOut(router.report(
+                    reply -> carryOut(router.handle(
                             loop.now(),
-                            new News.ProbeEnd(d.host(), reply.end(), loop.now() - sentAt, reply.report()))));
-        } else if (directive instanceof Directive.RuleBroken d) {
+                            new RouterEvent.HealthCheckEnded(
+                                    d.host(), reply.end(), loop.now() - sentAt, reply.report()))));
+        } else if (directive instanceof RouterAction.InvariantViolated d) {
             counters.ruleBroken(d.rule());
             Taken t = taken.get(d.request());
             log.accept("rule broken: " + d.rule() + " request=" + d.request() + " id="
                     + (t == null ? "?" : t.exchange.request().id()) + " host=" + d.host());
-        } else if (directive instanceof Directive.Log d) {
+        } else if (directive instanceof RouterAction.Log d) {
             log.accept("router: " + d.text());
         }
     }
 
-    private void send(Directive.Send d) {
+    private void send(RouterAction.Send d) {
         Taken t = taken.get(d.request());
         long sentAt = loop.now();
         if (t != null && !t.exchange.isWanted()) {
@@ -311,7 +312,7 @@
 
                     @Override
                     public void begun(long now, long wait) {
-                        carryOut(router.begun(now, d, wait));
+                        carryOut(router.attemptStarted(now, d, wait));
                     }
 
                     @Override
@@ -324,24 +325,24 @@
         }
     }
 
-    private void neverSent(long now, Directive.Send d, boolean over) {
-        carryOut(router.report(
+    private void neverSent(long now, RouterAction.Send d, boolean over) {
+        carryOut(router.handle(
                 now,
-                new News.AttemptEnd(
+                new RouterEvent.AttemptEnded(
                         d.request(), d.attempt(), d.host(), ConnectionEnd.NEVER_SENT, 0, over, HostReport.NONE)));
     }
 
     /** A long answer goes on as it comes. With its first bytes it is the only one, and no deadline counts any more. */
-    private void attemptGives(Taken t, Directive.Send d, long sentAt, byte[] bytes, Runnable taken) {
+    private void attemptGives(Taken t, RouterAction.Send d, long sentAt, byte[] bytes, Runnable taken) {
         Hosts.Sent sent = t.out.get(d.attempt());
         if (t.flows == null && !t.exchange.isOver()) {
             t.flows = sent;
             t.guard.cancel(false);
-            carryOut(router.answered(loop.now(), d.request()));
+            carryOut(router.responseStarted(loop.now(), d.request()));
             // Its host has done the work: how long the client takes to read says nothing of hosts, and keeps none busy.
-            carryOut(router.report(
+            carryOut(router.handle(
                     loop.now(),
-                    new News.AttemptEnd(
+                    new RouterEvent.AttemptEnded(
                             d.request(),
                             d.attempt(),
                             d.host(),
@@ -359,7 +360,7 @@
         }
     }
 
-    private void attemptEnded(Taken t, Directive.Send d, long sentAt, HostReply reply) {
+    private void attemptEnded(Taken t, RouterAction.Send d, long sentAt, HostReply reply) {
         boolean flowed = t.out.remove(d.attempt()) == t.flows && t.flows != null;
         counters.ended(reply.end());
         t.lastEnd = reply.end();
@@ -375,9 +376,9 @@
             over(t);
         }
         if (!flowed) {
-            carryOut(router.report(
+            carryOut(router.handle(
                     now,
-                    new News.AttemptEnd(
+                    new RouterEvent.AttemptEnded(
                             d.request(),
                             d.attempt(),
                             d.host(),
@@ -392,7 +393,7 @@
         if (t.exchange.answer(answer)) {
             counters.answered(t.exchange.request().requestClass(), answer);
             if (t.flows == null) {
-                carryOut(router.answered(loop.now(), t.exchange.number()));
+                carryOut(router.responseStarted(loop.now(), t.exchange.number()));
             }
         }
         over(t);
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -52,7 +52,7 @@
     private final InvariantMonitor monitor = new InvariantMonitor();
     private final PriorityQueue<Alarm> alarms =
             new PriorityQueue<>((a, b) -> a.due != b.due ? Long.compare(a.due, b.due) : Long.compare(a.order, b.order));
-    private List<Directive> due = new ArrayList<>();
+    private List<RouterAction> due = new ArrayList<>();
     private long now;
     private long alarmsSet;
 
@@ -63,7 +63,7 @@
     }
 
     /** Goes over to these settings; what was taken before keeps the class that it was taken with. */
-    public List<Directive> settings(long at, Env changed) {
+    public List<RouterAction> applySettings(long at, Env changed) {
         now = at;
         env = changed;
         module.onSettings(at, changed.settings);
@@ -90,12 +90,12 @@
     }
 
     /** How many of the listed hosts the module keeps requests away from at this time. */
-    public int avoided(long at) {
+    public int unavailableEndpoints(long at) {
         return module.avoided(at);
     }
 
     /** Decides on a new request, whose number is used for it from here on. */
-    public List<Directive> pick(long at, long number, ProxyRequest r) {
+    public List<RouterAction> route(long at, long number, ProxyRequest r) {
         now = at;
         taken.put(number, new Taken());
         monitor.taken(number, classOf(r.requestClass()), at + r.timeoutMicros());
@@ -122,34 +122,34 @@
     }
 
     /** Rules whether an attempt may begin now, which is given up at {@code until}. */
-    public AttemptVerdict mayBegin(long at, Directive.Send send, Exchange exchange, long until) {
+    public AttemptVerdict mayBegin(long at, RouterAction.Send send, Exchange exchange, long until) {
         return AttemptRules.rule(new AttemptRules.Facts(
                 at, exchange.isOver(), !exchange.isWanted(), until, send.writeBy(), draining.contains(send.host())));
     }
 
     /** An attempt is about to be written, and its host is told to work for so many microseconds at most. */
-    public List<Directive> begun(long at, Directive.Send send, long wait) {
+    public List<RouterAction> attemptStarted(long at, RouterAction.Send send, long wait) {
         found(monitor.begun(at, send.request(), send.attempt(), send.host(), wait, env.drainGrace));
         return takeDue();
     }
 
     /** A client was given its final answer, or its first part. */
-    public List<Directive> answered(long at, long request) {
+    public List<RouterAction> responseStarted(long at, long request) {
         found(monitor.answered(at, request));
         return takeDue();
     }
 
     private void found(List<InvariantMonitor.Finding> findings) {
         for (InvariantMonitor.Finding each : findings) {
-            due.add(new Directive.RuleBroken(
+            due.add(new RouterAction.InvariantViolated(
                     each.violation().name().toLowerCase(Locale.ROOT), each.request(), each.host()));
         }
     }
 
     /** Takes in what happened. */
-    public List<Directive> report(long at, News news) {
+    public List<RouterAction> handle(long at, RouterEvent event) {
         now = at;
-        if (news instanceof News.AttemptEnd e) {
+        if (event instanceof RouterEvent.AttemptEnded e) {
             Taken t = taken.get(e.request());
             if (t == null) {
                 return List.of();
@@ -169,12 +169,12 @@
                             role(e.report()),
                             e.report().position()));
             forget(e.request(), t);
-        } else if (news instanceof News.ProbeEnd e) {
+        } else if (event instanceof RouterEvent.HealthCheckEnded e) {
             Report report = e.report().role() == ReplicationRole.UNKNOWN
                     ? null
                     : new Report(e.report().position(), role(e.report()));
             module.onProbed(at, e.host(), ending(e.end()), e.latency(), report);
-        } else if (news instanceof News.ClientGone e) {
+        } else if (event instanceof RouterEvent.ClientDisconnected e) {
             Taken t = taken.get(e.request());
             monitor.over(e.request());
             if (t != null) {
@@ -182,9 +182,9 @@
                 module.onHangUp(at, e.request());
                 forget(e.request(), t);
             }
-        } else if (news instanceof News.Proxies e) {
+        } else if (event instanceof RouterEvent.FleetSizeChanged e) {
             module.onFleet(at, new SplitterApi.Fleet(e.largest(), e.counted(), e.settled()));
-        } else if (news instanceof News.Listed e) {
+        } else if (event instanceof RouterEvent.EndpointsUpdated e) {
             noteDraining(at, e.list());
             List<HostEntry> rows = new ArrayList<>();
             for (EndpointList.Entry h : e.list().entries()) {
@@ -213,7 +213,7 @@
     }
 
     /** Lets the time be {@code at}: what was to be looked at by then is. */
-    public List<Directive> tick(long at) {
+    public List<RouterAction> tick(long at) {
         now = at;
         while (!alarms.isEmpty() && alarms.peek().due <= at) {
             module.onTimer(at, alarms.poll().name);
@@ -222,7 +222,7 @@
     }
 
     /** Ends all that is held: each request gets its final answer now, whatever time it has left. */
-    public List<Directive> end(long at) {
+    public List<RouterAction> shutDown(long at) {
         now = at;
         module.onEnd(at);
         return takeDue();
@@ -239,8 +239,8 @@
         }
     }
 
-    private List<Directive> takeDue() {
-        List<Directive> now = due;
+    private List<RouterAction> takeDue() {
+        List<RouterAction> now = due;
         due = new ArrayList<>();
         return now;
     }
@@ -281,24 +281,24 @@
         @Override
         public void send(long id, String host, long abandonAt, long beginBy) {
             Taken t = taken.get(id);
-            due.add(new Directive.Send(id, t.sent++, host, abandonAt, beginBy));
+            due.add(new RouterAction.Send(id, t.sent++, host, abandonAt, beginBy));
             t.out++;
         }
 
         @Override
         public void cancel(long id, int attempt) {
-            due.add(new Directive.CallOff(id, attempt));
+            due.add(new RouterAction.Cancel(id, attempt));
         }
 
         @Override
-        public void refuse(long id, long comeBack) {
-            due.add(new Directive.Refuse(id, comeBack));
+        public void refuse(long id, long retryAfterMicros) {
+            due.add(new RouterAction.Reject(id, retryAfterMicros));
             over(id);
         }
 
         @Override
         public void fail(long id) {
-            due.add(new Directive.Fail(id));
+            due.add(new RouterAction.Fail(id));
             over(id);
         }
 
@@ -310,7 +310,7 @@
 
         @Override
         public void probe(String host) {
-            due.add(new Directive.Probe(host));
+            due.add(new RouterAction.CheckHealth(host));
         }
 
         @Override
@@ -330,7 +330,7 @@
 
         @Override
         public void log(String text) {
-            due.add(new Directive.Log(text));
+            due.add(new RouterAction.Log(text));
         }
     }
 }
--- a/src/main/java/mintstair/routing/News.java
+++ b/src/main/java/mintstair/routing/RouterEvent.java
@@ -5,21 +5,21 @@
 import mintstair.request.HostReport;
 
 /** What the network side has to report. */
-public sealed interface News {
+public sealed interface RouterEvent {
     /** One attempt ended; {@code over} when the request has, or by this gets, its final answer. */
-    record AttemptEnd(
+    record AttemptEnded(
             long request, int attempt, String host, ConnectionEnd end, long latency, boolean over, HostReport report)
-            implements News {}
+            implements RouterEvent {}
 
     /** One probe ended. */
-    record ProbeEnd(String host, ConnectionEnd end, long latency, HostReport report) implements News {}
+    record HealthCheckEnded(String host, ConnectionEnd end, long latency, HostReport report) implements RouterEvent {}
 
     /** The client left before its answer. */
-    record ClientGone(long request) implements News {}
+    record ClientDisconnected(long request) implements RouterEvent {}
 
     /** How many proxies there are; {@code settled} only where all that are settled count each other. */
-    record Proxies(int largest, int counted, boolean settled) implements News {}
+    record FleetSizeChanged(int largest, int counted, boolean settled) implements RouterEvent {}
 
     /** The list of hosts, or changes to it. */
-    record Listed(EndpointList list, boolean old) implements News {}
+    record EndpointsUpdated(EndpointList list, boolean old) implements RouterEvent {}
 }
--- a/src/main/java/mintstair/serve/MembershipKeeper.java
+++ b/src/main/java/mintstair/serve/MembershipKeeper.java
@@ -11,19 +11,24 @@
 import mintstair.membership.swim.FleetStanding;
 import mintstair.membership.swim.MemberState;
 import mintstair.membership.swim.View;
-import mintstair.routing.News;
+import mintstair.routing.RouterEvent;
 import mintstair.stats.Figures;
 
 /** Carries what this proxy knows of the others to the loop, the figures and whoever asks. */
 final class MembershipKeeper implements AutoCloseable {
     private final FleetMember member;
     private final Executor loop;
-    private final Consumer<News.Proxies> proxies;
+    private final Consumer<RouterEvent.FleetSizeChanged> proxies;
     /** The newest that the loop has not taken yet: an older one is of no use, so one waits at most. */
-    private final AtomicReference<News.Proxies> waiting = new AtomicReference<>();
+    private final AtomicReference<RouterEvent.FleetSizeChanged> waiting = new AtomicReference<>();
 
     MembershipKeeper(
-            MembershipConfig config, String name, int told, long seed, Executor loop, Consumer<News.Proxies> proxies)
+            MembershipConfig config,
+            String name,
+            int told,
+            long seed,
+            Executor loop,
+            Consumer<RouterEvent.FleetSizeChanged> proxies)
             throws IOException {
         this.loop = loop;
         this.proxies = proxies;
@@ -36,7 +41,7 @@
 
     private void told(View view) {
         FleetStanding.Standing s = view.standing();
-        if (waiting.getAndSet(new News.Proxies(s.largest(), s.counted(), s.settled())) == null) {
+        if (waiting.getAndSet(new RouterEvent.FleetSizeChanged(s.largest(), s.counted(), s.settled())) == null) {
             loop.execute(() -> proxies.accept(waiting.getAndSet(null)));
         }
     }
@@ -76,7 +81,7 @@
     @Override
     public void close() {
         FleetStanding.Standing s = member.view().standing();
-        loop.execute(() -> proxies.accept(new News.Proxies(s.largest(), s.counted(), false)));
+        loop.execute(() -> proxies.accept(new RouterEvent.FleetSizeChanged(s.largest(), s.counted(), false)));
         member.close();
     }
 }
--- a/src/main/java/mintstair/serve/Service.java
+++ b/src/main/java/mintstair/serve/Service.java
@@ -13,8 +13,8 @@
 import mintstair.proxy.Dispatcher;
 import mintstair.proxy.Loop;
 import mintstair.request.EndpointList;
-import mintstair.routing.News;
 import mintstair.routing.RequestRouter;
+import mintstair.routing.RouterEvent;
 import mintstair.stats.Counters;
 import mintstair.stats.Figures;
 import mintstair.wire.Recorder;
@@ -143,7 +143,7 @@
     }
 
     /** How many proxies there are, as far as this one knows; on the loop. */
-    void proxies(News.Proxies proxies) {
+    void proxies(RouterEvent.FleetSizeChanged proxies) {
         dispatcher.proxies(proxies);
     }
 
