--- a/src/main/java/mintstair/control/Calls.java
+++ b/src/main/java/mintstair/control/Calls.java
@@ -1,17 +1,17 @@
 package mintstair.control;
 
 import java.util.function.Supplier;
-import mintstair.stats.Figures;
+import mintstair.stats.MetricsSnapshot;
 
 /** What the staff and the platform may ask on the second address, and the words of the answers. */
 public final class Calls {
     private static final String NO = "fail\n";
     private volatile boolean takesClients;
-    private final Supplier<Figures> figures;
+    private final Supplier<MetricsSnapshot> figures;
     private volatile Supplier<String> members;
 
     /** {@code figures} gives the newest snapshot at once, whatever the loop is at. */
-    public Calls(Supplier<Figures> figures) {
+    public Calls(Supplier<MetricsSnapshot> figures) {
         this.figures = figures;
     }
 
--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -23,7 +23,7 @@
 import mintstair.routing.RouterAction;
 import mintstair.routing.RouterEvent;
 import mintstair.stats.Counters;
-import mintstair.stats.Figures;
+import mintstair.stats.MetricsSnapshot;
 
 /**
  * Carries requests from the fronts to the router's decisions, those to the hosts, and the answers back.
@@ -189,9 +189,9 @@
     }
 
     /** Adds what the people on call are told of requests and hosts. */
-    public void addTo(Figures.Sum sum) {
-        counters.addTo(sum);
-        sum.add("in_flight", held())
+    public void addTo(MetricsSnapshot.Builder metrics) {
+        counters.addTo(metrics);
+        metrics.add("in_flight", held())
                 .add("db_hosts_known", known.size())
                 .add("db_hosts_excluded", router.unavailableEndpoints(loop.now()));
     }
--- a/src/main/java/mintstair/registry/RegistryClient.java
+++ b/src/main/java/mintstair/registry/RegistryClient.java
@@ -22,7 +22,7 @@
 import mintstair.registry.view.Step;
 import mintstair.registry.view.Times;
 import mintstair.registry.view.Told;
-import mintstair.registry.view.ViewFigures;
+import mintstair.registry.view.ViewMetrics;
 import mintstair.registry.view.WatchView;
 import mintstair.time.MonotonicClock;
 
@@ -49,7 +49,7 @@
     private final MonotonicClock clock = new MonotonicClock();
     private Future<?> alarm;
     private long alarmAt = Long.MAX_VALUE;
-    private volatile ViewFigures figures;
+    private volatile ViewMetrics figures;
     private volatile long figuresAt;
     private long keptRevision = -1;
     private long keptHeard;
@@ -175,12 +175,12 @@
     }
 
     /** The newest figures; from any thread. */
-    public ViewFigures figures() {
-        ViewFigures f = figures;
+    public ViewMetrics figures() {
+        ViewMetrics f = figures;
         long passed = Math.max(0, now() - figuresAt);
         return f.age() < 0
                 ? f
-                : new ViewFigures(
+                : new ViewMetrics(
                         f.cluster(),
                         f.revision(),
                         f.age() + passed,
--- a/src/main/java/mintstair/registry/RegistryCommand.java
+++ b/src/main/java/mintstair/registry/RegistryCommand.java
@@ -20,7 +20,7 @@
 import mintstair.registry.view.Snapshot;
 import mintstair.registry.view.Times;
 import mintstair.registry.view.Told;
-import mintstair.registry.view.ViewFigures;
+import mintstair.registry.view.ViewMetrics;
 import mintstair.request.EndpointList;
 import mintstair.time.WallClock;
 
@@ -187,7 +187,7 @@
         })) {
             client.start();
             boolean reached = live.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            ViewFigures figures = client.figures();
+            ViewMetrics figures = client.figures();
             if (!reached) {
                 out.println("the registry is not reached; last break: " + figures.brokenWhy());
                 fromSnapshot();
--- a/src/main/java/mintstair/registry/view/RegistryView.java
+++ b/src/main/java/mintstair/registry/view/RegistryView.java
@@ -118,8 +118,8 @@
     }
 
     /** Where the view stands, for people. */
-    public final ViewFigures figures(long at) {
-        return new ViewFigures(
+    public final ViewMetrics figures(long at) {
+        return new ViewMetrics(
                 cluster,
                 revision,
                 heard < 0 ? -1 : Math.max(0, at - heard),
--- a/src/main/java/mintstair/registry/view/ViewFigures.java
+++ b/src/main/java/mintstair/registry/view/ViewMetrics.java
@@ -6,7 +6,7 @@
  * One moment of a view, for people. {@code age}: microseconds since the registry last showed that nothing is missing, -1 for
  * never; {@code counts}: events since the start by name.
  */
-public record ViewFigures(
+public record ViewMetrics(
         long cluster,
         long revision,
         long age,
--- a/src/main/java/mintstair/serve/LogRecorder.java
+++ b/src/main/java/mintstair/serve/LogRecorder.java
@@ -9,7 +9,7 @@
 import mintstair.pcap.Sampler;
 import mintstair.pcap.TrafficLog;
 import mintstair.proxy.Loop;
-import mintstair.stats.Figures;
+import mintstair.stats.MetricsSnapshot;
 import mintstair.traffic.Redactor;
 import mintstair.wire.Recorder;
 
@@ -61,8 +61,8 @@
     }
 
     /** Adds what was written and lost to the figures of the second address. */
-    void addTo(Figures.Sum sum) {
-        sum.add("record_written_bytes", log.writtenBytes())
+    void addTo(MetricsSnapshot.Builder metrics) {
+        metrics.add("record_written_bytes", log.writtenBytes())
                 .add("record_lost", log.lostRecords())
                 .add("record_lost_bytes", log.lostBytes());
     }
--- a/src/main/java/mintstair/serve/MembershipKeeper.java
+++ b/src/main/java/mintstair/serve/MembershipKeeper.java
@@ -12,7 +12,7 @@
 import mintstair.membership.swim.MemberState;
 import mintstair.membership.swim.View;
 import mintstair.routing.RouterEvent;
-import mintstair.stats.Figures;
+import mintstair.stats.MetricsSnapshot;
 
 /** Carries what this proxy knows of the others to the loop, the figures and whoever asks. */
 final class MembershipKeeper implements AutoCloseable {
@@ -51,15 +51,16 @@
     }
 
     /** Adds what is known of the fleet to the figures of the second address; from any thread. */
-    void addTo(Figures.Sum sum) {
+    void addTo(MetricsSnapshot.Builder metrics) {
         View view = member.view();
         long[] states = new long[MemberState.values().length];
         view.members().forEach(m -> states[m.known().state().ordinal()]++);
         states[MemberState.ALIVE.ordinal()]++;
         Arrays.stream(MemberState.values())
-                .forEach(state -> sum.add("members_" + state.name().toLowerCase(Locale.ROOT), states[state.ordinal()]));
+                .forEach(state ->
+                        metrics.add("members_" + state.name().toLowerCase(Locale.ROOT), states[state.ordinal()]));
         View.Tally t = member.tally();
-        sum.add("members_counted", view.standing().counted())
+        metrics.add("members_counted", view.standing().counted())
                 .add("members_settled", view.standing().settled() ? 1 : 0)
                 .add("members_quorum", view.standing().quorum() ? 1 : 0)
                 .add("member_suspicions_raised", t.raised())
--- a/src/main/java/mintstair/serve/Proxy.java
+++ b/src/main/java/mintstair/serve/Proxy.java
@@ -36,8 +36,8 @@
 import mintstair.registry.view.Told;
 import mintstair.request.EndpointList;
 import mintstair.routing.RequestRouter;
-import mintstair.stats.Figures;
 import mintstair.stats.HeapFloor;
+import mintstair.stats.MetricsSnapshot;
 import mintstair.wire.AcceptRetryStrategy;
 import mintstair.wire.PgWriter;
 import org.glassfish.grizzly.nio.ChannelConfigurator;
@@ -76,7 +76,7 @@
     private final OperatorConfig operator;
     private final Loop loop = new Loop();
     private final TCPNIOTransport transport;
-    private volatile Figures figures = new Figures.Sum().figures();
+    private volatile MetricsSnapshot figures = new MetricsSnapshot.Builder().build();
     private final Calls calls = new Calls(() -> figures);
     private final HeapFloor heap = new HeapFloor();
     private ControlServer control;
@@ -262,21 +262,21 @@
 
     /** The loop's figures at this moment, for whoever asks; again and again. */
     private void publish() {
-        Figures.Sum sum = new Figures.Sum();
-        services.forEach(service -> service.addTo(sum));
+        MetricsSnapshot.Builder metrics = new MetricsSnapshot.Builder();
+        services.forEach(service -> service.addTo(metrics));
         if (registry != null) {
-            registry.addTo(sum);
+            registry.addTo(metrics);
         }
         if (membership != null) {
-            membership.addTo(sum);
+            membership.addTo(metrics);
         }
         if (log != null) {
-            log.addTo(sum);
+            log.addTo(metrics);
         }
-        sum.add("unexpected_errors", loop.failures())
+        metrics.add("unexpected_errors", loop.failures())
                 .add("log_lines_dropped", NonBlockingOutput.droppedByInstalled())
                 .add("accepts_failed", ((AcceptRetryStrategy) transport.getIOStrategy()).failures());
-        figures = sum.figures();
+        figures = metrics.build();
         heap.sample(Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory());
     }
 
--- a/src/main/java/mintstair/serve/RegistryKeeper.java
+++ b/src/main/java/mintstair/serve/RegistryKeeper.java
@@ -10,8 +10,8 @@
 import mintstair.registry.view.RegistryView;
 import mintstair.registry.view.Times;
 import mintstair.registry.view.Told;
-import mintstair.registry.view.ViewFigures;
-import mintstair.stats.Figures;
+import mintstair.registry.view.ViewMetrics;
+import mintstair.stats.MetricsSnapshot;
 
 /** The registry in place of discovery: its lists go to the loop, its settings to be checked, its lines to the log. */
 final class RegistryKeeper implements AutoCloseable {
@@ -56,9 +56,9 @@
     }
 
     /** Adds where the view stands to the figures of the second address; from any thread. */
-    void addTo(Figures.Sum sum) {
-        ViewFigures f = client.figures();
-        sum.add("registry_live", f.live() ? 1 : 0)
+    void addTo(MetricsSnapshot.Builder metrics) {
+        ViewMetrics f = client.figures();
+        metrics.add("registry_live", f.live() ? 1 : 0)
                 .add("registry_revision", f.revision())
                 .add("registry_age_ms", f.age() < 0 ? -1 : f.age() / 1000)
                 .add("registry_hosts", f.hosts())
@@ -67,10 +67,10 @@
                 .add("registry_conflated", handover.conflated());
         for (String name :
                 List.of("breaks", "readings", "compacted", "replaced", "set_back", "unreadable", "overflown")) {
-            sum.add("registry_" + name, 0);
+            metrics.add("registry_" + name, 0);
         }
         for (Map.Entry<String, Long> count : f.counts().entrySet()) {
-            sum.add("registry_" + count.getKey(), count.getValue());
+            metrics.add("registry_" + count.getKey(), count.getValue());
         }
     }
 
--- a/src/main/java/mintstair/serve/Service.java
+++ b/src/main/java/mintstair/serve/Service.java
@@ -16,7 +16,7 @@
 import mintstair.routing.RequestRouter;
 import mintstair.routing.RouterEvent;
 import mintstair.stats.Counters;
-import mintstair.stats.Figures;
+import mintstair.stats.MetricsSnapshot;
 import mintstair.wire.Recorder;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
@@ -191,7 +191,7 @@
     }
 
     /** Adds what the people on call are told; on the loop. */
-    void addTo(Figures.Sum sum) {
-        dispatcher.addTo(sum);
+    void addTo(MetricsSnapshot.Builder metrics) {
+        dispatcher.addTo(metrics);
     }
 }
--- a/src/main/java/mintstair/stats/Counters.java
+++ b/src/main/java/mintstair/stats/Counters.java
@@ -92,23 +92,23 @@
     }
 
     /** Adds these to the figures that are told on the second address. */
-    public void addTo(Figures.Sum sum) {
-        classes.forEach((name, counts) -> sum.add("served." + name, counts[0])
+    public void addTo(MetricsSnapshot.Builder metrics) {
+        classes.forEach((name, counts) -> metrics.add("served." + name, counts[0])
                 .add("refused." + name, counts[1])
                 .add("failed." + name, counts[2]));
-        sum.add("attempts", written.get());
-        sum.add(
+        metrics.add("attempts", written.get());
+        metrics.add(
                 "rules_broken",
                 rulesBroken.values().stream().mapToLong(Long::longValue).sum());
-        rulesBroken.forEach((rule, count) -> sum.add("rule_broken." + rule, count));
-        clientsEnded.forEach((why, count) -> sum.add("clients_ended." + why, count));
-        retried.forEach((after, count) -> sum.add("retried_after." + after, count));
+        rulesBroken.forEach((rule, count) -> metrics.add("rule_broken." + rule, count));
+        clientsEnded.forEach((why, count) -> metrics.add("clients_ended." + why, count));
+        retried.forEach((after, count) -> metrics.add("retried_after." + after, count));
         for (AttemptVerdict why : AttemptVerdict.values()) {
             if (why != AttemptVerdict.MAY_BEGIN) {
-                sum.add("held_back." + name(why), heldBack[why.ordinal()]);
+                metrics.add("held_back." + name(why), heldBack[why.ordinal()]);
             }
         }
-        sum.add("reloads_ok", reloadsOk).add("reloads_failed", reloadsFailed);
+        metrics.add("reloads_ok", reloadsOk).add("reloads_failed", reloadsFailed);
     }
 
     private static String name(Enum<?> value) {
--- a/src/main/java/mintstair/stats/Figures.java
+++ b/src/main/java/mintstair/stats/MetricsSnapshot.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /** One moment's figures, for the people on call; nothing in it changes any more. */
-public final class Figures {
+public final class MetricsSnapshot {
     private static final String PREFIX = "svc.";
     private final Map<String, Long> values;
 
-    private Figures(Map<String, Long> values) {
+    private MetricsSnapshot(Map<String, Long> values) {
         this.values = Collections.unmodifiableMap(values);
     }
 
@@ -28,16 +28,16 @@
     }
 
     /** Adds up the figures of all fronts. */
-    public static final class Sum {
+    public static final class Builder {
         private final Map<String, Long> values = new LinkedHashMap<>();
 
-        public Sum add(String name, long value) {
+        public Builder add(String name, long value) {
             values.merge(name, value, Long::sum);
             return this;
         }
 
-        public Figures figures() {
-            return new Figures(new LinkedHashMap<>(values));
+        public MetricsSnapshot build() {
+            return new MetricsSnapshot(new LinkedHashMap<>(values));
         }
     }
 }
--- a/src/test/java/mintstair/bench/MembershipBench.java
+++ b/src/test/java/mintstair/bench/MembershipBench.java
@@ -11,7 +11,7 @@
 
 /**
  * The membership of proxies in virtual time: load of a member, time to detect, false deaths, healing; beside plain SWIM (suspicions of
- * one fixed length, no own health) with the same seeds. Figures last; status 1 where an aim is missed.
+ * one fixed length, no own health) with the same seeds. MetricsSnapshot last; status 1 where an aim is missed.
  */
 public final class MembershipBench {
     private static final long S = 1_000_000;
--- a/src/test/java/mintstair/bench/RegistryBench.java
+++ b/src/test/java/mintstair/bench/RegistryBench.java
@@ -13,7 +13,7 @@
 
 /**
  * What a break of the registry costs: time until the running program's view matches again, bytes beside a client that rereads
- * everything, calls when many lose the registry together, heap. Figures last; status 1 where an aim is missed.
+ * everything, calls when many lose the registry together, heap. MetricsSnapshot last; status 1 where an aim is missed.
  */
 public final class RegistryBench {
     private static final int KEYS = 5_000;
--- a/src/test/java/mintstair/serve/GoneClientsTest.java
+++ b/src/test/java/mintstair/serve/GoneClientsTest.java
@@ -15,7 +15,7 @@
 import mintstair.standin.LateHost;
 import mintstair.standin.PgHost;
 import mintstair.standin.StandInHost.Act;
-import mintstair.stats.Figures;
+import mintstair.stats.MetricsSnapshot;
 import org.junit.jupiter.api.Test;
 
 /** A client that has closed its connection: no attempt begins for it any more, at whatever stage its request is. */
@@ -30,9 +30,9 @@
                 () -> {
                     CompletableFuture<Long> value = new CompletableFuture<>();
                     loop.execute(() -> {
-                        Figures.Sum sum = new Figures.Sum();
-                        service.addTo(sum);
-                        value.complete(sum.figures().value(name));
+                        MetricsSnapshot.Builder metrics = new MetricsSnapshot.Builder();
+                        service.addTo(metrics);
+                        value.complete(metrics.build().value(name));
                     });
                     return value.join() == wanted;
                 },
--- a/src/test/java/mintstair/serve/LeaversTest.java
+++ b/src/test/java/mintstair/serve/LeaversTest.java
@@ -23,7 +23,7 @@
 import mintstair.standin.Discovery;
 import mintstair.standin.PgHost;
 import mintstair.standin.Relay;
-import mintstair.stats.Figures;
+import mintstair.stats.MetricsSnapshot;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -106,9 +106,9 @@
     private long figure(String name) {
         CompletableFuture<Long> value = new CompletableFuture<>();
         loop.execute(() -> {
-            Figures.Sum sum = new Figures.Sum();
-            service.addTo(sum);
-            value.complete(sum.figures().value(name));
+            MetricsSnapshot.Builder metrics = new MetricsSnapshot.Builder();
+            service.addTo(metrics);
+            value.complete(metrics.build().value(name));
         });
         return value.join();
     }
