--- a/src/main/java/mintstair/backend/Backends.java
+++ b/src/main/java/mintstair/backend/Backends.java
@@ -7,8 +7,8 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
+import mintstair.proxy.EventLoop;
 import mintstair.proxy.Hosts;
-import mintstair.proxy.Loop;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.EndpointList;
 import mintstair.request.HostReply;
@@ -28,7 +28,7 @@
 
     private static final long SWEEP_EVERY = 1_000_000;
 
-    final Loop loop;
+    final EventLoop loop;
     final Protocol protocol;
     final TCPNIOTransport transport;
     final TCPNIOConnectorHandler connector;
@@ -50,7 +50,7 @@
     Recorder recorder = Recorder.NONE;
 
     public Backends(
-            Loop loop,
+            EventLoop loop,
             Protocol protocol,
             TCPNIOTransport transport,
             long connectTimeout,
--- a/src/main/java/mintstair/discovery/Watch.java
+++ b/src/main/java/mintstair/discovery/Watch.java
@@ -12,7 +12,7 @@
 import mintstair.config.ListReader;
 import mintstair.discovery.pace.ListPace;
 import mintstair.discovery.pace.ListPace.Failure;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.request.EndpointList;
 import mintstair.stats.Counters;
 import org.glassfish.grizzly.Connection;
@@ -49,7 +49,7 @@
      */
     private static final int MOST_BYTES = 4 * 1024 * 1024;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final InetSocketAddress address;
     private final Consumer<EndpointList> told;
     private final Counters counters;
@@ -71,7 +71,7 @@
 
     /** Changes are asked for from {@code revision} on, or the whole list where that is below 0. */
     public Watch(
-            Loop loop,
+            EventLoop loop,
             TCPNIOTransport transport,
             InetSocketAddress address,
             long revision,
--- a/src/main/java/mintstair/front/Front.java
+++ b/src/main/java/mintstair/front/Front.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import mintstair.proxy.Dispatcher;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.stats.Counters;
 import mintstair.wire.MessageFilter;
 import mintstair.wire.Recorder;
@@ -43,7 +43,7 @@
 
     private static final long ACCEPT_AGAIN = 5_000;
 
-    protected final Loop loop;
+    protected final EventLoop loop;
     protected final Dispatcher dispatcher;
     protected final Counters counters;
     final TCPNIOTransport transport;
@@ -55,7 +55,8 @@
     private TCPNIOServerConnection listener;
     Recorder recorder;
 
-    protected Front(Loop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters, int mostClients) {
+    protected Front(
+            EventLoop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters, int mostClients) {
         this.loop = loop;
         this.dispatcher = dispatcher;
         this.transport = transport;
--- a/src/main/java/mintstair/front/mongo/MongoFront.java
+++ b/src/main/java/mintstair/front/mongo/MongoFront.java
@@ -5,7 +5,7 @@
 import mintstair.front.Front;
 import mintstair.front.RequestRules;
 import mintstair.proxy.Dispatcher;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.stats.Counters;
 import org.bson.BsonArray;
 import org.bson.BsonDocument;
@@ -20,7 +20,8 @@
     private final Cursors cursors;
     private int connections;
 
-    public MongoFront(Loop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters, int mostClients) {
+    public MongoFront(
+            EventLoop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters, int mostClients) {
         super(loop, dispatcher, transport, counters, mostClients);
         rules = new RequestRules(dispatcher);
         cursors = new Cursors(this::free);
--- a/src/main/java/mintstair/front/pg/PgFront.java
+++ b/src/main/java/mintstair/front/pg/PgFront.java
@@ -4,7 +4,7 @@
 import mintstair.front.Front;
 import mintstair.front.RequestRules;
 import mintstair.proxy.Dispatcher;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.stats.Counters;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
@@ -13,7 +13,8 @@
 public final class PgFront extends Front {
     private final RequestRules rules;
 
-    public PgFront(Loop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters, int mostClients) {
+    public PgFront(
+            EventLoop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters, int mostClients) {
         super(loop, dispatcher, transport, counters, mostClients);
         rules = new RequestRules(dispatcher);
     }
--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -35,7 +35,7 @@
 
     private static final long RELEASE = 1_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final RequestRouter router;
     private final Hosts hosts;
     private final Counters counters;
@@ -69,7 +69,7 @@
     }
 
     /** {@code log} gets the lines for the people on call. */
-    public Dispatcher(Loop loop, RequestRouter router, Hosts hosts, Counters counters, Consumer<String> log) {
+    public Dispatcher(EventLoop loop, RequestRouter router, Hosts hosts, Counters counters, Consumer<String> log) {
         this.loop = loop;
         this.router = router;
         this.hosts = hosts;
--- a/src/main/java/mintstair/proxy/Loop.java
+++ b/src/main/java/mintstair/proxy/EventLoop.java
@@ -8,19 +8,19 @@
 import mintstair.time.MonotonicClock;
 
 /** The one thread on which every decision is taken and every pool and session is kept. */
-public final class Loop implements AutoCloseable {
+public final class EventLoop implements AutoCloseable {
     private final ScheduledThreadPoolExecutor thread;
     private final LongSupplier clock;
     private final AtomicLong failures = new AtomicLong();
     private long latest;
 
     /** A loop on a clock that nobody can set: Unix time at its start, and what has passed since. */
-    public Loop() {
+    public EventLoop() {
         this(new MonotonicClock());
     }
 
     /** A loop on a clock that tells microseconds. */
-    public Loop(LongSupplier clock) {
+    public EventLoop(LongSupplier clock) {
         this.clock = clock;
         thread = new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "loop"));
         thread.setRemoveOnCancelPolicy(true);
--- a/src/main/java/mintstair/serve/LogRecorder.java
+++ b/src/main/java/mintstair/serve/LogRecorder.java
@@ -8,7 +8,7 @@
 import mintstair.pcap.Rotation;
 import mintstair.pcap.Sampler;
 import mintstair.pcap.TrafficLog;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.stats.MetricsSnapshot;
 import mintstair.traffic.Redactor;
 import mintstair.wire.Recorder;
@@ -21,7 +21,7 @@
     private final byte[] key = new byte[32];
     private long connections;
 
-    LogRecorder(Loop loop, OperatorConfig.Rotated config, long seed) throws IOException {
+    LogRecorder(EventLoop loop, OperatorConfig.Rotated config, long seed) throws IOException {
         this.config = config;
         log = new TrafficLog(
                 config.folder(),
--- a/src/main/java/mintstair/serve/PcapRecorder.java
+++ b/src/main/java/mintstair/serve/PcapRecorder.java
@@ -4,18 +4,18 @@
 import java.net.InetSocketAddress;
 import mintstair.config.OperatorConfig;
 import mintstair.pcap.PcapWriter;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.wire.Recorder;
 
 /** Records client traffic to a pcap file; a file that cannot be written ends the recording, not the service. */
 final class PcapRecorder implements Recorder {
     private static final long FLUSH_EVERY = 1_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final PcapWriter file;
     private boolean broken;
 
-    PcapRecorder(Loop loop, OperatorConfig.Recording recording) throws IOException {
+    PcapRecorder(EventLoop loop, OperatorConfig.Recording recording) throws IOException {
         this.loop = loop;
         file = new PcapWriter(recording.file(), recording.mostBytes());
         loop.at(loop.now(), this::flush);
--- a/src/main/java/mintstair/serve/Proxy.java
+++ b/src/main/java/mintstair/serve/Proxy.java
@@ -32,7 +32,7 @@
 import mintstair.front.mongo.MongoFront;
 import mintstair.front.pg.PgFront;
 import mintstair.log.NonBlockingOutput;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.registry.view.Told;
 import mintstair.request.EndpointList;
 import mintstair.routing.RequestRouter;
@@ -74,7 +74,7 @@
 
     private final NodeConfig config;
     private final OperatorConfig operator;
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final TCPNIOTransport transport;
     private volatile MetricsSnapshot figures = new MetricsSnapshot.Builder().build();
     private final Calls calls = new Calls(() -> figures);
--- a/src/main/java/mintstair/serve/Rehearsal.java
+++ b/src/main/java/mintstair/serve/Rehearsal.java
@@ -16,8 +16,8 @@
 import mintstair.front.RequestRules;
 import mintstair.front.pg.PgStatement;
 import mintstair.proxy.Dispatcher;
+import mintstair.proxy.EventLoop;
 import mintstair.proxy.Hosts;
-import mintstair.proxy.Loop;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.EndpointList;
 import mintstair.request.HostReply;
@@ -50,7 +50,7 @@
     private static final byte[] MISS =
             new PgWriter().error("ERROR", "25006", "no primary", null).ready().bytes();
 
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final Protocol protocol = new PgProtocol();
     private final RequestRules rules;
     private final Dispatcher dispatcher;
@@ -75,7 +75,7 @@
     static boolean run(Env env, InetSocketAddress front, long millis) {
         long end = System.nanoTime() + millis * 1_000_000;
         Rehearsal rehearsal = new Rehearsal(env);
-        try (Loop loop = rehearsal.loop) {
+        try (EventLoop loop = rehearsal.loop) {
             loop.execute(rehearsal::begin);
             askFront(front, Math.max(3, requests(env.proxies) / A_CLIENT), end);
             return rehearsal.done.await(end - System.nanoTime(), TimeUnit.NANOSECONDS);
--- a/src/main/java/mintstair/serve/Service.java
+++ b/src/main/java/mintstair/serve/Service.java
@@ -11,7 +11,7 @@
 import mintstair.discovery.pace.ListPace;
 import mintstair.front.Front;
 import mintstair.proxy.Dispatcher;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.request.EndpointList;
 import mintstair.routing.RequestRouter;
 import mintstair.routing.RouterEvent;
@@ -29,7 +29,7 @@
 
     final Counters counters = new Counters();
     final Front front;
-    private final Loop loop;
+    private final EventLoop loop;
     private final TCPNIOTransport transport;
     private final Random random;
     private final Backends hosts;
@@ -48,7 +48,7 @@
     private Watch former;
 
     Service(
-            Loop loop,
+            EventLoop loop,
             TCPNIOTransport transport,
             Protocol protocol,
             long seed,
--- a/src/test/java/mintstair/backend/BackendsTest.java
+++ b/src/test/java/mintstair/backend/BackendsTest.java
@@ -22,8 +22,8 @@
 import java.util.stream.Stream;
 import mintstair.backend.pg.PgProtocol;
 import mintstair.program.Program;
+import mintstair.proxy.EventLoop;
 import mintstair.proxy.Hosts;
-import mintstair.proxy.Loop;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.EndpointList;
 import mintstair.request.HostReply;
@@ -40,7 +40,7 @@
 /** Every way in which an attempt ends on its connection. */
 class BackendsTest {
     private static final long SECOND = 1_000_000;
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final TCPNIOTransport transport =
             TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
     private Backends backends;
--- a/src/test/java/mintstair/discovery/AnswerEndsTest.java
+++ b/src/test/java/mintstair/discovery/AnswerEndsTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import mintstair.discovery.pace.ListPace;
 import mintstair.program.Program;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.request.EndpointList;
 import mintstair.standin.StandInHost;
 import mintstair.stats.Counters;
@@ -41,7 +41,7 @@
         void play(Socket socket, OutputStream out) throws IOException;
     }
 
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final TCPNIOTransport transport =
             TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
     private final List<EndpointList> told = new CopyOnWriteArrayList<>();
--- a/src/test/java/mintstair/discovery/WatchTest.java
+++ b/src/test/java/mintstair/discovery/WatchTest.java
@@ -13,7 +13,7 @@
 import java.util.function.BooleanSupplier;
 import mintstair.discovery.pace.ListPace;
 import mintstair.program.Program;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.request.EndpointList;
 import mintstair.stats.Counters;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
@@ -52,7 +52,7 @@
         TCPNIOTransport transport =
                 TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
         transport.start();
-        try (Loop loop = new Loop()) {
+        try (EventLoop loop = new EventLoop()) {
             Watch watch = new Watch(
                     loop,
                     transport,
--- a/src/test/java/mintstair/front/DrainTest.java
+++ b/src/test/java/mintstair/front/DrainTest.java
@@ -13,8 +13,8 @@
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
 import mintstair.proxy.Dispatcher;
+import mintstair.proxy.EventLoop;
 import mintstair.proxy.Hosts;
-import mintstair.proxy.Loop;
 import mintstair.request.EndpointList;
 import mintstair.request.Statement;
 import mintstair.routing.RequestRouter;
@@ -55,7 +55,7 @@
         Env env = new Env((Map<?, ?>)
                 Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
         Counters counters = new Counters();
-        try (Loop loop = new Loop()) {
+        try (EventLoop loop = new EventLoop()) {
             Dispatcher dispatcher =
                     new Dispatcher(loop, new RequestRouter(loop.now(), 1, env), new Mute(), counters, line -> {});
             EndpointList.Entry primary =
@@ -71,7 +71,8 @@
         }
     }
 
-    private static void letGoUnderWay(Loop loop, Front front, Counters counters, int port, String id) throws Exception {
+    private static void letGoUnderWay(EventLoop loop, Front front, Counters counters, int port, String id)
+            throws Exception {
         try (Client.Pg client = new Client.Pg(port)) {
             client.raw(Client.Pg.query(""));
             assertEquals("empty", client.answer());
--- a/src/test/java/mintstair/proxy/LoopTest.java
+++ b/src/test/java/mintstair/proxy/EventLoopTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The loop's clock is no wall clock, and a task that goes wrong is neither the end of the next ones nor unseen. */
-class LoopTest {
+class EventLoopTest {
     private static final long HOUR = 3_600_000_000L;
     private static final long START = 1_700_000_000_000_000L;
 
@@ -19,7 +19,7 @@
     void wallClockThatIsSetMovesNothing() {
         AtomicLong wall = new AtomicLong(START);
         AtomicLong nanos = new AtomicLong();
-        try (Loop loop = new Loop(new MonotonicClock(wall::get, nanos::get))) {
+        try (EventLoop loop = new EventLoop(new MonotonicClock(wall::get, nanos::get))) {
             assertEquals(START, loop.now());
             wall.addAndGet(-HOUR);
             nanos.addAndGet(5_000_000);
@@ -49,7 +49,7 @@
     void taskThatGoesWrongIsRunAgainAndCounted() throws Exception {
         AtomicInteger runs = new AtomicInteger();
         CountDownLatch again = new CountDownLatch(3);
-        try (Loop loop = new Loop()) {
+        try (EventLoop loop = new EventLoop()) {
             loop.every(1_000, () -> {
                 again.countDown();
                 if (runs.incrementAndGet() == 1) {
--- a/src/test/java/mintstair/serve/BothFrontsTest.java
+++ b/src/test/java/mintstair/serve/BothFrontsTest.java
@@ -21,7 +21,7 @@
 import mintstair.front.mongo.MongoFront;
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.request.EndpointList;
 import mintstair.standin.Client;
 import mintstair.standin.MongoHost;
@@ -92,7 +92,7 @@
                 ListReader.read(Json.read(("{\"rev\":1,\"all\":true,\"targets\":[" + listed + "]}").getBytes()));
         Env env = new Env((Map<?, ?>)
                 Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
-        try (Loop loop = new Loop(clock::get)) {
+        try (EventLoop loop = new EventLoop(clock::get)) {
             Service service = new Service(
                     loop,
                     transport,
@@ -126,7 +126,7 @@
         }
     }
 
-    private static String counters(Loop loop, Service service) {
+    private static String counters(EventLoop loop, Service service) {
         CompletableFuture<String> line = new CompletableFuture<>();
         loop.execute(() -> line.complete(service.counters.toString()));
         return line.join();
--- a/src/test/java/mintstair/serve/LeaversTest.java
+++ b/src/test/java/mintstair/serve/LeaversTest.java
@@ -17,7 +17,7 @@
 import mintstair.config.ListReader;
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.request.EndpointList;
 import mintstair.standin.Client;
 import mintstair.standin.Discovery;
@@ -39,7 +39,7 @@
 
     private static final long SILENCE_MILLIS = 6_000;
 
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final TCPNIOTransport transport = Proxy.transport();
     private Discovery agent;
     private Relay way;
--- a/src/test/java/mintstair/serve/LimitsTest.java
+++ b/src/test/java/mintstair/serve/LimitsTest.java
@@ -17,7 +17,7 @@
 import mintstair.front.Front;
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.request.EndpointList;
 import mintstair.standin.Client;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
@@ -27,7 +27,7 @@
 
 /** What a front does when clients ask for more than there is room for. */
 class LimitsTest {
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final TCPNIOTransport transport = Proxy.transport();
     private int port;
 
--- a/src/test/java/mintstair/serve/OneService.java
+++ b/src/test/java/mintstair/serve/OneService.java
@@ -14,7 +14,7 @@
 import mintstair.config.Json;
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
-import mintstair.proxy.Loop;
+import mintstair.proxy.EventLoop;
 import mintstair.request.EndpointList;
 import mintstair.standin.Client;
 import org.glassfish.grizzly.Buffer;
@@ -26,7 +26,7 @@
 
 /** One service in this process, whose loop and network thread a test may hold up; it waits 20 s for a connection to a host. */
 abstract class OneService {
-    final Loop loop = new Loop();
+    final EventLoop loop = new EventLoop();
     final TCPNIOTransport transport = Proxy.transport();
     final List<AutoCloseable> open = new ArrayList<>();
     Service service;
