--- a/src/main/java/mintstair/backend/Backends.java
+++ b/src/main/java/mintstair/backend/ConnectionPools.java
@@ -7,8 +7,8 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
+import mintstair.proxy.Backend;
 import mintstair.proxy.EventLoop;
-import mintstair.proxy.Hosts;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.EndpointList;
 import mintstair.request.HostReply;
@@ -22,7 +22,7 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /** The pools of all db hosts. */
-public final class Backends implements Hosts {
+public final class ConnectionPools implements Backend {
     /** A host closes at its idle limit at the latest; a request that meets this is lost, so stay well clear. */
     private static final double IDLE_MARGIN = 0.8;
 
@@ -34,7 +34,7 @@
     final TCPNIOConnectorHandler connector;
     final MessageFilter filter = new MessageFilter();
     long connectTimeout;
-    final IdleTrust trust = new IdleTrust();
+    final IdleReusePolicy trust = new IdleReusePolicy();
     private long idleLimit;
     /** Bytes of long answers that wait for their clients, and where they become too many for the heap. */
     final AtomicLong held = new AtomicLong();
@@ -43,13 +43,13 @@
     final Random random;
     private final int most;
     final Counters counters;
-    private final Map<String, HostPool> pools = new HashMap<>();
+    private final Map<String, HostConnectionPool> pools = new HashMap<>();
     private int open;
     private boolean opened;
     private int spares;
     Recorder recorder = Recorder.NONE;
 
-    public Backends(
+    public ConnectionPools(
             EventLoop loop,
             Protocol protocol,
             TCPNIOTransport transport,
@@ -89,7 +89,7 @@
     private void sweep() {
         // Hosts come and go under new names all day long.
         pools.values().removeIf(pool -> pool.isOver(loop.now()));
-        for (HostPool pool : pools.values()) {
+        for (HostConnectionPool pool : pools.values()) {
             pool.closeIdle(idleBefore());
             pool.keepReady();
         }
@@ -102,7 +102,7 @@
 
     /** How many idle connections each host is to have; none where those kept for a while cannot be relied on. */
     int spares() {
-        return (opened || spares == Spares.READY) && trust.longest() >= SWEEP_EVERY ? spares : 0;
+        return (opened || spares == PreconnectPolicy.READY) && trust.longest() >= SWEEP_EVERY ? spares : 0;
     }
 
     /**
@@ -111,7 +111,7 @@
      */
     public void open() {
         opened = true;
-        pools.values().forEach(HostPool::spareLater);
+        pools.values().forEach(HostConnectionPool::spareLater);
     }
 
     @Override
@@ -119,11 +119,14 @@
         Set<String> named = new HashSet<>();
         for (EndpointList.Entry entry : list.entries()) {
             named.add(entry.host());
-            pools.computeIfAbsent(entry.host(), name -> new HostPool(name, this))
+            pools.computeIfAbsent(entry.host(), name -> new HostConnectionPool(name, this))
                     .listed(entry);
         }
-        spares = Spares.each(
-                (int) pools.values().stream().filter(HostPool::isServing).count(), most);
+        spares = PreconnectPolicy.each(
+                (int) pools.values().stream()
+                        .filter(HostConnectionPool::isServing)
+                        .count(),
+                most);
         pools.forEach((name, pool) -> {
             if (list.whole() && !named.contains(name)) {
                 pool.gone();
@@ -132,23 +135,23 @@
     }
 
     @Override
-    public void turnBack() {
-        pools.values().forEach(HostPool::turnBack);
+    public void failQueuedForUnavailable() {
+        pools.values().forEach(HostConnectionPool::failQueuedForUnavailable);
     }
 
     @Override
-    public Sent send(String host, Statement statement, long writeBy, long until, Receiver end) {
-        return start(host, new Call(statement::encode, writeBy, until, false, end));
+    public Attempt send(String host, Statement statement, long writeBy, long until, AttemptListener end) {
+        return start(host, new PendingAttempt(statement::encode, writeBy, until, false, end));
     }
 
     @Override
-    public void probe(String host, Receiver end) {
+    public void probe(String host, AttemptListener end) {
         long until = loop.now() + connectTimeout;
-        start(host, new Call(wait -> protocol.probe(), until, until, true, end));
+        start(host, new PendingAttempt(wait -> protocol.probe(), until, until, true, end));
     }
 
-    private Sent start(String host, Call call) {
-        HostPool pool = pools.get(host);
+    private Attempt start(String host, PendingAttempt call) {
+        HostConnectionPool pool = pools.get(host);
         if (pool == null) {
             call.timer = loop.at(call.until, () -> {});
             call.end(HostReply.of(ConnectionEnd.NEVER_SENT));
@@ -162,9 +165,9 @@
     boolean mayOpen(boolean needed) {
         if (open >= most && needed) {
             pools.values().stream()
-                    .min(Comparator.comparingLong(HostPool::idlestSince))
+                    .min(Comparator.comparingLong(HostConnectionPool::idlestSince))
                     .filter(pool -> pool.idlestSince() < Long.MAX_VALUE)
-                    .ifPresent(HostPool::closeIdlest);
+                    .ifPresent(HostConnectionPool::closeIdlest);
         }
         if (open >= most) {
             return false;
--- a/src/main/java/mintstair/backend/HostConnection.java
+++ b/src/main/java/mintstair/backend/HostConnection.java
@@ -38,14 +38,14 @@
     /** A host that gives nothing of its answer for so long is not giving it any more. */
     private static final long STALL = 5_000_000;
 
-    private final HostPool pool;
-    private final Backends backends;
+    private final HostConnectionPool pool;
+    private final ConnectionPools backends;
     private final Framer framer;
     private final Protocol.Parser parser;
     private State state = State.OPENING;
     private GrizzlyFuture<Connection> making;
     private Connection<?> connection;
-    private Call call;
+    private PendingAttempt call;
     private volatile boolean written;
     private volatile int readCount;
     private int takenCount;
@@ -57,7 +57,7 @@
     long idleSince;
     private Recorder.Conversation record = Recorder.Conversation.NONE;
 
-    HostConnection(HostPool pool, Backends backends) {
+    HostConnection(HostConnectionPool pool, ConnectionPools backends) {
         this.pool = pool;
         this.backends = backends;
         framer = backends.protocol.newFramer();
@@ -70,7 +70,7 @@
         making.addCompletionHandler(new EmptyCompletionHandler<Connection>() {
             @Override
             public void completed(Connection made) {
-                intake = new Intake(made, MOST_HELD, MOST_IN_NEED, backends.held, Backends.MOST_HELD);
+                intake = new Intake(made, MOST_HELD, MOST_IN_NEED, backends.held, ConnectionPools.MOST_HELD);
                 backends.filter.listen(made, HostConnection.this);
                 backends.loop.execute(() -> connected(made));
             }
@@ -127,7 +127,7 @@
     }
 
     /** Sends a call; it is the only one until its reply is whole. */
-    void send(Call next, long now) {
+    void send(PendingAttempt next, long now) {
         state = State.BUSY;
         idled = now - idleSince;
         call = next;
@@ -242,7 +242,7 @@
             ended(reply.end() == ConnectionEnd.TURNED_AWAY ? reply.end() : ConnectionEnd.GARBLED);
             return;
         }
-        Call over = call;
+        PendingAttempt over = call;
         call = null;
         HostReply heard = over != null && over.probe && reply.end() == ConnectionEnd.SERVED ? report(reply) : reply;
         idleSince = backends.loop.now();
@@ -287,7 +287,7 @@
         if (state != State.CLOSED) {
             HostReply last = state == State.BUSY ? parser.atEnd() : null;
             if (last != null) {
-                Call over = call;
+                PendingAttempt over = call;
                 call = null;
                 close();
                 pool.closed(this);
@@ -306,7 +306,7 @@
 
     private void ended(ConnectionEnd why) {
         boolean opening = state == State.OPENING;
-        Call over = call;
+        PendingAttempt over = call;
         call = null;
         close();
         if (opening) {
--- a/src/main/java/mintstair/backend/HostPool.java
+++ b/src/main/java/mintstair/backend/HostConnectionPool.java
@@ -12,7 +12,7 @@
 import mintstair.retry.Backoff;
 
 /** The connections to one db host and the calls that wait for one. */
-final class HostPool {
+final class HostConnectionPool {
     /** More than this to one host serves nobody: it works on far fewer at a time. */
     private static final int MOST = 80;
 
@@ -24,10 +24,10 @@
     private static final long KEPT = 60_000_000;
 
     final String name;
-    private final Backends backends;
+    private final ConnectionPools backends;
     private final ArrayDeque<HostConnection> idle = new ArrayDeque<>();
     private final Set<HostConnection> all = new HashSet<>();
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+    private final ArrayDeque<PendingAttempt> waiting = new ArrayDeque<>();
     private InetSocketAddress address;
     private int opening;
     private final Backoff backoff;
@@ -35,7 +35,7 @@
     private boolean serving;
     private long goneSince;
 
-    HostPool(String name, Backends backends) {
+    HostConnectionPool(String name, ConnectionPools backends) {
         this.name = name;
         this.backends = backends;
         backoff = new Backoff(backends.random, REST, REST_MOST);
@@ -80,8 +80,8 @@
         closeIdle(Long.MAX_VALUE);
     }
 
-    /** See {@link mintstair.proxy.Hosts#turnBack}; only what waits by now, as some of it may be sent here again on purpose. */
-    void turnBack() {
+    /** See {@link mintstair.proxy.Backend#failQueuedForUnavailable}; only what waits by now, as some of it may be sent here again on purpose. */
+    void failQueuedForUnavailable() {
         if (!serving) {
             List.copyOf(waiting).forEach(call -> call.stop(ConnectionEnd.NEVER_SENT));
         }
@@ -115,7 +115,7 @@
         return !serving && all.isEmpty() && waiting.isEmpty() && now - goneSince > KEPT;
     }
 
-    void send(Call call) {
+    void send(PendingAttempt call) {
         long now = backends.loop.now();
         call.pool = this;
         long connectBy = Math.min(Math.min(call.writeBy, call.until), now + backends.connectTimeout);
@@ -126,7 +126,7 @@
     }
 
     /** Either no connection came up in time, or no answer did. */
-    private void timeUp(Call call) {
+    private void timeUp(PendingAttempt call) {
         long now = backends.loop.now();
         if (call.connection == null) {
             boolean late = now >= call.writeBy && now < call.until;
@@ -144,7 +144,7 @@
         while (!waiting.isEmpty() && !idle.isEmpty()) {
             HostConnection c = idle.pollFirst();
             if (c.isClean()) {
-                Call next = waiting.pollFirst();
+                PendingAttempt next = waiting.pollFirst();
                 long now = backends.loop.now();
                 AttemptVerdict verdict = next.mayBegin(now);
                 if (verdict == AttemptVerdict.MAY_BEGIN) {
@@ -191,7 +191,7 @@
         // A host that is out of reach is not knocked at for the sake of spare connections.
         restUntil = backends.loop.now() + backoff.next();
         closed(c);
-        Call first = waiting.pollFirst();
+        PendingAttempt first = waiting.pollFirst();
         if (first != null) {
             first.end(HostReply.of(why));
         }
@@ -205,7 +205,7 @@
         }
     }
 
-    void forget(Call call) {
+    void forget(PendingAttempt call) {
         waiting.remove(call);
     }
 }
--- a/src/main/java/mintstair/backend/IdleTrust.java
+++ b/src/main/java/mintstair/backend/IdleReusePolicy.java
@@ -6,7 +6,7 @@
  * the ends of calls are counted by how long their connections had been idle, and where those that were idle for longer
  * break far oftener than the rest, they are not used.
  */
-final class IdleTrust {
+final class IdleReusePolicy {
     private static final long SHORTEST = 12_500;
     private static final int SPANS = 12;
     /** Spans below this are never given up: without any reuse each call would pay for a handshake. */
--- a/src/main/java/mintstair/backend/Call.java
+++ b/src/main/java/mintstair/backend/PendingAttempt.java
@@ -2,28 +2,29 @@
 
 import java.util.concurrent.Future;
 import java.util.function.LongFunction;
-import mintstair.proxy.Hosts;
+import mintstair.proxy.Backend;
 import mintstair.request.AttemptVerdict;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.HostReply;
 
 /** One attempt or probe on its way: it waits for a connection, is written, and ends exactly once. */
-final class Call implements Hosts.Sent {
+final class PendingAttempt implements Backend.Attempt {
     private static final long MICROS_PER_MILLI = 1_000;
 
     final LongFunction<byte[]> words;
     final long writeBy;
     final long until;
     final boolean probe;
-    private final Hosts.Receiver listener;
+    private final Backend.AttemptListener listener;
     HostConnection connection;
-    HostPool pool;
+    HostConnectionPool pool;
     Future<?> timer;
     private boolean ended;
     private boolean flows;
 
     /** {@code words} makes what is sent, from the milliseconds that are left until {@code until}. */
-    Call(LongFunction<byte[]> words, long writeBy, long until, boolean probe, Hosts.Receiver listener) {
+    PendingAttempt(
+            LongFunction<byte[]> words, long writeBy, long until, boolean probe, Backend.AttemptListener listener) {
         this.words = words;
         this.writeBy = writeBy;
         this.until = until;
@@ -66,7 +67,7 @@
     }
 
     @Override
-    public void callOff() {
+    public void cancel() {
         stop(connection == null ? ConnectionEnd.NEVER_SENT : ConnectionEnd.CALLED_OFF);
     }
 
--- a/src/main/java/mintstair/proxy/Hosts.java
+++ b/src/main/java/mintstair/proxy/Backend.java
@@ -6,9 +6,9 @@
 import mintstair.request.Statement;
 
 /** The db hosts as the dispatcher sees them; every call and every ending happens on the loop. */
-public interface Hosts {
+public interface Backend {
     /** Takes what comes back for something that was sent. */
-    interface Receiver {
+    interface AttemptListener {
         /** Its one ending. */
         void end(HostReply reply);
 
@@ -27,19 +27,19 @@
     }
 
     /** Something that was sent and may be called off. */
-    interface Sent {
+    interface Attempt {
         /** Stops waiting; it ends as called off, or as never sent. */
-        void callOff();
+        void cancel();
     }
 
     /**
      * Sends the statement to a host by {@code writeBy} or not at all, and stops waiting at {@code until};
-     * {@code end} gets exactly one ending.
+     * {@code listener} gets exactly one ending.
      */
-    Sent send(String host, Statement statement, long writeBy, long until, Receiver end);
+    Attempt send(String host, Statement statement, long writeBy, long until, AttemptListener listener);
 
-    /** Asks a host for its report; {@code end} gets exactly one ending. */
-    void probe(String host, Receiver end);
+    /** Asks a host for its report; {@code listener} gets exactly one ending. */
+    void probe(String host, AttemptListener listener);
 
     /** Which hosts there are, or what changed of them. */
     void listed(EndpointList list);
@@ -48,5 +48,5 @@
      * Ends as never sent what waits for a connection to a host that is listed as leaving or gone; called once what the list tells
      * has become known to whoever decides, so that it is decided anew.
      */
-    void turnBack();
+    void failQueuedForUnavailable();
 }
--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -37,7 +37,7 @@
 
     private final EventLoop loop;
     private final RequestRouter router;
-    private final Hosts hosts;
+    private final Backend backend;
     private final Counters counters;
     private final Consumer<String> log;
     private final Map<Long, Taken> taken = new HashMap<>();
@@ -56,10 +56,10 @@
     /** An exchange, its attempts by number, and the guard of its deadline. */
     private static final class Taken {
         final Exchange exchange;
-        final Map<Integer, Hosts.Sent> out = new HashMap<>();
+        final Map<Integer, Backend.Attempt> out = new HashMap<>();
         Future<?> guard;
         boolean closed;
-        Hosts.Sent flows;
+        Backend.Attempt flows;
         /** How its last attempt that has ended did. */
         ConnectionEnd lastEnd;
 
@@ -69,10 +69,10 @@
     }
 
     /** {@code log} gets the lines for the people on call. */
-    public Dispatcher(EventLoop loop, RequestRouter router, Hosts hosts, Counters counters, Consumer<String> log) {
+    public Dispatcher(EventLoop loop, RequestRouter router, Backend backend, Counters counters, Consumer<String> log) {
         this.loop = loop;
         this.router = router;
-        this.hosts = hosts;
+        this.backend = backend;
         this.counters = counters;
         this.log = log;
     }
@@ -109,7 +109,7 @@
     public void release(String host, Statement statement) {
         if (serving.contains(host)) {
             long until = loop.now() + RELEASE;
-            hosts.send(host, statement, until, until, reply -> {});
+            backend.send(host, statement, until, until, reply -> {});
         }
     }
 
@@ -138,7 +138,7 @@
             Taken t = taken.get(exchange.number());
             over(t);
             if (t.flows != null) {
-                t.flows.callOff();
+                t.flows.cancel();
             }
             carryOut(router.handle(loop.now(), new RouterEvent.ClientDisconnected(exchange.number())));
         }
@@ -173,10 +173,10 @@
                 serving.remove(entry.host());
             }
         }
-        hosts.listed(list);
+        backend.listed(list);
         carryOut(router.handle(loop.now(), new RouterEvent.EndpointsUpdated(list, old)));
         // A connection may take longer to come up than a leaver may still be sent to.
-        hosts.turnBack();
+        backend.failQueuedForUnavailable();
     }
 
     /** How many requests are held. */
@@ -240,9 +240,9 @@
             send(d);
         } else if (directive instanceof RouterAction.Cancel d) {
             Taken t = taken.get(d.request());
-            Hosts.Sent sent = t == null ? null : t.out.get(d.attempt());
+            Backend.Attempt sent = t == null ? null : t.out.get(d.attempt());
             if (sent != null) {
-                sent.callOff();
+                sent.cancel();
             }
         } else if (directive instanceof RouterAction.Reject d) {
             Taken t = taken.get(d.request());
@@ -258,7 +258,7 @@
         } else if (directive instanceof RouterAction.CheckHealth d) {
             long sentAt = loop.now();
             counters.probes++;
-            hosts.probe(
+            backend.probe(
                     d.host(),
                     reply -> carryOut(router.handle(
                             loop.now(),
@@ -297,8 +297,8 @@
             counters.retried(t.out.isEmpty() ? t.lastEnd : null);
         }
         boolean[] ended = new boolean[1];
-        Hosts.Sent sent =
-                hosts.send(d.host(), t.exchange.request().statement(), d.writeBy(), until, new Hosts.Receiver() {
+        Backend.Attempt sent = backend.send(
+                d.host(), t.exchange.request().statement(), d.writeBy(), until, new Backend.AttemptListener() {
                     @Override
                     public void end(HostReply reply) {
                         ended[0] = true;
@@ -334,7 +334,7 @@
 
     /** A long answer goes on as it comes. With its first bytes it is the only one, and no deadline counts any more. */
     private void attemptGives(Taken t, RouterAction.Send d, long sentAt, byte[] bytes, Runnable taken) {
-        Hosts.Sent sent = t.out.get(d.attempt());
+        Backend.Attempt sent = t.out.get(d.attempt());
         if (t.flows == null && !t.exchange.isOver()) {
             t.flows = sent;
             t.guard.cancel(false);
@@ -356,7 +356,7 @@
         } else {
             // Another answer was quicker.
             taken.run();
-            sent.callOff();
+            sent.cancel();
         }
     }
 
--- a/src/main/java/mintstair/serve/Rehearsal.java
+++ b/src/main/java/mintstair/serve/Rehearsal.java
@@ -15,9 +15,9 @@
 import mintstair.config.Env;
 import mintstair.front.RequestRules;
 import mintstair.front.pg.PgStatement;
+import mintstair.proxy.Backend;
 import mintstair.proxy.Dispatcher;
 import mintstair.proxy.EventLoop;
-import mintstair.proxy.Hosts;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.EndpointList;
 import mintstair.request.HostReply;
@@ -114,11 +114,11 @@
     }
 
     /** Hosts that answer at once, some with a miss; one request in fifty is lost. */
-    private final class Scripted implements Hosts {
+    private final class Scripted implements Backend {
         private int sent;
 
         @Override
-        public Sent send(String host, Statement statement, long writeBy, long until, Receiver end) {
+        public Attempt send(String host, Statement statement, long writeBy, long until, AttemptListener end) {
             statement.encode(until - loop.now());
             sent++;
             boolean lost = sent % 50 == 0;
@@ -130,7 +130,7 @@
         }
 
         @Override
-        public void probe(String host, Receiver end) {
+        public void probe(String host, AttemptListener end) {
             loop.execute(() -> {
                 HostReply reply = read(row(
                         host, "inflight=1,util=0.5,x0=" + loop.now() / 1e6 + ",x1=" + (host.equals(PRIMARY) ? 1 : 0)));
@@ -142,7 +142,7 @@
         public void listed(EndpointList list) {}
 
         @Override
-        public void turnBack() {}
+        public void failQueuedForUnavailable() {}
 
         private HostReply read(byte[] bytes) {
             Framer framer = protocol.newFramer();
--- a/src/main/java/mintstair/serve/Service.java
+++ b/src/main/java/mintstair/serve/Service.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
-import mintstair.backend.Backends;
+import mintstair.backend.ConnectionPools;
 import mintstair.backend.Protocol;
 import mintstair.config.Env;
 import mintstair.discovery.Watch;
@@ -32,7 +32,7 @@
     private final EventLoop loop;
     private final TCPNIOTransport transport;
     private final Random random;
-    private final Backends hosts;
+    private final ConnectionPools hosts;
     private final Dispatcher dispatcher;
     private final CompletableFuture<Void> listKnown = new CompletableFuture<>();
     private Env env;
@@ -59,7 +59,7 @@
         this.transport = transport;
         random = new Random(seed);
         this.env = env;
-        hosts = new Backends(
+        hosts = new ConnectionPools(
                 loop,
                 protocol,
                 transport,
--- a/src/test/java/mintstair/backend/BackendsTest.java
+++ b/src/test/java/mintstair/backend/ConnectionPoolsTest.java
@@ -22,8 +22,8 @@
 import java.util.stream.Stream;
 import mintstair.backend.pg.PgProtocol;
 import mintstair.program.Program;
+import mintstair.proxy.Backend;
 import mintstair.proxy.EventLoop;
-import mintstair.proxy.Hosts;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.EndpointList;
 import mintstair.request.HostReply;
@@ -38,19 +38,19 @@
 import org.junit.jupiter.api.Test;
 
 /** Every way in which an attempt ends on its connection. */
-class BackendsTest {
+class ConnectionPoolsTest {
     private static final long SECOND = 1_000_000;
     private final EventLoop loop = new EventLoop();
     private final TCPNIOTransport transport =
             TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
-    private Backends backends;
+    private ConnectionPools backends;
     private PgHost host;
     private ServerSocket mute;
 
     @BeforeEach
     void start() throws IOException {
         transport.start();
-        backends = new Backends(
+        backends = new ConnectionPools(
                 loop, new PgProtocol(), transport, SECOND / 4, 15 * SECOND, 50, new Random(1), new Counters());
         host = new PgHost("speaks", true, 5);
         mute = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
@@ -78,7 +78,7 @@
         return new EndpointList.Entry(name, "127.0.0.1:" + port, "z", 1, EndpointList.State.SERVING, false, 1, 0);
     }
 
-    private CompletableFuture<HostReply> send(String to, String id, long writeBy, long until, Hosts.Sent[] sent) {
+    private CompletableFuture<HostReply> send(String to, String id, long writeBy, long until, Backend.Attempt[] sent) {
         CompletableFuture<HostReply> end = new CompletableFuture<>();
         byte[] words = Client.Pg.query(Client.Pg.words(true, "id=" + id + ",c=write,cluster=1", 1));
         loop.execute(() ->
@@ -88,7 +88,7 @@
 
     private ConnectionEnd end(String to, String id, long writeBy, long until)
             throws ExecutionException, InterruptedException, TimeoutException {
-        return send(to, id, writeBy, until, new Hosts.Sent[1])
+        return send(to, id, writeBy, until, new Backend.Attempt[1])
                 .get(20, TimeUnit.SECONDS)
                 .end();
     }
@@ -106,12 +106,12 @@
         assertEquals(ConnectionEnd.CONNECT_FAILED, end("closed", "x", 9 * SECOND, 9 * SECOND));
         assertEquals(ConnectionEnd.CONNECT_TIMEOUT, end("mute", "x", 9 * SECOND, 9 * SECOND));
         assertEquals(ConnectionEnd.NEVER_SENT, end("unheard of", "x", 9 * SECOND, 9 * SECOND));
-        Hosts.Sent[] sent = new Hosts.Sent[1];
+        Backend.Attempt[] sent = new Backend.Attempt[1];
         CompletableFuture<HostReply> off = send("speaks", "off", 9 * SECOND, 9 * SECOND, sent);
         while (!host.seen.contains("off")) {
             Thread.onSpinWait();
         }
-        loop.execute(() -> sent[0].callOff());
+        loop.execute(() -> sent[0].cancel());
         assertEquals(ConnectionEnd.CALLED_OFF, off.get(20, TimeUnit.SECONDS).end());
     }
 
@@ -147,8 +147,8 @@
     }
 
     private void assertServed(String id) throws Exception {
-        HostReply reply =
-                send("speaks", id, 9 * SECOND, 9 * SECOND, new Hosts.Sent[1]).get(20, TimeUnit.SECONDS);
+        HostReply reply = send("speaks", id, 9 * SECOND, 9 * SECOND, new Backend.Attempt[1])
+                .get(20, TimeUnit.SECONDS);
         assertEquals(true, reply.end().isServed());
         assertEquals(true, new String(reply.body(), StandardCharsets.UTF_8).contains(id), id);
     }
@@ -157,7 +157,8 @@
     @Test
     void callsToMoreHostsThanHaveRoomForSparesFindTheirConnectionsKept() throws Exception {
         Counters counters = new Counters();
-        Backends few = new Backends(loop, new PgProtocol(), transport, SECOND, 15 * SECOND, 6, new Random(1), counters);
+        ConnectionPools few =
+                new ConnectionPools(loop, new PgProtocol(), transport, SECOND, 15 * SECOND, 6, new Random(1), counters);
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (String name : new String[] {"a", "b", "c", "d"}) {
             entries.add(entry(name, host.port()));
@@ -183,8 +184,8 @@
     @Test
     void spareConnectionsWaitUntilClientsCome() throws Exception {
         Counters counters = new Counters();
-        Backends starts =
-                new Backends(loop, new PgProtocol(), transport, SECOND, 15 * SECOND, 6, new Random(1), counters);
+        ConnectionPools starts =
+                new ConnectionPools(loop, new PgProtocol(), transport, SECOND, 15 * SECOND, 6, new Random(1), counters);
         loop.execute(() ->
                 starts.listed(new EndpointList(1, true, List.of(entry("a", host.port()), entry("b", host.port())))));
         CompletableFuture<Long> before = new CompletableFuture<>();
@@ -207,13 +208,13 @@
     void sparesFitIntoAShareOfWhatMayBeOpen() {
         for (int most = 1; most < 400; most++) {
             for (int hosts = 0; hosts < 500; hosts += 7) {
-                int each = Spares.each(hosts, most);
+                int each = PreconnectPolicy.each(hosts, most);
                 assertTrue(
                         each >= 0 && each <= 2 && each * hosts <= most / 2,
                         each + " to each of " + hosts + " of " + most);
             }
         }
-        assertEquals(2, Spares.each(12, 64));
+        assertEquals(2, PreconnectPolicy.each(12, 64));
     }
 
     /** Guards against growth over a long day: of a host that is gone nothing is kept, nor of one listed elsewhere. */
@@ -244,7 +245,7 @@
             List<CompletableFuture<HostReply>> ends = new ArrayList<>();
             for (int j = i; j < i + 20; j++) {
                 host.script.put("b" + j, Act.BREAK);
-                ends.add(send("speaks", "b" + j, 9 * SECOND, 9 * SECOND, new Hosts.Sent[1]));
+                ends.add(send("speaks", "b" + j, 9 * SECOND, 9 * SECOND, new Backend.Attempt[1]));
             }
             for (int j = 0; j < 20; j++) {
                 ConnectionEnd end = ends.get(j).get(20, TimeUnit.SECONDS).end();
--- a/src/test/java/mintstair/backend/IdleTrustTest.java
+++ b/src/test/java/mintstair/backend/IdleReusePolicyTest.java
@@ -5,11 +5,11 @@
 
 import org.junit.jupiter.api.Test;
 
-class IdleTrustTest {
+class IdleReusePolicyTest {
     private static final long MS = 1_000;
 
-    private static IdleTrust trust(int brokenSoon, int brokenLate) {
-        IdleTrust trust = new IdleTrust();
+    private static IdleReusePolicy trust(int brokenSoon, int brokenLate) {
+        IdleReusePolicy trust = new IdleReusePolicy();
         for (int i = 0; i < 20; i++) {
             trust.ended(0, 20 * MS, i < brokenSoon);
             trust.ended(0, 300 * MS, i < brokenLate);
@@ -28,12 +28,12 @@
     @Test
     void whatBreaksAnywaySpeaksAgainstNoIdleTime() {
         assertEquals(Long.MAX_VALUE, trust(8, 10).longest());
-        assertEquals(Long.MAX_VALUE, new IdleTrust().longest());
+        assertEquals(Long.MAX_VALUE, new IdleReusePolicy().longest());
     }
 
     @Test
     void longTimesAreTriedAgainLater() {
-        IdleTrust trust = trust(1, 10);
+        IdleReusePolicy trust = trust(1, 10);
         trust.ended(60_000 * MS, 20 * MS, false);
         assertEquals(Long.MAX_VALUE, trust.longest());
     }
--- a/src/test/java/mintstair/front/DrainTest.java
+++ b/src/test/java/mintstair/front/DrainTest.java
@@ -12,9 +12,9 @@
 import mintstair.config.Json;
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
+import mintstair.proxy.Backend;
 import mintstair.proxy.Dispatcher;
 import mintstair.proxy.EventLoop;
-import mintstair.proxy.Hosts;
 import mintstair.request.EndpointList;
 import mintstair.request.Statement;
 import mintstair.routing.RequestRouter;
@@ -27,20 +27,20 @@
 /** A front that lets its clients go. */
 class DrainTest {
     /** Hosts that take everything and never answer. */
-    private static final class Mute implements Hosts {
+    private static final class Mute implements Backend {
         @Override
-        public Sent send(String host, Statement statement, long writeBy, long until, Receiver end) {
+        public Attempt send(String host, Statement statement, long writeBy, long until, AttemptListener end) {
             return () -> {};
         }
 
         @Override
-        public void probe(String host, Receiver end) {}
+        public void probe(String host, AttemptListener end) {}
 
         @Override
         public void listed(EndpointList list) {}
 
         @Override
-        public void turnBack() {}
+        public void failQueuedForUnavailable() {}
     }
 
     /**
