--- a/src/main/java/mintstair/registry/RegistryClient.java
+++ b/src/main/java/mintstair/registry/RegistryClient.java
@@ -21,8 +21,8 @@
 import mintstair.registry.view.Snapshot;
 import mintstair.registry.view.Step;
 import mintstair.registry.view.Times;
-import mintstair.registry.view.Told;
 import mintstair.registry.view.ViewMetrics;
+import mintstair.registry.view.ViewUpdate;
 import mintstair.registry.view.WatchView;
 import mintstair.time.MonotonicClock;
 
@@ -34,7 +34,7 @@
     /** Is told on the client's thread, and must not block it. */
     public interface Listener {
         /** All that takes effect together; {@code view} is to be asked for everything, if something before was lost. */
-        void told(List<Told> told, RegistryView view);
+        void told(List<ViewUpdate> told, RegistryView view);
     }
 
     /** A view that does not change is kept anew after this long, so that the file tells when it was last known to be true. */
@@ -171,7 +171,7 @@
     }
 
     private void line(String text) {
-        listener.told(List.of(new Told.Line(text)), view);
+        listener.told(List.of(new ViewUpdate.LogLine(text)), view);
     }
 
     /** The newest figures; from any thread. */
--- a/src/main/java/mintstair/registry/RegistryCommand.java
+++ b/src/main/java/mintstair/registry/RegistryCommand.java
@@ -19,8 +19,8 @@
 import mintstair.registry.view.Names;
 import mintstair.registry.view.Snapshot;
 import mintstair.registry.view.Times;
-import mintstair.registry.view.Told;
 import mintstair.registry.view.ViewMetrics;
+import mintstair.registry.view.ViewUpdate;
 import mintstair.request.EndpointList;
 import mintstair.time.WallClock;
 
@@ -160,15 +160,15 @@
         return 0;
     }
 
-    private void print(Told told) {
-        if (told instanceof Told.Hosts h) {
+    private void print(ViewUpdate told) {
+        if (told instanceof ViewUpdate.Endpoints h) {
             for (EndpointList.Entry e : h.list().entries()) {
                 out.println(h.list().revision() + " " + h.front() + " " + e.host() + " " + e.state() + " "
                         + e.endpoint() + " group=" + e.cluster() + (e.primary() ? " primary" : ""));
             }
-        } else if (told instanceof Told.Settings s) {
+        } else if (told instanceof ViewUpdate.Settings s) {
             out.println(s.revision() + " settings " + s.text().length + " bytes");
-        } else if (told instanceof Told.Line line) {
+        } else if (told instanceof ViewUpdate.LogLine line) {
             System.err.println(line.text());
         }
     }
@@ -178,8 +178,8 @@
         CountDownLatch live = new CountDownLatch(1);
         TreeMap<String, String> hosts = new TreeMap<>();
         try (RegistryClient client = new RegistryClient(apart(), Times.USUAL, System.nanoTime(), (told, view) -> {
-            for (Told each : told) {
-                if (each instanceof Told.Hosts h && !h.old()) {
+            for (ViewUpdate each : told) {
+                if (each instanceof ViewUpdate.Endpoints h && !h.old()) {
                     h.list().entries().forEach(e -> hosts.put(h.front() + " " + e.host(), line(e)));
                     live.countDown();
                 }
--- a/src/main/java/mintstair/registry/view/FaultLines.java
+++ b/src/main/java/mintstair/registry/view/FaultLines.java
@@ -12,24 +12,24 @@
     private long leftOut;
 
     /** Writes the line, or counts it as left out. */
-    void note(long now, String line, Consumer<Told> out) {
+    void note(long now, String line, Consumer<ViewUpdate> out) {
         flush(now, out);
         if (free > 0) {
             free--;
             next = Math.max(next, now + EVERY);
-            out.accept(new Told.Line(line));
+            out.accept(new ViewUpdate.LogLine(line));
         } else {
             leftOut++;
         }
     }
 
     /** Says what was left out, once a second is over. */
-    void flush(long now, Consumer<Told> out) {
+    void flush(long now, Consumer<ViewUpdate> out) {
         if (now < next) {
             return;
         }
         if (leftOut > 0) {
-            out.accept(new Told.Line("registry: " + leftOut + " more lines of this kind were left out"));
+            out.accept(new ViewUpdate.LogLine("registry: " + leftOut + " more lines of this kind were left out"));
             leftOut = 0;
             next = now + EVERY;
         } else {
--- a/src/main/java/mintstair/registry/view/HostSteps.java
+++ b/src/main/java/mintstair/registry/view/HostSteps.java
@@ -44,10 +44,10 @@
     }
 
     /** Tells the lists as changes at this revision. */
-    void tell(long revision, Consumer<Told> out) {
+    void tell(long revision, Consumer<ViewUpdate> out) {
         lists.forEach((front, of) -> of.stream()
                 .filter(entries -> !entries.isEmpty())
-                .forEach(entries -> out.accept(new Told.Hosts(
+                .forEach(entries -> out.accept(new ViewUpdate.Endpoints(
                         front, new EndpointList(revision, false, List.copyOf(entries.values())), false))));
     }
 }
--- a/src/main/java/mintstair/registry/view/HostTable.java
+++ b/src/main/java/mintstair/registry/view/HostTable.java
@@ -51,7 +51,7 @@
     }
 
     /** Takes the changes in, in their order, and tells what they come to at {@code revision}. */
-    void apply(List<Change> changes, long revision, long now, Consumer<Told> out) {
+    void apply(List<Change> changes, long revision, long now, Consumer<ViewUpdate> out) {
         HostSteps steps = new HostSteps();
         for (Change change : changes) {
             if (change.deleted()) {
@@ -67,7 +67,7 @@
      * Goes over to exactly these items: what is missing among them is deleted, what changed is told, all else is not. Where they
      * are of another history than those before, revisions say nothing: the values are compared.
      */
-    void replace(Collection<Item> items, long revision, boolean sameHistory, long now, Consumer<Told> out) {
+    void replace(Collection<Item> items, long revision, boolean sameHistory, long now, Consumer<ViewUpdate> out) {
         HostSteps steps = new HostSteps();
         comparable = sameHistory;
         Map<String, Item> present = new HashMap<>();
@@ -82,7 +82,7 @@
         steps.tell(revision, out);
     }
 
-    private void put(Item item, HostSteps steps, long now, Consumer<Told> out) {
+    private void put(Item item, HostSteps steps, long now, Consumer<ViewUpdate> out) {
         if (names.isSettings(item.key())) {
             putSettings(item, now, out);
             return;
@@ -123,7 +123,7 @@
         }
     }
 
-    private void putSettings(Item item, long now, Consumer<Told> out) {
+    private void putSettings(Item item, long now, Consumer<ViewUpdate> out) {
         if (item.value().length > limits.settingsBytes()) {
             unreadable++;
             faults.note(now, "registry: " + shown(item.key()) + " at " + item.modified() + ": too long", out);
@@ -131,7 +131,7 @@
             boolean same = settings != null && Arrays.equals(settings.value(), item.value());
             settings = item;
             if (!same) {
-                out.accept(new Told.Settings(item.value(), item.modified()));
+                out.accept(new ViewUpdate.Settings(item.value(), item.modified()));
             }
         }
     }
@@ -179,7 +179,7 @@
     }
 
     /** The entry that the item holds, or null, with a line, where it holds none. */
-    private EndpointList.Entry entry(Item item, String front, long now, Consumer<Told> out) {
+    private EndpointList.Entry entry(Item item, String front, long now, Consumer<ViewUpdate> out) {
         String fault;
         if (item.key().length() > limits.keyBytes() || item.value().length > limits.valueBytes()) {
             fault = "too long";
@@ -211,9 +211,9 @@
     }
 
     /** Tells every front the whole of its list. */
-    void tellWhole(long revision, boolean old, Consumer<Told> out) {
+    void tellWhole(long revision, boolean old, Consumer<ViewUpdate> out) {
         for (String front : names.fronts()) {
-            out.accept(new Told.Hosts(front, new EndpointList(revision, true, entries(front)), old));
+            out.accept(new ViewUpdate.Endpoints(front, new EndpointList(revision, true, entries(front)), old));
         }
     }
 
@@ -242,7 +242,7 @@
     }
 
     /** Says what was left out of the log; see {@link #wakeAt}. */
-    void flush(long now, Consumer<Told> out) {
+    void flush(long now, Consumer<ViewUpdate> out) {
         faults.flush(now, out);
     }
 
--- a/src/main/java/mintstair/registry/view/RegistryView.java
+++ b/src/main/java/mintstair/registry/view/RegistryView.java
@@ -33,7 +33,7 @@
     private final FaultLines breakLines = new FaultLines();
     private final Map<String, Long> counts = new TreeMap<>();
     private List<Order> orders = new ArrayList<>();
-    private List<Told> told = new ArrayList<>();
+    private List<ViewUpdate> told = new ArrayList<>();
 
     protected long now;
     /** The history that the entries belong to: its id, the newest revision that nothing is missing up to, its highest term. */
@@ -133,8 +133,8 @@
     }
 
     /** All hosts of all fronts, told as a whole: for one that missed what was told before. */
-    public final List<Told> everything() {
-        List<Told> all = new ArrayList<>();
+    public final List<ViewUpdate> everything() {
+        List<ViewUpdate> all = new ArrayList<>();
         table.tellWhole(revision, !live, all::add);
         return all;
     }
@@ -262,18 +262,18 @@
     }
 
     /** Tells what follows from a change of the entries; hosts only once they have been told as a whole. */
-    protected final Consumer<Told> teller() {
+    protected final Consumer<ViewUpdate> teller() {
         return live ? told::add : this::tellAllButHosts;
     }
 
-    private void tellAllButHosts(Told what) {
-        if (!(what instanceof Told.Hosts)) {
+    private void tellAllButHosts(ViewUpdate what) {
+        if (!(what instanceof ViewUpdate.Endpoints)) {
             told.add(what);
         }
     }
 
     protected final void say(String line) {
-        told.add(new Told.Line("registry: " + line));
+        told.add(new ViewUpdate.LogLine("registry: " + line));
     }
 
     protected final void count(String name) {
--- a/src/main/java/mintstair/serve/ListHandover.java
+++ b/src/main/java/mintstair/serve/ListHandover.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import mintstair.registry.view.Told;
+import mintstair.registry.view.ViewUpdate;
 
 /**
  * Hands lists of hosts from the registry's thread to the loop: what was told together is taken together, in order. Bounded: where
@@ -18,19 +18,19 @@
     static final int MOST_HOSTS = 32_768;
 
     private final Executor loop;
-    private final Consumer<Told.Hosts> taker;
-    private final Deque<List<Told.Hosts>> waiting = new ArrayDeque<>();
+    private final Consumer<ViewUpdate.Endpoints> taker;
+    private final Deque<List<ViewUpdate.Endpoints>> waiting = new ArrayDeque<>();
     private int hosts;
     private long conflated;
 
     /** {@code taker} runs on the loop. */
-    ListHandover(Executor loop, Consumer<Told.Hosts> taker) {
+    ListHandover(Executor loop, Consumer<ViewUpdate.Endpoints> taker) {
         this.loop = loop;
         this.taker = taker;
     }
 
     /** Hands these over; {@code whole} gives everything as it is now, these included. */
-    synchronized void offer(List<Told.Hosts> together, Supplier<List<Told.Hosts>> whole) {
+    synchronized void offer(List<ViewUpdate.Endpoints> together, Supplier<List<ViewUpdate.Endpoints>> whole) {
         if (together.isEmpty()) {
             return;
         }
@@ -47,17 +47,17 @@
         }
     }
 
-    private void add(List<Told.Hosts> together) {
+    private void add(List<ViewUpdate.Endpoints> together) {
         waiting.add(together);
         hosts += hostsOf(together);
     }
 
-    private static int hostsOf(List<Told.Hosts> together) {
+    private static int hostsOf(List<ViewUpdate.Endpoints> together) {
         return together.stream().mapToInt(told -> told.list().entries().size()).sum();
     }
 
     private void take() {
-        List<List<Told.Hosts>> all;
+        List<List<ViewUpdate.Endpoints>> all;
         synchronized (this) {
             all = List.copyOf(waiting);
             waiting.clear();
--- a/src/main/java/mintstair/serve/Proxy.java
+++ b/src/main/java/mintstair/serve/Proxy.java
@@ -33,7 +33,7 @@
 import mintstair.front.pg.PgFront;
 import mintstair.log.NonBlockingOutput;
 import mintstair.proxy.EventLoop;
-import mintstair.registry.view.Told;
+import mintstair.registry.view.ViewUpdate;
 import mintstair.request.EndpointList;
 import mintstair.routing.RequestRouter;
 import mintstair.stats.HeapFloor;
@@ -394,7 +394,7 @@
         return operator.registry() != null && operator.registry().fronts().contains(front);
     }
 
-    private void registered(Told.Hosts told) {
+    private void registered(ViewUpdate.Endpoints told) {
         services.get(told.front().equals(RegistryConfig.MONGODB) ? 1 : 0).told(told.list(), told.old());
     }
 
--- a/src/main/java/mintstair/serve/RegistryKeeper.java
+++ b/src/main/java/mintstair/serve/RegistryKeeper.java
@@ -9,8 +9,8 @@
 import mintstair.registry.RegistryClient;
 import mintstair.registry.view.RegistryView;
 import mintstair.registry.view.Times;
-import mintstair.registry.view.Told;
 import mintstair.registry.view.ViewMetrics;
+import mintstair.registry.view.ViewUpdate;
 import mintstair.stats.MetricsSnapshot;
 
 /** The registry in place of discovery: its lists go to the loop, its settings to be checked, its lines to the log. */
@@ -24,7 +24,11 @@
     private final ListHandover handover;
 
     RegistryKeeper(
-            RegistryConfig config, long seed, Executor loop, Consumer<Told.Hosts> hosts, SettingsTaker settings) {
+            RegistryConfig config,
+            long seed,
+            Executor loop,
+            Consumer<ViewUpdate.Endpoints> hosts,
+            SettingsTaker settings) {
         handover = new ListHandover(loop, hosts);
         client = new RegistryClient(config, Times.USUAL, seed, (told, view) -> told(told, view, settings));
     }
@@ -33,22 +37,22 @@
         client.start();
     }
 
-    private void told(List<Told> told, RegistryView view, SettingsTaker settings) {
-        List<Told.Hosts> hosts = hosts(told);
+    private void told(List<ViewUpdate> told, RegistryView view, SettingsTaker settings) {
+        List<ViewUpdate.Endpoints> hosts = hosts(told);
         handover.offer(hosts, () -> hosts(view.everything()));
-        for (Told each : told) {
-            if (each instanceof Told.Settings s) {
+        for (ViewUpdate each : told) {
+            if (each instanceof ViewUpdate.Settings s) {
                 settings.take(s.text(), s.revision());
-            } else if (each instanceof Told.Line line) {
+            } else if (each instanceof ViewUpdate.LogLine line) {
                 System.err.println(line.text());
             }
         }
     }
 
-    private static List<Told.Hosts> hosts(List<Told> told) {
-        List<Told.Hosts> hosts = new ArrayList<>();
-        for (Told each : told) {
-            if (each instanceof Told.Hosts h) {
+    private static List<ViewUpdate.Endpoints> hosts(List<ViewUpdate> told) {
+        List<ViewUpdate.Endpoints> hosts = new ArrayList<>();
+        for (ViewUpdate each : told) {
+            if (each instanceof ViewUpdate.Endpoints h) {
                 hosts.add(h);
             }
         }
--- a/src/test/java/mintstair/registry/Registries.java
+++ b/src/test/java/mintstair/registry/Registries.java
@@ -10,7 +10,7 @@
 import mintstair.config.RegistryConfig;
 import mintstair.registry.view.RegistryView;
 import mintstair.registry.view.Times;
-import mintstair.registry.view.Told;
+import mintstair.registry.view.ViewUpdate;
 import mintstair.request.EndpointList;
 
 /** A client of a stand-in registry and what it was told, for tests over sockets. */
@@ -18,7 +18,7 @@
     static final String PREFIX = "reg/";
     static final String FRONT = "postgresql";
     final Map<String, EndpointList.Entry> hosts = new ConcurrentHashMap<>();
-    final List<Told> told = new CopyOnWriteArrayList<>();
+    final List<ViewUpdate> told = new CopyOnWriteArrayList<>();
     final List<String> lines = new CopyOnWriteArrayList<>();
     final RegistryClient client;
 
@@ -36,12 +36,12 @@
         return new RegistryConfig(kind, endpoints, PREFIX, List.of(FRONT), user, secret, tls, snapshot, 100_000);
     }
 
-    private void told(List<Told> all, RegistryView view) {
-        for (Told each : all) {
+    private void told(List<ViewUpdate> all, RegistryView view) {
+        for (ViewUpdate each : all) {
             told.add(each);
-            if (each instanceof Told.Line line) {
+            if (each instanceof ViewUpdate.LogLine line) {
                 lines.add(line.text());
-            } else if (each instanceof Told.Hosts h) {
+            } else if (each instanceof ViewUpdate.Endpoints h) {
                 if (h.list().whole()) {
                     hosts.clear();
                 }
--- a/src/test/java/mintstair/registry/ScheduleTest.java
+++ b/src/test/java/mintstair/registry/ScheduleTest.java
@@ -22,7 +22,7 @@
 import mintstair.registry.view.RegistryView;
 import mintstair.registry.view.Step;
 import mintstair.registry.view.Times;
-import mintstair.registry.view.Told;
+import mintstair.registry.view.ViewUpdate;
 import mintstair.registry.view.WatchView;
 import mintstair.request.EndpointList;
 import mintstair.standin.RegistryModel;
@@ -299,8 +299,8 @@
             }
         }
 
-        private void told(Told what) {
-            if (!(what instanceof Told.Hosts hosts)) {
+        private void told(ViewUpdate what) {
+            if (!(what instanceof ViewUpdate.Endpoints hosts)) {
                 return;
             }
             if (hosts.list().whole()) {
--- a/src/test/java/mintstair/registry/ViewTest.java
+++ b/src/test/java/mintstair/registry/ViewTest.java
@@ -26,7 +26,7 @@
 import mintstair.registry.view.Snapshot;
 import mintstair.registry.view.Step;
 import mintstair.registry.view.Times;
-import mintstair.registry.view.Told;
+import mintstair.registry.view.ViewUpdate;
 import mintstair.registry.view.WatchView;
 import mintstair.request.EndpointList;
 import org.junit.jupiter.api.Test;
@@ -37,7 +37,7 @@
     private static final Limits SMALL = new Limits(60, 200, 300, 5, 10_000, 2_000);
     private long now = 1_000_000_000;
     private RegistryView view = new WatchView(NAMES, SMALL, Times.USUAL, 3, 1);
-    private final List<Told> told = new ArrayList<>();
+    private final List<ViewUpdate> told = new ArrayList<>();
     private List<Order> orders = List.of();
 
     private static Item item(String uid, int version, long created, long modified) {
@@ -104,8 +104,8 @@
 
     private String shown() {
         return told.stream()
-                .filter(t -> t instanceof Told.Hosts)
-                .flatMap(t -> ((Told.Hosts) t).list().entries().stream())
+                .filter(t -> t instanceof ViewUpdate.Endpoints)
+                .flatMap(t -> ((ViewUpdate.Endpoints) t).list().entries().stream())
                 .map(e -> e.host() + (e.state() == EndpointList.State.REMOVED ? "-" : "=" + e.started() / 1000))
                 .collect(Collectors.joining(" "));
     }
@@ -141,8 +141,9 @@
         assertEquals(
                 1_024,
                 told.stream()
-                        .filter(t -> t instanceof Told.Hosts)
-                        .mapToInt(t -> ((Told.Hosts) t).list().entries().size())
+                        .filter(t -> t instanceof ViewUpdate.Endpoints)
+                        .mapToInt(
+                                t -> ((ViewUpdate.Endpoints) t).list().entries().size())
                         .sum());
         told.clear();
         long watch = call();
@@ -275,7 +276,7 @@
             take(view.tick(now));
         }
         assertEquals(10_001, count("unreadable"));
-        long lines = told.stream().filter(t -> t instanceof Told.Line).count();
+        long lines = told.stream().filter(t -> t instanceof ViewUpdate.LogLine).count();
         assertTrue(lines > 1 && lines <= 8, lines + " lines in half a second");
         on(new Event.Batch(watch, at(20_000), List.of(put(item("a", 9, 5, 20_000))), false));
         assertTrue(shown().endsWith("a=9"), shown());
@@ -311,15 +312,16 @@
         on(new Event.Batch(watch, at(11), List.of(put(raw("reg/settings", "{\"x\":1}", 11, 11))), false));
         on(new Event.Batch(watch, at(12), List.of(put(raw("reg/settings", "{\"x\":1}", 11, 12))), false));
         on(new Event.Batch(watch, at(13), List.of(new Change(true, raw("reg/settings", "", 0, 13))), false));
-        assertEquals(1, told.stream().filter(t -> t instanceof Told.Settings).count());
-        assertEquals(11, ((Told.Settings) told.get(0)).revision());
+        assertEquals(
+                1, told.stream().filter(t -> t instanceof ViewUpdate.Settings).count());
+        assertEquals(11, ((ViewUpdate.Settings) told.get(0)).revision());
     }
 
     @Test
     void theLastRunsViewServesAtOnceWithItsAgeAndIsContinuedWithoutReading() {
         Snapshot kept = new Snapshot("reg/", 7, 50, 3, now - 90_000_000, List.of(item("a", 1, 5, 5)));
         take(view.start(now, kept));
-        assertTrue(((Told.Hosts) told.get(0)).old());
+        assertTrue(((ViewUpdate.Endpoints) told.get(0)).old());
         assertEquals("a=1", shown());
         assertEquals(90_000_000, view.figures(now).age());
         assertEquals(51, ((Order.Watch) orders.get(0)).revision());
@@ -331,7 +333,7 @@
         on(new Event.Reached(watch, at(60)));
         on(new Event.Progress(watch, at(60)));
         assertEquals("b=2", shown());
-        assertFalse(((Told.Hosts) told.get(0)).old());
+        assertFalse(((ViewUpdate.Endpoints) told.get(0)).old());
         assertEquals(0, view.figures(now).age());
     }
 
--- a/src/test/java/mintstair/registry/WiresTest.java
+++ b/src/test/java/mintstair/registry/WiresTest.java
@@ -25,7 +25,7 @@
 import mintstair.config.RegistryConfig;
 import mintstair.config.RegistryConfig.Kind;
 import mintstair.registry.etcd.EtcdMember;
-import mintstair.registry.view.Told;
+import mintstair.registry.view.ViewUpdate;
 import mintstair.standin.ConsulServer;
 import mintstair.standin.Keys;
 import mintstair.standin.RegistryModel;
@@ -275,8 +275,8 @@
             }
             try (Registries down = new Registries(config(Kind.ETCD, null, null, null, file, 1), 1)) {
                 awaitVersion(down, "a", 1);
-                assertTrue(((Told.Hosts) down.told.stream()
-                                .filter(t -> t instanceof Told.Hosts)
+                assertTrue(((ViewUpdate.Endpoints) down.told.stream()
+                                .filter(t -> t instanceof ViewUpdate.Endpoints)
                                 .findFirst()
                                 .orElseThrow())
                         .old());
--- a/src/test/java/mintstair/serve/ListHandoverTest.java
+++ b/src/test/java/mintstair/serve/ListHandoverTest.java
@@ -8,13 +8,13 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.stream.LongStream;
-import mintstair.registry.view.Told;
+import mintstair.registry.view.ViewUpdate;
 import mintstair.request.EndpointList;
 import org.junit.jupiter.api.Test;
 
 class ListHandoverTest {
-    private static Told.Hosts list(long revision, boolean whole) {
-        return new Told.Hosts("postgresql", new EndpointList(revision, whole, List.of()), false);
+    private static ViewUpdate.Endpoints list(long revision, boolean whole) {
+        return new ViewUpdate.Endpoints("postgresql", new EndpointList(revision, whole, List.of()), false);
     }
 
     /** A loop that is far behind gets one whole list in place of what waits, and then what came after it; nothing grows. */
@@ -54,7 +54,8 @@
                 new EndpointList.Entry("h", "127.0.0.1:1", "z", 1, EndpointList.State.SERVING, false, 1, 0);
         List<EndpointList.Entry> thousand = Collections.nCopies(1_024, host);
         for (long i = 1; i <= 40; i++) {
-            Told.Hosts each = new Told.Hosts("postgresql", new EndpointList(i, true, thousand), false);
+            ViewUpdate.Endpoints each =
+                    new ViewUpdate.Endpoints("postgresql", new EndpointList(i, true, thousand), false);
             handover.offer(List.of(each), () -> List.of(each));
         }
         loop.forEach(Runnable::run);
