--- a/src/main/java/mintstair/Main.java
+++ b/src/main/java/mintstair/Main.java
@@ -17,8 +17,8 @@
 import mintstair.log.NonBlockingOutput;
 import mintstair.pcap.Replay;
 import mintstair.registry.RegistryCommand;
-import mintstair.serve.HangUps;
 import mintstair.serve.Proxy;
+import mintstair.serve.ReloadSignal;
 import mintstair.store.Store;
 import mintstair.traffic.TrafficCommand;
 
@@ -69,7 +69,7 @@
     /** The configuration is the file named, or the platform's; the operator's file is named or there is none. */
     private static void serve(List<String> args) throws IOException {
         NonBlockingOutput.install();
-        HangUps hangUps = new HangUps();
+        ReloadSignal hangUps = new ReloadSignal();
         OperatorConfig operator = OperatorConfig.NONE;
         String file = System.getenv("NODE_CONFIG");
         for (int i = 0; i < args.size(); i++) {
--- a/src/main/java/mintstair/serve/ListHandover.java
+++ b/src/main/java/mintstair/serve/EndpointUpdateQueue.java
@@ -12,7 +12,7 @@
  * Hands lists of hosts from the registry's thread to the loop: what was told together is taken together, in order. Bounded: where
  * the loop is that far behind, the lists that wait give way to one whole list, which holds all that they would have led to.
  */
-final class ListHandover {
+final class EndpointUpdateQueue {
     static final int MOST = 1_024;
     /** And with no more hosts in all: from a registry that tells whole lists, fewer would fill the heap. */
     static final int MOST_HOSTS = 32_768;
@@ -24,7 +24,7 @@
     private long conflated;
 
     /** {@code taker} runs on the loop. */
-    ListHandover(Executor loop, Consumer<ViewUpdate.Endpoints> taker) {
+    EndpointUpdateQueue(Executor loop, Consumer<ViewUpdate.Endpoints> taker) {
         this.loop = loop;
         this.taker = taker;
     }
--- a/src/main/java/mintstair/serve/Service.java
+++ b/src/main/java/mintstair/serve/ProtocolService.java
@@ -21,7 +21,7 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /** One front and the hosts behind it, of one protocol, with a router of its own between them. */
-final class Service {
+final class ProtocolService {
     /** The list is known by then, or what was known at the start has to do. */
     private static final long READY_AFTER = 300_000;
     /** After the list the first polls come back within this: before, replicas' positions are not known. */
@@ -47,7 +47,7 @@
     /** The last one that did, at another address; null where there is none. */
     private Watch former;
 
-    Service(
+    ProtocolService(
             EventLoop loop,
             TCPNIOTransport transport,
             Protocol protocol,
--- a/src/main/java/mintstair/serve/Proxy.java
+++ b/src/main/java/mintstair/serve/Proxy.java
@@ -82,7 +82,7 @@
     private ControlServer control;
     private int port;
     private volatile long longestDeadline;
-    private final List<Service> services = new ArrayList<>();
+    private final List<ProtocolService> services = new ArrayList<>();
     private PcapRecorder recorder;
     private LogRecorder log;
     private StoreKeeper keeper;
@@ -143,7 +143,7 @@
     }
 
     /** Starts to serve; returns once the proxy listens. At each of these signals it reads {@code file} anew. */
-    public void start(Path file, HangUps hangUps) throws IOException {
+    public void start(Path file, ReloadSignal hangUps) throws IOException {
         try {
             Runtime.getRuntime().addShutdownHook(new Thread(this::finish, "finish"));
         } catch (IllegalStateException e) {
@@ -162,7 +162,7 @@
         log = record == null || record.rotated() == null
                 ? null
                 : new LogRecorder(loop, record.rotated(), config.seed());
-        Descriptors share = Descriptors.of(
+        DescriptorBudget share = DescriptorBudget.of(
                 config.sockets(),
                 operator.mongodb() == null ? 1 : 2,
                 control != null,
@@ -256,7 +256,7 @@
     private void rehearse(InetSocketAddress listen) throws IOException {
         Front front = services.get(0).front;
         int port = SocketRetry.untilMade(() -> front.listen(new InetSocketAddress(listen.getAddress(), 0)));
-        Rehearsal.run(config.env(), new InetSocketAddress(listen.getAddress(), port), REHEARSAL_MILLIS);
+        WarmUp.run(config.env(), new InetSocketAddress(listen.getAddress(), port), REHEARSAL_MILLIS);
         front.stopListening();
     }
 
@@ -284,8 +284,9 @@
         System.out.println("heap: least in use " + heap.take() / 1024 + " kB in the last minute");
     }
 
-    private Service add(Protocol protocol, int most, Service.FrontMaker maker) {
-        Service service = new Service(loop, transport, protocol, config.seed(), config.env(), most, maker);
+    private ProtocolService add(Protocol protocol, int most, ProtocolService.FrontMaker maker) {
+        ProtocolService service =
+                new ProtocolService(loop, transport, protocol, config.seed(), config.env(), most, maker);
         services.add(service);
         return service;
     }
@@ -312,7 +313,7 @@
         Proxy tried = new Proxy(config, OperatorConfig.NONE);
         tried.transport.start();
         InetSocketAddress free = new InetSocketAddress("127.0.0.1", 0);
-        Service service = tried.add(
+        ProtocolService service = tried.add(
                 new PgProtocol(),
                 16,
                 (dispatcher, counters) -> new PgFront(tried.loop, dispatcher, tried.transport, counters, 16));
--- a/src/main/java/mintstair/serve/RegistryKeeper.java
+++ b/src/main/java/mintstair/serve/RegistryKeeper.java
@@ -21,7 +21,7 @@
     }
 
     private final RegistryClient client;
-    private final ListHandover handover;
+    private final EndpointUpdateQueue handover;
 
     RegistryKeeper(
             RegistryConfig config,
@@ -29,7 +29,7 @@
             Executor loop,
             Consumer<ViewUpdate.Endpoints> hosts,
             SettingsTaker settings) {
-        handover = new ListHandover(loop, hosts);
+        handover = new EndpointUpdateQueue(loop, hosts);
         client = new RegistryClient(config, Times.USUAL, seed, (told, view) -> told(told, view, settings));
     }
 
--- a/src/main/java/mintstair/serve/HangUps.java
+++ b/src/main/java/mintstair/serve/ReloadSignal.java
@@ -7,17 +7,17 @@
  * The SIGHUPs of this process from its first moment on, as the virtual machine would end at one otherwise. Those that come before
  * anybody takes them are kept as one: the settings that they tell of must not be lost because the program is still starting.
  */
-public final class HangUps {
+public final class ReloadSignal {
     private Runnable taker;
     private boolean waits;
 
     /** Takes over the signal. */
-    public HangUps() {
+    public ReloadSignal() {
         this("HUP", () -> {});
     }
 
     /** {@code seen} is run for each, on the signal's thread. */
-    HangUps(String signal, Runnable seen) {
+    ReloadSignal(String signal, Runnable seen) {
         SignalHandler before = Signal.handle(new Signal(signal), came -> {
             came();
             seen.run();
--- a/src/main/java/mintstair/serve/Rehearsal.java
+++ b/src/main/java/mintstair/serve/WarmUp.java
@@ -32,7 +32,7 @@
  * runs for the first time is some ten times slower: clients that meet it pile up, give up and come again, and the
  * router takes the hosts for slow. Nothing of it reaches a host, nor the router that serves.
  */
-final class Rehearsal {
+final class WarmUp {
     /**
      * Requests are rehearsed for one proxy of a few, which meets a crowd at its start; each of many meets a small part of it,
      * and a start that takes longer keeps more of them away together after a release.
@@ -58,7 +58,7 @@
     private final CountDownLatch done = new CountDownLatch(AT_ONCE);
     private int left;
 
-    private Rehearsal(Env env) {
+    private WarmUp(Env env) {
         classes = new ArrayList<>(env.classes.keySet());
         left = requests(env.proxies);
         dispatcher =
@@ -74,7 +74,7 @@
     /** Runs requests for {@code millis} at most, and asks the front that listens here; tells whether all came through. */
     static boolean run(Env env, InetSocketAddress front, long millis) {
         long end = System.nanoTime() + millis * 1_000_000;
-        Rehearsal rehearsal = new Rehearsal(env);
+        WarmUp rehearsal = new WarmUp(env);
         try (EventLoop loop = rehearsal.loop) {
             loop.execute(rehearsal::begin);
             askFront(front, Math.max(3, requests(env.proxies) / A_CLIENT), end);
--- a/src/test/java/mintstair/serve/AttemptRulesTest.java
+++ b/src/test/java/mintstair/serve/AttemptRulesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What must hold at the moment in which an attempt is written, which may be long after it was decided on. */
-class AttemptRulesTest extends OneService {
+class AttemptRulesTest extends OneServiceFixture {
     private static final Pattern TOLD_DEADLINE = Pattern.compile("d=(\\d+)");
 
     private LateHost lateHost() throws IOException {
--- a/src/test/java/mintstair/serve/BothFrontsTest.java
+++ b/src/test/java/mintstair/serve/BothFrontsTest.java
@@ -93,7 +93,7 @@
         Env env = new Env((Map<?, ?>)
                 Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
         try (EventLoop loop = new EventLoop(clock::get)) {
-            Service service = new Service(
+            ProtocolService service = new ProtocolService(
                     loop,
                     transport,
                     protocol,
@@ -126,7 +126,7 @@
         }
     }
 
-    private static String counters(EventLoop loop, Service service) {
+    private static String counters(EventLoop loop, ProtocolService service) {
         CompletableFuture<String> line = new CompletableFuture<>();
         loop.execute(() -> line.complete(service.counters.toString()));
         return line.join();
--- a/src/test/java/mintstair/serve/ConnectionEndsTest.java
+++ b/src/test/java/mintstair/serve/ConnectionEndsTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Connections that end, on either side, at the moment in which something is still owed on them. */
-class ConnectionEndsTest extends OneService {
+class ConnectionEndsTest extends OneServiceFixture {
     private final Set<Connection<?>> connections = ConcurrentHashMap.newKeySet();
     private final AtomicLong bytesRead = new AtomicLong();
     private LateHost host;
--- a/src/test/java/mintstair/serve/ListHandoverTest.java
+++ b/src/test/java/mintstair/serve/EndpointUpdateQueueTest.java
@@ -12,7 +12,7 @@
 import mintstair.request.EndpointList;
 import org.junit.jupiter.api.Test;
 
-class ListHandoverTest {
+class EndpointUpdateQueueTest {
     private static ViewUpdate.Endpoints list(long revision, boolean whole) {
         return new ViewUpdate.Endpoints("postgresql", new EndpointList(revision, whole, List.of()), false);
     }
@@ -22,7 +22,7 @@
     void whatWaitsGivesWayToOneWholeList() {
         Deque<Runnable> loop = new ArrayDeque<>();
         List<String> taken = new ArrayList<>();
-        ListHandover handover = new ListHandover(
+        EndpointUpdateQueue handover = new EndpointUpdateQueue(
                 loop::add,
                 h -> taken.add((h.list().whole() ? "whole " : "") + h.list().revision()));
         handover.offer(List.of(list(1, false), list(2, false)), List::of);
@@ -32,13 +32,16 @@
         assertEquals(List.of("1", "2"), taken);
         taken.clear();
         loop.clear();
-        for (int i = 1; i <= ListHandover.MOST + 3; i++) {
+        for (int i = 1; i <= EndpointUpdateQueue.MOST + 3; i++) {
             int at = i;
             handover.offer(List.of(list(at, false)), () -> List.of(list(at, true)));
         }
         loop.forEach(Runnable::run);
         assertEquals(
-                List.of("whole " + (ListHandover.MOST + 1), "" + (ListHandover.MOST + 2), "" + (ListHandover.MOST + 3)),
+                List.of(
+                        "whole " + (EndpointUpdateQueue.MOST + 1),
+                        "" + (EndpointUpdateQueue.MOST + 2),
+                        "" + (EndpointUpdateQueue.MOST + 3)),
                 taken);
         assertEquals(1, handover.conflated());
     }
@@ -48,8 +51,8 @@
     void manyHostsWaitInNoMoreThanOneWholeList() {
         Deque<Runnable> loop = new ArrayDeque<>();
         List<Long> taken = new ArrayList<>();
-        ListHandover handover =
-                new ListHandover(loop::add, h -> taken.add(h.list().revision()));
+        EndpointUpdateQueue handover =
+                new EndpointUpdateQueue(loop::add, h -> taken.add(h.list().revision()));
         EndpointList.Entry host =
                 new EndpointList.Entry("h", "127.0.0.1:1", "z", 1, EndpointList.State.SERVING, false, 1, 0);
         List<EndpointList.Entry> thousand = Collections.nCopies(1_024, host);
--- a/src/test/java/mintstair/serve/GoneClientsTest.java
+++ b/src/test/java/mintstair/serve/GoneClientsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A client that has closed its connection: no attempt begins for it any more, at whatever stage its request is. */
-class GoneClientsTest extends OneService {
+class GoneClientsTest extends OneServiceFixture {
     /** Where attempts may not be called off, so that nothing but the client's leaving keeps them back. */
     private void serve(EndpointList.Entry... hosts) throws IOException {
         serve(false, 64, hosts);
--- a/src/test/java/mintstair/serve/HangUpsTest.java
+++ b/src/test/java/mintstair/serve/HangUpsTest.java
@@ -14,7 +14,7 @@
     @Test
     void signalsBeforeTheTakerAreKeptAsOneAndLaterOnesComeInTurn() {
         AtomicInteger seen = new AtomicInteger();
-        HangUps hangUps = new HangUps(HARMLESS, seen::incrementAndGet);
+        ReloadSignal hangUps = new ReloadSignal(HARMLESS, seen::incrementAndGet);
         Signal.raise(new Signal(HARMLESS));
         Program.await(() -> seen.get() == 1, "the first");
         Signal.raise(new Signal(HARMLESS));
--- a/src/test/java/mintstair/serve/LeaversTest.java
+++ b/src/test/java/mintstair/serve/LeaversTest.java
@@ -43,7 +43,7 @@
     private final TCPNIOTransport transport = Proxy.transport();
     private Discovery agent;
     private Relay way;
-    private Service service;
+    private ProtocolService service;
     private int hosts = 120;
 
     @BeforeEach
@@ -62,9 +62,9 @@
         agent.close();
     }
 
-    private Service service(int proxies, String discovery, String connectTimeout) throws IOException {
+    private ProtocolService service(int proxies, String discovery, String connectTimeout) throws IOException {
         Env env = env(proxies, discovery, connectTimeout);
-        return new Service(
+        return new ProtocolService(
                 loop,
                 transport,
                 new PgProtocol(),
--- a/src/test/java/mintstair/serve/LimitsTest.java
+++ b/src/test/java/mintstair/serve/LimitsTest.java
@@ -40,7 +40,7 @@
     private int listen(int mostClients) throws IOException {
         EndpointList.Entry replica =
                 new EndpointList.Entry("r", "127.0.0.1:9", "z", 1, EndpointList.State.SERVING, false, 1, 0);
-        Service service = new Service(
+        ProtocolService service = new ProtocolService(
                 loop,
                 transport,
                 new PgProtocol(),
@@ -114,8 +114,8 @@
     @Test
     void descriptorsAreSharedOutInFull() {
         for (int sockets : new int[] {256, 384, 1024}) {
-            Descriptors share = Descriptors.of(sockets, 1, false, 3);
-            int all = share.clients() + Front.slack(share.clients()) + share.hosts() + Descriptors.OWN;
+            DescriptorBudget share = DescriptorBudget.of(sockets, 1, false, 3);
+            int all = share.clients() + Front.slack(share.clients()) + share.hosts() + DescriptorBudget.OWN;
             assertTrue(all <= sockets && all > sockets * 9 / 10 && share.clients() > sockets / 2, share.toString());
         }
     }
@@ -124,18 +124,19 @@
     @Test
     void successorFindsRoomBesideAFullProcess() {
         for (int sockets : new int[] {256, 384, 1024}) {
-            Descriptors share = Descriptors.of(sockets, 1, true, 3);
-            int full = share.clients() + Front.slack(share.clients()) + share.hosts() + Descriptors.OWN;
-            assertTrue(full + share.hosts() + Descriptors.OWN <= sockets, share.toString());
+            DescriptorBudget share = DescriptorBudget.of(sockets, 1, true, 3);
+            int full = share.clients() + Front.slack(share.clients()) + share.hosts() + DescriptorBudget.OWN;
+            assertTrue(full + share.hosts() + DescriptorBudget.OWN <= sockets, share.toString());
             assertTrue(share.clients() >= sockets / 4, share.toString());
         }
         // Nor do many hosts, known from a list of any length, take what clients need.
         for (int sockets : new int[] {128, 256, 384, 1024}) {
             for (int known : new int[] {0, 12, 60, 500}) {
-                Descriptors share = Descriptors.of(sockets, 1, true, known);
-                int full = share.clients() + Front.slack(share.clients()) + share.hosts() + Descriptors.OWN;
+                DescriptorBudget share = DescriptorBudget.of(sockets, 1, true, known);
+                int full = share.clients() + Front.slack(share.clients()) + share.hosts() + DescriptorBudget.OWN;
                 assertTrue(
-                        sockets < 256 || full + share.hosts() + Descriptors.OWN <= sockets, share + " of " + sockets);
+                        sockets < 256 || full + share.hosts() + DescriptorBudget.OWN <= sockets,
+                        share + " of " + sockets);
                 assertTrue(share.hosts() <= Math.max(16, sockets / 3), share.toString());
                 assertTrue(sockets < 256 || share.clients() >= sockets / 8, share.toString());
             }
@@ -145,9 +146,8 @@
     /** Guards against a start that waits for its time to run out: in memory nothing has to be waited for. */
     @Test
     void rehearsalComesThroughAndReachesNoHost() throws IOException {
-        assertTrue(Rehearsal.requests(2) > 2 * Rehearsal.requests(14)
-                && Rehearsal.requests(1000) == Rehearsal.requests(100));
-        assertTrue(Rehearsal.run(env(), new InetSocketAddress("127.0.0.1", port), 30_000));
+        assertTrue(WarmUp.requests(2) > 2 * WarmUp.requests(14) && WarmUp.requests(1000) == WarmUp.requests(100));
+        assertTrue(WarmUp.run(env(), new InetSocketAddress("127.0.0.1", port), 30_000));
         try (Client.Pg client = new Client.Pg(port)) {
             client.raw(Client.Pg.query("SHOW counters"));
             assertTrue(client.answer().contains("taken=0 served=0 "));
--- a/src/test/java/mintstair/serve/OneService.java
+++ b/src/test/java/mintstair/serve/OneServiceFixture.java
@@ -25,11 +25,11 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /** One service in this process, whose loop and network thread a test may hold up; it waits 20 s for a connection to a host. */
-abstract class OneService {
+abstract class OneServiceFixture {
     final EventLoop loop = new EventLoop();
     final TCPNIOTransport transport = Proxy.transport();
     final List<AutoCloseable> open = new ArrayList<>();
-    Service service;
+    ProtocolService service;
     private final AtomicLong bytesRead = new AtomicLong();
     private int port;
 
@@ -70,7 +70,7 @@
         String settings =
                 settingsText.replace("PROBING", "false").replace("\"connectTimeoutS\":0.25", "\"connectTimeoutS\":20");
         Env env = new Env((Map<?, ?>) Json.read(settings.getBytes(StandardCharsets.UTF_8)));
-        service = new Service(
+        service = new ProtocolService(
                 loop,
                 transport,
                 new PgProtocol(),
