--- a/src/main/java/mintstair/backend/HostConnection.java
+++ b/src/main/java/mintstair/backend/HostConnection.java
@@ -7,9 +7,9 @@
 import mintstair.request.ConnectionEnd;
 import mintstair.request.HostReply;
 import mintstair.wire.Framer;
-import mintstair.wire.Intake;
 import mintstair.wire.MessageFilter;
 import mintstair.wire.ProtocolException;
+import mintstair.wire.ReadThrottle;
 import mintstair.wire.Recorder;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
@@ -53,7 +53,7 @@
     private InetSocketAddress address;
     private long idled;
     private long heardAt;
-    private volatile Intake intake;
+    private volatile ReadThrottle intake;
     long idleSince;
     private Recorder.Conversation record = Recorder.Conversation.NONE;
 
@@ -70,7 +70,7 @@
         making.addCompletionHandler(new EmptyCompletionHandler<Connection>() {
             @Override
             public void completed(Connection made) {
-                intake = new Intake(made, MOST_HELD, MOST_IN_NEED, backends.held, ConnectionPools.MOST_HELD);
+                intake = new ReadThrottle(made, MOST_HELD, MOST_IN_NEED, backends.held, ConnectionPools.MOST_HELD);
                 backends.filter.listen(made, HostConnection.this);
                 backends.loop.execute(() -> connected(made));
             }
--- a/src/main/java/mintstair/control/Calls.java
+++ b/src/main/java/mintstair/control/ControlCommands.java
@@ -4,14 +4,14 @@
 import mintstair.stats.MetricsSnapshot;
 
 /** What the staff and the platform may ask on the second address, and the words of the answers. */
-public final class Calls {
+public final class ControlCommands {
     private static final String NO = "fail\n";
     private volatile boolean takesClients;
     private final Supplier<MetricsSnapshot> figures;
     private volatile Supplier<String> members;
 
     /** {@code figures} gives the newest snapshot at once, whatever the loop is at. */
-    public Calls(Supplier<MetricsSnapshot> figures) {
+    public ControlCommands(Supplier<MetricsSnapshot> figures) {
         this.figures = figures;
     }
 
--- a/src/main/java/mintstair/control/ControlServer.java
+++ b/src/main/java/mintstair/control/ControlServer.java
@@ -31,14 +31,14 @@
     /** Callers that may be connected at once; their descriptors are set aside. */
     public static final int MOST_CALLERS = 16;
 
-    private final Calls calls;
+    private final ControlCommands calls;
     private final TCPNIOTransport transport;
     /** Those that have not sent their line yet, the oldest first. */
     private final Set<Caller> incomplete = new LinkedHashSet<>();
 
     private TCPNIOServerConnection listener;
 
-    public ControlServer(Calls calls) {
+    public ControlServer(ControlCommands calls) {
         this.calls = calls;
         transport = TCPNIOTransportBuilder.newInstance()
                 .setName("control")
--- a/src/main/java/mintstair/front/ClientEnd.java
+++ b/src/main/java/mintstair/front/ClientCloseReason.java
@@ -1,7 +1,7 @@
 package mintstair.front;
 
 /** Why a client's connection ended; the first reason counts. */
-public enum ClientEnd {
+public enum ClientCloseReason {
     /** The client closed or reset it, or the network did. */
     LEFT,
     /** The client said that it is done. */
--- a/src/main/java/mintstair/front/ClientSession.java
+++ b/src/main/java/mintstair/front/ClientSession.java
@@ -12,9 +12,9 @@
 import mintstair.request.Response;
 import mintstair.request.ResponseListener;
 import mintstair.wire.Framer;
-import mintstair.wire.Intake;
 import mintstair.wire.MessageFilter;
 import mintstair.wire.ProtocolException;
+import mintstair.wire.ReadThrottle;
 import mintstair.wire.Recorder;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.EmptyCompletionHandler;
@@ -53,7 +53,7 @@
     private final Connection<?> connection;
     private final Framer framer;
     private final ArrayDeque<Command> commands = new ArrayDeque<>();
-    private final Intake intake;
+    private final ReadThrottle intake;
     private volatile boolean deaf;
     /** Set by the thread that sees the end of the connection: the loop may come to it late. */
     private volatile boolean left;
@@ -85,14 +85,14 @@
 
     private long turnSince;
     private Exchange exchange;
-    private ClientEnd why = ClientEnd.LEFT;
+    private ClientCloseReason why = ClientCloseReason.LEFT;
     private Recorder.Conversation record = Recorder.Conversation.NONE;
 
     protected ClientSession(Front front, Connection<?> connection, Framer framer) {
         this.front = front;
         this.connection = connection;
         this.framer = framer;
-        intake = new Intake(connection, MOST_UNREAD, MOST_UNREAD, front.unread, Long.MAX_VALUE);
+        intake = new ReadThrottle(connection, MOST_UNREAD, MOST_UNREAD, front.unread, Long.MAX_VALUE);
         idleSince = front.loop.now();
     }
 
@@ -113,7 +113,7 @@
     protected abstract byte[] noRoomWords();
 
     final void turnAway() {
-        endsAs(ClientEnd.NO_ROOM);
+        endsAs(ClientCloseReason.NO_ROOM);
         end(noRoomWords());
     }
 
@@ -200,8 +200,8 @@
     }
 
     /** Notes why the connection is going to end; the first reason stands. */
-    private void endsAs(ClientEnd reason) {
-        why = why == ClientEnd.LEFT ? reason : why;
+    private void endsAs(ClientCloseReason reason) {
+        why = why == ClientCloseReason.LEFT ? reason : why;
     }
 
     /** Ends what has been waited for long enough: a start-up, the rest of a message, a client that does not read. */
@@ -222,7 +222,7 @@
     /** What an ending client still waits for is given up: it is told so by its last words, or by the close. */
     private void cutOff(long now) {
         if (exchange == null || writing > 0 || last == null) {
-            endsAs(ClientEnd.NOT_READING);
+            endsAs(ClientCloseReason.NOT_READING);
             closed = true;
             connection.terminateSilently();
             return;
@@ -274,13 +274,13 @@
     /** Ends with its last words what waits for the rest of a message, where no request is held. */
     final void endUnfinished() {
         if (!closed && exchange == null && commands.isEmpty() && framer.pending() > 0) {
-            endsAs(ClientEnd.DRAINED);
+            endsAs(ClientCloseReason.DRAINED);
             end(lastWords("this proxy is ending, and the message was not finished"));
         }
     }
 
     /** Closes now, where no request is held, else after its answer, for this reason. */
-    final void drain(ClientEnd reason) {
+    final void drain(ClientCloseReason reason) {
         endsAs(reason);
         drain();
     }
@@ -347,7 +347,7 @@
     }
 
     protected final void close() {
-        endsAs(ClientEnd.QUIT);
+        endsAs(ClientCloseReason.QUIT);
         closed = true;
         deaf = true;
         connection.closeSilently();
@@ -375,7 +375,7 @@
 
     private void broken(String error) {
         front.counters.malformed++;
-        endsAs(ClientEnd.PROTOCOL_ERROR);
+        endsAs(ClientCloseReason.PROTOCOL_ERROR);
         end(lastWords(error));
     }
 
@@ -430,7 +430,7 @@
             @Override
             public void cut() {
                 // In the middle of a message: no client takes what it has for the whole.
-                endsAs(ClientEnd.ANSWER_BROKE_OFF);
+                endsAs(ClientCloseReason.ANSWER_BROKE_OFF);
                 exchange = null;
                 closed = true;
                 connection.terminateSilently();
--- a/src/main/java/mintstair/front/Front.java
+++ b/src/main/java/mintstair/front/Front.java
@@ -141,7 +141,7 @@
             first.turnAway();
         } else {
             counters.clientsIdledOut++;
-            first.drain(ClientEnd.IDLED_OUT);
+            first.drain(ClientCloseReason.IDLED_OUT);
         }
         return true;
     }
@@ -154,7 +154,7 @@
                 .min(Comparator.comparingLong(ClientSession::idleSince))
                 .ifPresent(idlest -> {
                     counters.clientsIdledOut++;
-                    idlest.drain(ClientEnd.IDLED_OUT);
+                    idlest.drain(ClientCloseReason.IDLED_OUT);
                 });
     }
 
@@ -248,7 +248,7 @@
     /** Drains: lets every client go that has no request here. */
     public void drain() {
         for (ClientSession session : List.copyOf(sessions)) {
-            session.drain(ClientEnd.DRAINED);
+            session.drain(ClientCloseReason.DRAINED);
         }
     }
 
--- a/src/main/java/mintstair/serve/Proxy.java
+++ b/src/main/java/mintstair/serve/Proxy.java
@@ -24,7 +24,7 @@
 import mintstair.config.NodeConfig;
 import mintstair.config.OperatorConfig;
 import mintstair.config.RegistryConfig;
-import mintstair.control.Calls;
+import mintstair.control.ControlCommands;
 import mintstair.control.ControlServer;
 import mintstair.discovery.Watch;
 import mintstair.discovery.pace.ListPace;
@@ -77,7 +77,7 @@
     private final EventLoop loop = new EventLoop();
     private final TCPNIOTransport transport;
     private volatile MetricsSnapshot figures = new MetricsSnapshot.Builder().build();
-    private final Calls calls = new Calls(() -> figures);
+    private final ControlCommands commands = new ControlCommands(() -> figures);
     private final HeapFloor heap = new HeapFloor();
     private ControlServer control;
     private int port;
@@ -152,7 +152,7 @@
         }
         SocketRetry.awaitSockets();
         if (config.control() != null) {
-            control = new ControlServer(calls);
+            control = new ControlServer(commands);
             int controlPort = SocketRetry.untilMade(() -> control.listen(config.control()));
             System.out.println("control on " + config.control().getHostString() + ":" + controlPort);
         }
@@ -218,7 +218,7 @@
         if (operator.store() != null) {
             startStore();
         }
-        calls.takesClients(true);
+        commands.takesClients(true);
     }
 
     /** Tells the others of this process, unless it ends already: whoever has told that it came has to tell that it goes. */
@@ -234,7 +234,7 @@
                     config.seed(),
                     loop::execute,
                     proxies -> services.forEach(service -> service.proxies(proxies))));
-            calls.members(membership::lines);
+            commands.members(membership::lines);
             membership.start();
         }
     }
@@ -327,7 +327,7 @@
                 service.counters,
                 list -> {});
         tried.loop.execute(tried::publish);
-        new ControlServer(tried.calls).listen(free);
+        new ControlServer(tried.commands).listen(free);
         tried.rehearse(free);
         int port = service.open(free, null);
         try (Socket client = new Socket("127.0.0.1", port)) {
@@ -407,7 +407,7 @@
             ends = true;
             clientsCame = serves;
         }
-        calls.takesClients(false);
+        commands.takesClients(false);
         if (membership != null) {
             membership.close();
         }
--- a/src/main/java/mintstair/wire/Intake.java
+++ b/src/main/java/mintstair/wire/ReadThrottle.java
@@ -7,7 +7,7 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /** Has a connection read no further while too much of what was read waits to be used: the rest waits in its socket. */
-public final class Intake {
+public final class ReadThrottle {
     private final Connection<?> connection;
     private final int most;
     private final int mostInNeed;
@@ -18,7 +18,7 @@
     private boolean ended;
 
     /** At most {@code most} bytes or so wait here, and {@code mostInNeed} where those of all are over {@code mostInAll}. */
-    public Intake(Connection<?> connection, int most, int mostInNeed, AtomicLong inAll, long mostInAll) {
+    public ReadThrottle(Connection<?> connection, int most, int mostInNeed, AtomicLong inAll, long mostInAll) {
         this.connection = connection;
         this.most = most;
         this.mostInNeed = mostInNeed;
