--- a/src/main/java/mintstair/discovery/Watch.java
+++ b/src/main/java/mintstair/discovery/EndpointWatch.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 import mintstair.config.Json;
 import mintstair.config.ListReader;
-import mintstair.discovery.pace.ListPace;
-import mintstair.discovery.pace.ListPace.Failure;
+import mintstair.discovery.pace.WatchPacing;
+import mintstair.discovery.pace.WatchPacing.Failure;
 import mintstair.proxy.EventLoop;
 import mintstair.request.EndpointList;
 import mintstair.stats.Counters;
@@ -37,10 +37,10 @@
 /**
  * Keeps a watch on discovery: the whole list first, then one call for changes after the other. The next call
  * must follow within 200 ms of an answer, or changes in between are lost; it follows at once. A line that says nothing for
- * longer than {@link ListPace} allows, breaks or says what cannot be read is given up for a next one; where the pace allows for it
+ * longer than {@link WatchPacing} allows, breaks or says what cannot be read is given up for a next one; where the pace allows for it
  * the next one is tried beside it, and whichever is heard first stays.
  */
-public final class Watch {
+public final class EndpointWatch {
     private static final int OK = 200;
     private static final int MOST_NAMED = 8;
     /**
@@ -57,7 +57,7 @@
     /** Those that may still be heard, oldest first. */
     private final ArrayDeque<Line> lines = new ArrayDeque<>();
 
-    private ListPace pace;
+    private WatchPacing pace;
     private long revision;
     /** Whether the last call was answered with what could be used. */
     private boolean sure;
@@ -70,12 +70,12 @@
     private boolean ended;
 
     /** Changes are asked for from {@code revision} on, or the whole list where that is below 0. */
-    public Watch(
+    public EndpointWatch(
             EventLoop loop,
             TCPNIOTransport transport,
             InetSocketAddress address,
             long revision,
-            ListPace pace,
+            WatchPacing pace,
             Counters counters,
             Consumer<EndpointList> told) {
         this.loop = loop;
@@ -94,7 +94,7 @@
     }
 
     /** Asks at this pace from now on; what is out is missing no later than by this pace; on the loop. */
-    public void pace(ListPace changed) {
+    public void pace(WatchPacing changed) {
         pace = changed;
         if (!lines.isEmpty()) {
             lines.peekLast().hurry();
--- a/src/main/java/mintstair/discovery/pace/JitteredBackoff.java
+++ b/src/main/java/mintstair/discovery/pace/JitteredBackoff.java
@@ -7,7 +7,7 @@
  * When a proxy calls discovery again after a call that was turned away, so that all proxies together do not come at once; without
  * I/O. The list is one service for all: calls wait there in turn, what has waited for too long is turned away, and the work for it
  * may be done all the same. So calls that failed together are to come apart, over a span that grows with what all proxies' calls
- * cost: their number times the lines of the list. But what a proxy has missed counts as told {@link ListPace#COUNTS} after the
+ * cost: their number times the lines of the list. But what a proxy has missed counts as told {@link WatchPacing#COUNTS} after the
  * service had it and could be reached, for a fleet of any size: the longest wait and the time for an answer fit into that. 120
  * proxies that were turned away together so make 30 calls a second for 4 s. A service that needs up to 33 ms for each keeps up with
  * them; one that needs more than 50 ms (6 s for 120) could not tell all of them in time in whatever order they came.
--- a/src/main/java/mintstair/discovery/pace/ListPace.java
+++ b/src/main/java/mintstair/discovery/pace/WatchPacing.java
@@ -11,7 +11,7 @@
  * call that waits for news, and the rest for asking anew. Where lists are asked for, one service answers all proxies: its calls
  * are spread by {@link JitteredBackoff} and wait for long. All times are microseconds. Not safe for use by several threads.
  */
-public final class ListPace {
+public final class WatchPacing {
     /** The grace where settings tell none, or one that no proxy could keep or that would leave a silent agent unnoticed. */
     static final long GRACE = 1_000_000;
 
@@ -60,7 +60,7 @@
     private final Backoff turnedAway;
     private final Backoff givenUp;
 
-    private ListPace(boolean pushed, long quarter, Backoff broken, Backoff turnedAway, Backoff givenUp) {
+    private WatchPacing(boolean pushed, long quarter, Backoff broken, Backoff turnedAway, Backoff givenUp) {
         this.pushed = pushed;
         this.quarter = quarter;
         this.broken = broken;
@@ -69,10 +69,10 @@
     }
 
     /** For an agent on the own machine; {@code grace} is what the settings leave for sending to a host that was told to leave. */
-    public static ListPace pushed(long grace, Random random) {
+    public static WatchPacing pushed(long grace, Random random) {
         long quarter = Math.max(GRACE_LEAST, Math.min(GRACE_MOST, grace > 0 ? grace : GRACE)) / 4;
         Backoff retries = new Backoff(random, AGAIN, quarter);
-        return new ListPace(true, quarter, retries, retries, retries);
+        return new WatchPacing(true, quarter, retries, retries, retries);
     }
 
     /**
@@ -80,9 +80,9 @@
      * so soon that its answer can be there within {@link #COUNTS}, whenever in the failed call or the wait after it the service
      * could be reached again.
      */
-    public static ListPace asked(int proxies, int lines, Random random) {
+    public static WatchPacing asked(int proxies, int lines, Random random) {
         JitteredBackoff jittered = new JitteredBackoff(proxies, lines, random);
-        return new ListPace(
+        return new WatchPacing(
                 false, 0, jittered.upTo(AGAIN_MOST), jittered.upTo(TURNED_AWAY_MOST), jittered.upTo(GIVEN_UP_MOST));
     }
 
--- a/src/main/java/mintstair/serve/ProtocolService.java
+++ b/src/main/java/mintstair/serve/ProtocolService.java
@@ -7,8 +7,8 @@
 import mintstair.backend.ConnectionPools;
 import mintstair.backend.Protocol;
 import mintstair.config.Env;
-import mintstair.discovery.Watch;
-import mintstair.discovery.pace.ListPace;
+import mintstair.discovery.EndpointWatch;
+import mintstair.discovery.pace.WatchPacing;
 import mintstair.front.Front;
 import mintstair.proxy.Dispatcher;
 import mintstair.proxy.EventLoop;
@@ -41,11 +41,11 @@
 
     private boolean told;
     private InetSocketAddress discovery;
-    private Watch watch;
+    private EndpointWatch watch;
     /** Whether it has told a list or changes. */
     private boolean spoken;
     /** The last one that did, at another address; null where there is none. */
-    private Watch former;
+    private EndpointWatch former;
 
     ProtocolService(
             EventLoop loop,
@@ -117,8 +117,8 @@
     }
 
     private void watch(long revision) {
-        Watch[] made = new Watch[1];
-        made[0] = new Watch(loop, transport, discovery, revision, pace(), counters, list -> {
+        EndpointWatch[] made = new EndpointWatch[1];
+        made[0] = new EndpointWatch(loop, transport, discovery, revision, pace(), counters, list -> {
             if (made[0] == watch) {
                 spoken = true;
                 if (former != null) {
@@ -133,8 +133,10 @@
         watch.start();
     }
 
-    private ListPace pace() {
-        return env.listPushed ? ListPace.pushed(env.drainGrace, random) : ListPace.asked(env.proxies, lines, random);
+    private WatchPacing pace() {
+        return env.listPushed
+                ? WatchPacing.pushed(env.drainGrace, random)
+                : WatchPacing.asked(env.proxies, lines, random);
     }
 
     /** Takes a list from elsewhere than discovery; on the loop. */
--- a/src/main/java/mintstair/serve/Proxy.java
+++ b/src/main/java/mintstair/serve/Proxy.java
@@ -26,8 +26,8 @@
 import mintstair.config.RegistryConfig;
 import mintstair.control.ControlCommands;
 import mintstair.control.ControlServer;
-import mintstair.discovery.Watch;
-import mintstair.discovery.pace.ListPace;
+import mintstair.discovery.EndpointWatch;
+import mintstair.discovery.pace.WatchPacing;
 import mintstair.front.Front;
 import mintstair.front.mongo.MongoFront;
 import mintstair.front.pg.PgFront;
@@ -318,12 +318,12 @@
                 16,
                 (dispatcher, counters) -> new PgFront(tried.loop, dispatcher, tried.transport, counters, 16));
         service.begin(null, config.known(), false);
-        new Watch(
+        new EndpointWatch(
                 tried.loop,
                 tried.transport,
                 config.discovery(),
                 -1,
-                ListPace.pushed(0, new Random(1)),
+                WatchPacing.pushed(0, new Random(1)),
                 service.counters,
                 list -> {});
         tried.loop.execute(tried::publish);
--- a/src/test/java/mintstair/discovery/AnswerEndsTest.java
+++ b/src/test/java/mintstair/discovery/AnswerEndsTest.java
@@ -15,7 +15,7 @@
 import java.util.Random;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicLong;
-import mintstair.discovery.pace.ListPace;
+import mintstair.discovery.pace.WatchPacing;
 import mintstair.program.Program;
 import mintstair.proxy.EventLoop;
 import mintstair.request.EndpointList;
@@ -66,7 +66,7 @@
         }
     }
 
-    private void watch(ListPace pace, Step... steps) {
+    private void watch(WatchPacing pace, Step... steps) {
         StandInHost.daemon(() -> {
             for (int n = 0; !server.isClosed(); n++) {
                 Step step = steps[Math.min(n, steps.length - 1)];
@@ -79,7 +79,7 @@
                 }
             }
         });
-        Watch watch = new Watch(
+        EndpointWatch watch = new EndpointWatch(
                 loop, transport, (InetSocketAddress) server.getLocalSocketAddress(), -1, pace, counters, told::add);
         loop.execute(watch::start);
     }
@@ -101,8 +101,8 @@
         }
     }
 
-    private static ListPace own() {
-        return ListPace.pushed(1_000_000, new Random(1));
+    private static WatchPacing own() {
+        return WatchPacing.pushed(1_000_000, new Random(1));
     }
 
     private static Step says(String text) {
@@ -178,7 +178,7 @@
     void answerWithoutEndIsCutOff() {
         AtomicLong written = new AtomicLong();
         watch(
-                ListPace.asked(3, 12, new Random(1)),
+                WatchPacing.asked(3, 12, new Random(1)),
                 (socket, out) -> {
                     byte[] more = " ".repeat(64 * 1024).getBytes(StandardCharsets.UTF_8);
                     out.write(NO_LENGTH.getBytes(StandardCharsets.UTF_8));
@@ -205,7 +205,7 @@
             socket.setSoLinger(true, 0);
             socket.close();
         };
-        watch(ListPace.asked(120, 120, new Random(1)), reset, reset, (socket, out) -> {
+        watch(WatchPacing.asked(120, 120, new Random(1)), reset, reset, (socket, out) -> {
             away.play(socket, out);
             // The next call comes on the same connection.
             while (socket.getInputStream().read() != '\n') {}
--- a/src/test/java/mintstair/discovery/WatchTest.java
+++ b/src/test/java/mintstair/discovery/EndpointWatchTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.BiFunction;
 import java.util.function.BooleanSupplier;
-import mintstair.discovery.pace.ListPace;
+import mintstair.discovery.pace.WatchPacing;
 import mintstair.program.Program;
 import mintstair.proxy.EventLoop;
 import mintstair.request.EndpointList;
@@ -20,7 +20,7 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransportBuilder;
 import org.junit.jupiter.api.Test;
 
-class WatchTest {
+class EndpointWatchTest {
     private static final String LIST = "{\"rev\":7,\"all\":true,\"targets\":[]}";
     private final List<String> asked = new CopyOnWriteArrayList<>();
     private final List<Integer> ports = new CopyOnWriteArrayList<>();
@@ -53,12 +53,12 @@
                 TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
         transport.start();
         try (EventLoop loop = new EventLoop()) {
-            Watch watch = new Watch(
+            EndpointWatch watch = new EndpointWatch(
                     loop,
                     transport,
                     server.getAddress(),
                     revision,
-                    ListPace.asked(3, lines, new Random(1)),
+                    WatchPacing.asked(3, lines, new Random(1)),
                     counters,
                     told::add);
             loop.execute(watch::start);
@@ -105,7 +105,7 @@
     /** Guards against a herd at another discovery, where no revision is known but how long lists are: its retries are spread too. */
     @Test
     void retriesAreSpreadByTheLinesOfAListAlsoWithoutARevision() throws Exception {
-        long wait = ListPace.asked(3, 60, new Random(1)).retry(ListPace.Failure.TURNED_AWAY);
+        long wait = WatchPacing.asked(3, 60, new Random(1)).retry(WatchPacing.Failure.TURNED_AWAY);
         assertTrue(wait > 200_000, "more than without lines");
         watch(-1, 60, (call, query) -> call == 1 ? null : LIST, () -> told.size() > 0);
         assertTrue(times.get(1) - times.get(0) >= (wait - 10_000) * 1000, (times.get(1) - times.get(0)) / 1000 + " us");
--- a/src/test/java/mintstair/discovery/pace/JitteredBackoffTest.java
+++ b/src/test/java/mintstair/discovery/pace/JitteredBackoffTest.java
@@ -48,7 +48,7 @@
             Random random = new Random(seed * 1000 + p);
             JitteredBackoff calls = new JitteredBackoff(proxies, LINES, random);
             first[p] = (long) (random.nextDouble() * 100_000);
-            retries.add(spread ? calls.upTo(ListPace.TURNED_AWAY_MOST) : new Backoff(random, 100_000, 2_000_000));
+            retries.add(spread ? calls.upTo(WatchPacing.TURNED_AWAY_MOST) : new Backoff(random, 100_000, 2_000_000));
         }
         return meanServed(proxies, first, retries);
     }
@@ -78,19 +78,19 @@
             // 120 at 30 ms each are 3.6 s of work; of more it can do no more in the time.
             long cost = Math.min(30_000, 3_600_000 / proxies);
             for (long seed = 0; seed < 20; seed++) {
-                for (ListPace.Failure why : ListPace.Failure.values()) {
+                for (WatchPacing.Failure why : WatchPacing.Failure.values()) {
                     int atOnce = 10 + (int) (2 * proxies * 100_000 / meanWait(why));
                     List<Long> calls = new ArrayList<>();
                     for (int p = 0; p < proxies; p++) {
                         calls.add(firstCallAfter(
-                                60_000_000, ListPace.asked(proxies, 120, new Random(seed * 5_000 + p)), why));
+                                60_000_000, WatchPacing.asked(proxies, 120, new Random(seed * 5_000 + p)), why));
                     }
                     calls.sort(null);
                     long free = 60_000_000;
                     for (int i = 0; i < proxies; i++) {
                         free = Math.max(free, calls.get(i)) + cost;
                         assertTrue(
-                                free < 60_000_000 + ListPace.COUNTS,
+                                free < 60_000_000 + WatchPacing.COUNTS,
                                 why + ": the " + i + "th of " + proxies + " after " + (free - 60_000_000) / 1e6 + " s");
                         // Within a tenth of a second no more than twice what comes in the mean of the waits, and some
                         // by chance.
@@ -103,21 +103,21 @@
         }
     }
 
-    private static double meanWait(ListPace.Failure why) {
-        ListPace pace = ListPace.asked(120, 120, new Random(1));
+    private static double meanWait(WatchPacing.Failure why) {
+        WatchPacing pace = WatchPacing.asked(120, 120, new Random(1));
         double sum = 0;
         for (int n = 0; n < 1_000; n++) {
-            sum += (why == ListPace.Failure.GIVEN_UP ? pace.missingAfter(0) : 0) + pace.retry(why);
+            sum += (why == WatchPacing.Failure.GIVEN_UP ? pace.missingAfter(0) : 0) + pace.retry(why);
         }
         return sum / 1_000;
     }
 
     /** When a proxy whose calls have failed since the beginning first calls once the service is back; that call is answered. */
-    private static long firstCallAfter(long back, ListPace pace, ListPace.Failure why) {
+    private static long firstCallAfter(long back, WatchPacing pace, WatchPacing.Failure why) {
         long at = 0;
         while (at < back) {
             // A call that was made before hears nothing, or at once that it has failed.
-            at += (why == ListPace.Failure.GIVEN_UP ? pace.missingAfter(0) : 0) + pace.retry(why);
+            at += (why == WatchPacing.Failure.GIVEN_UP ? pace.missingAfter(0) : 0) + pace.retry(why);
         }
         return at;
     }
@@ -137,7 +137,7 @@
     void spanFollowsProxiesAndLinesWithinBounds() {
         for (int i = 0; i < 100; i++) {
             assertTrue(new JitteredBackoff(3, 12, new Random(i))
-                            .upTo(ListPace.TURNED_AWAY_MOST)
+                            .upTo(WatchPacing.TURNED_AWAY_MOST)
                             .next()
                     < 300_000);
             Backoff retries = new JitteredBackoff(1000, 100_000, new Random(i)).upTo(2_000_000);
