--- a/src/main/java/mintstair/membership/Checks.java
+++ b/src/main/java/mintstair/membership/ConnectionChecker.java
@@ -19,7 +19,7 @@
  * A process that stands still is connected to by its kernel and says nothing; one that is gone is turned away. On the thread of the
  * member, without blocking it.
  */
-final class Checks {
+final class ConnectionChecker {
     /** Takes what came of a check. */
     interface Taker {
         void checked(long number, Swim.Check result);
@@ -56,7 +56,7 @@
     private final ServerSocketChannel listener;
     private final Set<Out> out = new LinkedHashSet<>();
 
-    Checks(Selector selector, String name, InetSocketAddress listen, Taker taker) throws IOException {
+    ConnectionChecker(Selector selector, String name, InetSocketAddress listen, Taker taker) throws IOException {
         this.selector = selector;
         this.name = name;
         this.taker = taker;
--- a/src/main/java/mintstair/membership/FleetMember.java
+++ b/src/main/java/mintstair/membership/FleetMember.java
@@ -16,10 +16,10 @@
 import mintstair.config.ConfigException;
 import mintstair.config.MembershipConfig;
 import mintstair.config.NodeConfig;
-import mintstair.membership.swim.FleetStanding;
+import mintstair.membership.swim.ClusterSizeEstimate;
+import mintstair.membership.swim.GossipUpdate;
 import mintstair.membership.swim.MemberState;
 import mintstair.membership.swim.Message;
-import mintstair.membership.swim.Rumour;
 import mintstair.membership.swim.Swim;
 import mintstair.membership.swim.SwimSettings;
 import mintstair.membership.swim.View;
@@ -39,7 +39,7 @@
     private final MessageCodec codec;
     private final Selector selector;
     private final DatagramChannel datagrams;
-    private final Checks checks;
+    private final ConnectionChecker checks;
     private final Swim swim;
     private final Consumer<View> told;
     private final Consumer<String> log;
@@ -87,7 +87,7 @@
     }
 
     /** Both sockets at their one port. */
-    private record Bound(DatagramChannel datagrams, Checks checks, int port) {}
+    private record Bound(DatagramChannel datagrams, ConnectionChecker checks, int port) {}
 
     /** A port that is free for datagrams may be taken for connections: where any port will do, others are tried. */
     private Bound bind(InetSocketAddress listen, String name) throws IOException {
@@ -98,7 +98,7 @@
                 channel.bind(listen);
                 port = ((InetSocketAddress) channel.getLocalAddress()).getPort();
                 InetSocketAddress both = new InetSocketAddress(listen.getAddress(), port);
-                return new Bound(channel, new Checks(selector, name, both, this::checked), port);
+                return new Bound(channel, new ConnectionChecker(selector, name, both, this::checked), port);
             } catch (IOException e) {
                 channel.close();
                 if (listen.getPort() != 0 || i == PORTS_TRIED) {
@@ -169,7 +169,7 @@
         }
         // Time first: a process that stood still has to know it before it hears what came meanwhile.
         long version = swim.version();
-        FleetStanding.Standing standing = swim.standing();
+        ClusterSizeEstimate.Standing standing = swim.standing();
         swim.tick(now());
         for (SelectionKey key : selector.selectedKeys()) {
             if (!key.isValid()) {
@@ -256,7 +256,7 @@
         }
 
         @Override
-        public void changed(Rumour known, MemberState before) {
+        public void changed(GossipUpdate known, MemberState before) {
             log.accept("membership: " + known.name() + " is "
                     + known.state().name().toLowerCase(Locale.ROOT)
                     + (known.by().equals(known.name()) ? "" : ", says " + known.by()));
@@ -290,7 +290,7 @@
                 .toString();
     }
 
-    private static StringBuilder line(StringBuilder lines, Rumour r) {
+    private static StringBuilder line(StringBuilder lines, GossipUpdate r) {
         return lines.append("member ")
                 .append(r.name())
                 .append(' ')
--- a/src/main/java/mintstair/membership/MessageCodec.java
+++ b/src/main/java/mintstair/membership/MessageCodec.java
@@ -9,20 +9,20 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import mintstair.membership.swim.GossipUpdate;
 import mintstair.membership.swim.MemberState;
 import mintstair.membership.swim.Message;
 import mintstair.membership.swim.Message.Ack;
 import mintstair.membership.swim.Message.Body;
-import mintstair.membership.swim.Message.Compare;
-import mintstair.membership.swim.Message.Fetch;
+import mintstair.membership.swim.Message.CompareDigests;
+import mintstair.membership.swim.Message.FetchUpdates;
+import mintstair.membership.swim.Message.GossipOnly;
 import mintstair.membership.swim.Message.Nack;
-import mintstair.membership.swim.Message.News;
 import mintstair.membership.swim.Message.Ping;
-import mintstair.membership.swim.Message.PingFor;
-import mintstair.membership.swim.Rumour;
+import mintstair.membership.swim.Message.PingRequest;
 
 /**
- * Messages as datagrams: a magic number with the version, the fleet's number, the sender, the kind and its fields, and the rumours.
+ * Messages as datagrams: a magic number with the version, the fleet's number, the sender, the kind and its fields, and the updates.
  * Whatever is not whole, not of this fleet or out of bounds is no message; nothing of it is taken in.
  */
 final class MessageCodec {
@@ -52,9 +52,9 @@
             out.writeInt(fleet);
             write(out, message.sender());
             write(out, message.body());
-            out.writeByte(message.rumours().size());
-            for (Rumour rumour : message.rumours()) {
-                write(out, rumour);
+            out.writeByte(message.updates().size());
+            for (GossipUpdate update : message.updates()) {
+                write(out, update);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -73,20 +73,20 @@
         } else if (body instanceof Nack nack) {
             out.writeByte(2);
             out.writeLong(nack.seq());
-        } else if (body instanceof PingFor ask) {
+        } else if (body instanceof PingRequest ask) {
             out.writeByte(3);
             out.writeLong(ask.seq());
             write(out, ask.target());
             write(out, ask.address());
-        } else if (body instanceof Compare compare) {
+        } else if (body instanceof CompareDigests compare) {
             out.writeByte(4);
             out.writeLong(compare.digest());
         } else {
-            out.writeByte(body instanceof Fetch ? 5 : 6);
+            out.writeByte(body instanceof FetchUpdates ? 5 : 6);
         }
     }
 
-    private static void write(DataOutputStream out, Rumour r) throws IOException {
+    private static void write(DataOutputStream out, GossipUpdate r) throws IOException {
         write(out, r.name());
         write(out, r.address());
         out.writeLong(r.incarnation());
@@ -107,14 +107,14 @@
             if (in.getInt() != MAGIC || in.getInt() != fleet) {
                 return null;
             }
-            Rumour sender = rumour(in);
+            GossipUpdate sender = update(in);
             Body body = body(in);
             int count = in.get() & 0xff;
-            List<Rumour> rumours = new ArrayList<>(count);
+            List<GossipUpdate> updates = new ArrayList<>(count);
             for (int i = 0; i < count; i++) {
-                rumours.add(rumour(in));
+                updates.add(update(in));
             }
-            return in.hasRemaining() || body == null ? null : new Message(sender, body, rumours);
+            return in.hasRemaining() || body == null ? null : new Message(sender, body, updates);
         } catch (BufferUnderflowException | IllegalArgumentException e) {
             return null;
         }
@@ -125,24 +125,24 @@
             case 0 -> new Ping(in.getLong(), text(in, NAME));
             case 1 -> new Ack(in.getLong());
             case 2 -> new Nack(in.getLong());
-            case 3 -> new PingFor(in.getLong(), text(in, NAME), text(in, ADDRESS));
-            case 4 -> new Compare(in.getLong());
-            case 5 -> new Fetch();
-            case 6 -> new News();
+            case 3 -> new PingRequest(in.getLong(), text(in, NAME), text(in, ADDRESS));
+            case 4 -> new CompareDigests(in.getLong());
+            case 5 -> new FetchUpdates();
+            case 6 -> new GossipOnly();
             default -> null;
         };
     }
 
-    private static Rumour rumour(ByteBuffer in) {
+    private static GossipUpdate update(ByteBuffer in) {
         String name = text(in, NAME);
         String address = text(in, ADDRESS);
         long incarnation = in.getLong();
         int state = in.get();
         long age = in.getInt() * 1_000_000L;
         if (incarnation < 0 || incarnation > MOST_INCARNATION || state < 0 || state >= STATES.length || age < 0) {
-            throw new IllegalArgumentException("no rumour");
+            throw new IllegalArgumentException("no update");
         }
-        return new Rumour(name, address, incarnation, STATES[state], age, text(in, NAME));
+        return new GossipUpdate(name, address, incarnation, STATES[state], age, text(in, NAME));
     }
 
     private static String text(ByteBuffer in, int most) {
--- a/src/main/java/mintstair/membership/swim/FleetStanding.java
+++ b/src/main/java/mintstair/membership/swim/ClusterSizeEstimate.java
@@ -5,7 +5,7 @@
  * are only kept if everyone who is settled is counted by everyone who is settled, whatever the network does; docs/design-membership.md
  * says why these rules give that.
  */
-public final class FleetStanding {
+public final class ClusterSizeEstimate {
     /** Whoever is cut off has noticed within this many times the spread of news after it is taken for dead. */
     private static final int DROP = 3;
 
@@ -26,7 +26,7 @@
     private long unsureUntil;
     private Standing newest;
 
-    FleetStanding(int told, long now) {
+    ClusterSizeEstimate(int told, long now) {
         expected = Math.max(1, told);
         largest = expected;
         unsureUntil = now;
--- a/src/main/java/mintstair/membership/swim/Gossip.java
+++ b/src/main/java/mintstair/membership/swim/Gossip.java
@@ -11,10 +11,10 @@
  * members; what has been told often enough is dropped.
  */
 final class Gossip {
-    /** What a rumour takes in a datagram beside its names. */
+    /** What a update takes in a datagram beside its names. */
     static final int RUMOUR_BYTES = 16;
 
-    private record Entry(Rumour rumour, int told, long order) {}
+    private record Entry(GossipUpdate update, int told, long order) {}
 
     private final Map<String, Entry> entries = new HashMap<>();
     private final TreeSet<Entry> queue = new TreeSet<>(
@@ -22,13 +22,13 @@
     private long orders;
 
     /** The newest news go first among those told as often. */
-    void add(Rumour rumour) {
-        put(new Entry(rumour, 0, orders++));
+    void add(GossipUpdate update) {
+        put(new Entry(update, 0, orders++));
     }
 
     private void put(Entry entry) {
-        remove(entry.rumour.name());
-        entries.put(entry.rumour.name(), entry);
+        remove(entry.update.name());
+        entries.put(entry.update.name(), entry);
         queue.add(entry);
     }
 
@@ -39,34 +39,34 @@
         }
     }
 
-    static int bytes(Rumour rumour) {
+    static int bytes(GossipUpdate update) {
         return RUMOUR_BYTES
-                + rumour.name().length()
-                + rumour.address().length()
-                + rumour.by().length();
+                + update.name().length()
+                + update.address().length()
+                + update.by().length();
     }
 
     /** As many as fit into so many bytes, each counted as told once more, and dropped after the {@code most}th time. */
-    List<Rumour> take(int bytes, int most) {
+    List<GossipUpdate> take(int bytes, int most) {
         List<Entry> taken = new ArrayList<>();
         int left = bytes;
         for (Entry entry : queue) {
-            left -= bytes(entry.rumour);
+            left -= bytes(entry.update);
             if (left < 0) {
                 break;
             }
             taken.add(entry);
         }
-        List<Rumour> rumours = new ArrayList<>(taken.size());
+        List<GossipUpdate> updates = new ArrayList<>(taken.size());
         for (Entry entry : taken) {
-            rumours.add(entry.rumour);
+            updates.add(entry.update);
             if (entry.told + 1 < most) {
-                put(new Entry(entry.rumour, entry.told + 1, entry.order));
+                put(new Entry(entry.update, entry.told + 1, entry.order));
             } else {
-                remove(entry.rumour.name());
+                remove(entry.update.name());
             }
         }
-        return rumours;
+        return updates;
     }
 
     int size() {
--- a/src/main/java/mintstair/membership/swim/Rumour.java
+++ b/src/main/java/mintstair/membership/swim/GossipUpdate.java
@@ -11,13 +11,13 @@
  *     everywhere at about the same time
  * @param by whoever suspects or declares it on evidence of its own; the member itself otherwise
  */
-public record Rumour(String name, String address, long incarnation, MemberState state, long age, String by) {
-    Rumour(String name, String address, long incarnation, MemberState state, String by) {
+public record GossipUpdate(String name, String address, long incarnation, MemberState state, long age, String by) {
+    GossipUpdate(String name, String address, long incarnation, MemberState state, String by) {
         this(name, address, incarnation, state, 0, by);
     }
 
-    Rumour aged(long now) {
-        return new Rumour(name, address, incarnation, state, now, by);
+    GossipUpdate aged(long now) {
+        return new GossipUpdate(name, address, incarnation, state, now, by);
     }
 
     /** A digest of who it is and its state, whoever told of it. */
@@ -28,7 +28,7 @@
     }
 
     /** Whether this replaces what is known: a higher incarnation, or worse news at the same one. */
-    public boolean overrides(Rumour known) {
+    public boolean overrides(GossipUpdate known) {
         return known == null
                 || incarnation > known.incarnation
                 || incarnation == known.incarnation && state.compareTo(known.state) > 0;
--- a/src/main/java/mintstair/membership/swim/Member.java
+++ b/src/main/java/mintstair/membership/swim/Member.java
@@ -5,7 +5,7 @@
 
 /** One other member, as known here. */
 final class Member {
-    Rumour known;
+    GossipUpdate known;
     /** When its state became what it is. */
     long since;
     /** Of a suspect: those who suspect it on evidence of their own, and how many of them shorten the time. */
@@ -21,7 +21,7 @@
     /** Of a dead one: it no longer counts, as it must have noticed by now if it is only cut off. */
     boolean dropped;
 
-    Member(Rumour known, long now) {
+    Member(GossipUpdate known, long now) {
         this.known = known;
         since = now;
     }
--- a/src/main/java/mintstair/membership/swim/MemberTable.java
+++ b/src/main/java/mintstair/membership/swim/MemberTable.java
@@ -37,7 +37,7 @@
     }
 
     /** Takes in what is told of a member that is not this one. */
-    void take(long now, Rumour r) {
+    void take(long now, GossipUpdate r) {
         Member m = members.get(r.name());
         if (m == null) {
             add(now, r);
@@ -46,7 +46,8 @@
                     now,
                     m,
                     stale(m, r)
-                            ? new Rumour(r.name(), m.known.address(), r.incarnation(), MemberState.SUSPECT, r.by())
+                            ? new GossipUpdate(
+                                    r.name(), m.known.address(), r.incarnation(), MemberState.SUSPECT, r.by())
                             : r);
         } else if (m.state() == MemberState.SUSPECT
                 && r.state() == MemberState.SUSPECT
@@ -62,11 +63,11 @@
      * Another's view tells of a death that is old there and news here: it was on the far side of a cut, and all of this side are dead to
      * it. Such a one may refute first.
      */
-    private boolean stale(Member m, Rumour r) {
+    private boolean stale(Member m, GossipUpdate r) {
         return r.state() == MemberState.DEAD && r.age() > settings.spread(known()) && isIn(m);
     }
 
-    private void add(long now, Rumour r) {
+    private void add(long now, GossipUpdate r) {
         if (r.age() > settings.kept() / 2) {
             return;
         }
@@ -80,7 +81,7 @@
         settle(now, m, null);
     }
 
-    private void replace(long now, Member m, Rumour r) {
+    private void replace(long now, Member m, GossipUpdate r) {
         MemberState before = m.state();
         if (r.state() == MemberState.ALIVE) {
             refuted += before == MemberState.SUSPECT ? 1 : 0;
@@ -101,7 +102,7 @@
 
     private void settle(long now, Member m, MemberState before) {
         version++;
-        Rumour r = m.known;
+        GossipUpdate r = m.known;
         if (before != r.state()) {
             m.since = now - r.age();
         }
@@ -167,7 +168,7 @@
     }
 
     /** No longer counts those that must have noticed by now that they are cut off, if they run. */
-    void drop(long now, FleetStanding standing, long spread) {
+    void drop(long now, ClusterSizeEstimate standing, long spread) {
         silent.removeIf(m -> m.dropped = standing.drops(now, m.silentSince, spread));
     }
 
@@ -194,9 +195,9 @@
     }
 
     /** All that is told, in pages that each fit a datagram. */
-    List<List<Rumour>> pages(long now) {
-        List<List<Rumour>> pages = new ArrayList<>();
-        List<Rumour> page = new ArrayList<>();
+    List<List<GossipUpdate>> pages(long now) {
+        List<List<GossipUpdate>> pages = new ArrayList<>();
+        List<GossipUpdate> page = new ArrayList<>();
         int bytes = 0;
         for (Member m : members.values()) {
             if (told(now, m)) {
--- a/src/main/java/mintstair/membership/swim/Message.java
+++ b/src/main/java/mintstair/membership/swim/Message.java
@@ -6,9 +6,9 @@
  * What members tell each other.
  *
  * @param sender the sender's own state, with which it is known to whoever hears it
- * @param rumours news that ride along
+ * @param updates news that ride along
  */
-public record Message(Rumour sender, Body body, List<Rumour> rumours) {
+public record Message(GossipUpdate sender, Body body, List<GossipUpdate> updates) {
     /** What the message is for; {@code seq} is the asker's own number of the question. */
     public sealed interface Body {}
 
@@ -22,14 +22,14 @@
     public record Nack(long seq) implements Body {}
 
     /** Ping this one for me. */
-    public record PingFor(long seq, String target, String address) implements Body {}
+    public record PingRequest(long seq, String target, String address) implements Body {}
 
     /** The digest of all that I know; where yours differs, tell me yours and ask for mine. */
-    public record Compare(long digest) implements Body {}
+    public record CompareDigests(long digest) implements Body {}
 
-    /** Mine differs from yours: what I know comes as {@link News}, and I wish for yours. */
-    public record Fetch() implements Body {}
+    /** Mine differs from yours: what I know comes as {@link GossipOnly}, and I wish for yours. */
+    public record FetchUpdates() implements Body {}
 
     /** Rumours alone. */
-    public record News() implements Body {}
+    public record GossipOnly() implements Body {}
 }
--- a/src/main/java/mintstair/membership/swim/Swim.java
+++ b/src/main/java/mintstair/membership/swim/Swim.java
@@ -6,12 +6,12 @@
 import java.util.Random;
 import mintstair.membership.swim.Message.Ack;
 import mintstair.membership.swim.Message.Body;
-import mintstair.membership.swim.Message.Compare;
-import mintstair.membership.swim.Message.Fetch;
+import mintstair.membership.swim.Message.CompareDigests;
+import mintstair.membership.swim.Message.FetchUpdates;
+import mintstair.membership.swim.Message.GossipOnly;
 import mintstair.membership.swim.Message.Nack;
-import mintstair.membership.swim.Message.News;
 import mintstair.membership.swim.Message.Ping;
-import mintstair.membership.swim.Message.PingFor;
+import mintstair.membership.swim.Message.PingRequest;
 
 /**
  * One member of the fleet. It is told of time and messages and says what to send; what it knows it keeps in a table of members that
@@ -26,7 +26,7 @@
         void check(long number, String target, String address);
 
         /** A member's state became another; {@code known} is what is known now. */
-        void changed(Rumour known, MemberState before);
+        void changed(GossipUpdate known, MemberState before);
     }
 
     /** What came of a connection to a member's address. */
@@ -44,12 +44,12 @@
 
     static final int PAGE = 1_200;
     /** At most so many pings for others are out at a time; one more is not sent on, and the asker gets no nack. */
-    private static final int MOST_ERRANDS = 1_024;
+    private static final int MAX_RELAYED_PROBES = 1_024;
     /** Whole views go out no oftener than this part of the time between comparisons. */
     private static final int SHARE_OF_COMPARES = 8;
 
     /** A ping for another: whom to tell, under which number, and by when a nack is due. */
-    private record Errand(String askerAddress, long askerSeq, long due) {}
+    private record RelayedProbe(String askerAddress, long askerSeq, long due) {}
 
     private final SwimSettings settings;
     private final Actions actions;
@@ -57,10 +57,10 @@
     private final List<String> seeds;
     private final Gossip gossip = new Gossip();
     private final MemberTable members;
-    private final FleetStanding standing;
+    private final ClusterSizeEstimate standing;
     private final ProbeOrder order;
-    private final Map<Long, Errand> errands = new HashMap<>();
-    private Rumour self;
+    private final Map<Long, RelayedProbe> relayedProbes = new HashMap<>();
+    private GossipUpdate self;
     private Probe probe;
     private long seq;
     private long incarnations;
@@ -93,8 +93,8 @@
         random = new Random(seed);
         order = new ProbeOrder(random);
         members = new MemberTable(settings, gossip, order, actions);
-        self = new Rumour(name, address, now, MemberState.ALIVE, name);
-        standing = new FleetStanding(settings.told(), now);
+        self = new GossipUpdate(name, address, now, MemberState.ALIVE, name);
+        standing = new ClusterSizeEstimate(settings.told(), now);
         standing.unsure(now, settings.spread(settings.told()));
         // Those that start together do not all ask at once.
         nextProbe = now + (long) (random.nextDouble() * settings.period());
@@ -146,7 +146,7 @@
         }
         stalls++;
         probe = null;
-        errands.clear();
+        relayedProbes.clear();
         members.extend(late);
         standing.unsure(now, spread());
     }
@@ -183,7 +183,7 @@
                 members.names(),
                 settings.helpers(),
                 name -> !name.equals(p.target) && members.is(name, MemberState.ALIVE))) {
-            send(members.in(helper).known.address(), new PingFor(p.seq, p.target, target.known.address()), null);
+            send(members.in(helper).known.address(), new PingRequest(p.seq, p.target, target.known.address()), null);
         }
         actions.check(p.seq, p.target, target.known.address());
     }
@@ -205,7 +205,7 @@
             }
             take(
                     now,
-                    new Rumour(
+                    new GossipUpdate(
                             m.known.name(),
                             m.known.address(),
                             m.known.incarnation(),
@@ -217,7 +217,7 @@
     }
 
     private void nackLate(long now) {
-        errands.values().removeIf(e -> {
+        relayedProbes.values().removeIf(e -> {
             boolean late = now >= e.due;
             if (late) {
                 send(e.askerAddress, new Nack(e.askerSeq), null);
@@ -230,7 +230,7 @@
         for (Member m : members.due(now)) {
             take(
                     now,
-                    new Rumour(
+                    new GossipUpdate(
                             m.known.name(), m.known.address(), m.known.incarnation(), MemberState.DEAD, self.name()));
         }
     }
@@ -244,14 +244,16 @@
         if (with.isEmpty()) {
             // Nobody there yet, or all are gone: the seeds, until one answers.
             nextCompare = now + settings.period();
-            seeds.stream().filter(s -> !s.equals(self.address())).forEach(s -> send(s, new Compare(digest(now)), null));
+            seeds.stream()
+                    .filter(s -> !s.equals(self.address()))
+                    .forEach(s -> send(s, new CompareDigests(digest(now)), null));
         } else {
-            send(members.any(with.get(0)).known.address(), new Compare(digest(now)), null);
+            send(members.any(with.get(0)).known.address(), new CompareDigests(digest(now)), null);
         }
         // Of two halves that took each other for dead somebody has to ask across; all members together ask one a period
         // or so.
         for (String dead : order.few(members.names(), 1, name -> members.is(name, MemberState.DEAD))) {
-            send(members.any(dead).known.address(), new Compare(digest(now)), members.any(dead).known);
+            send(members.any(dead).known.address(), new CompareDigests(digest(now)), members.any(dead).known);
         }
     }
 
@@ -265,7 +267,7 @@
             return;
         }
         lastPage = now;
-        members.pages(now).forEach(page -> deliver(address, new News(), page));
+        members.pages(now).forEach(page -> deliver(address, new GossipOnly(), page));
     }
 
     // ---- messages ----
@@ -280,7 +282,7 @@
         }
         heard++;
         take(now, message.sender());
-        message.rumours().forEach(r -> take(now, r));
+        message.updates().forEach(r -> take(now, r));
         String from = message.sender().address();
         Body body = message.body();
         if (body instanceof Ping ping) {
@@ -293,14 +295,14 @@
             if (probe != null && probe.seq == nack.seq()) {
                 probe.nacks++;
             }
-        } else if (body instanceof PingFor ask) {
-            errand(now, from, ask);
-        } else if (body instanceof Compare compare) {
+        } else if (body instanceof PingRequest ask) {
+            relayedProbe(now, from, ask);
+        } else if (body instanceof CompareDigests compare) {
             if (compare.digest() != digest(now)) {
-                send(from, new Fetch(), null);
+                send(from, new FetchUpdates(), null);
                 tellAll(now, from);
             }
-        } else if (body instanceof Fetch) {
+        } else if (body instanceof FetchUpdates) {
             tellAll(now, from);
         }
         if (version() != before) {
@@ -322,31 +324,31 @@
         }
     }
 
-    private Rumour suspicionOf(String name) {
+    private GossipUpdate suspicionOf(String name) {
         Member m = members.any(name);
         return m != null && m.state() != MemberState.ALIVE ? m.known : null;
     }
 
-    private void errand(long now, String from, PingFor ask) {
-        if (errands.size() >= MOST_ERRANDS) {
+    private void relayedProbe(long now, String from, PingRequest ask) {
+        if (relayedProbes.size() >= MAX_RELAYED_PROBES) {
             turnedAway++;
             return;
         }
         long number = seq++;
-        errands.put(number, new Errand(from, ask.seq(), now + settings.answerWithin()));
+        relayedProbes.put(number, new RelayedProbe(from, ask.seq(), now + settings.answerWithin()));
         send(ask.address(), new Ping(number, ask.target()), null);
     }
 
     private void acked(long number) {
-        Errand errand = errands.remove(number);
-        if (errand != null) {
-            send(errand.askerAddress, new Ack(errand.askerSeq), null);
+        RelayedProbe relayedProbe = relayedProbes.remove(number);
+        if (relayedProbe != null) {
+            send(relayedProbe.askerAddress, new Ack(relayedProbe.askerSeq), null);
         } else if (probe != null && probe.seq == number) {
             probe.answered = true;
         }
     }
 
-    private void take(long now, Rumour r) {
+    private void take(long now, GossipUpdate r) {
         if (r.name().equals(self.name())) {
             ofSelf(now, r);
         } else {
@@ -358,7 +360,7 @@
      * What is told of this member itself and is not so is refuted; an old process of the same name was another one. A newer one at
      * another address is a mistake of whoever named them, and would be refuted without end: this one yields and takes no part.
      */
-    private void ofSelf(long now, Rumour r) {
+    private void ofSelf(long now, GossipUpdate r) {
         boolean mine = r.state() == MemberState.ALIVE && r.address().equals(self.address());
         if (r.incarnation() < self.incarnation() || mine && r.incarnation() == self.incarnation()) {
             return;
@@ -370,22 +372,22 @@
         }
         refutations++;
         slow = Math.min(settings.slowMost() - 1, slow + 1);
-        self = new Rumour(self.name(), self.address(), r.incarnation() + 1, MemberState.ALIVE, self.name());
+        self = new GossipUpdate(self.name(), self.address(), r.incarnation() + 1, MemberState.ALIVE, self.name());
         incarnations++;
         gossip.add(self);
     }
 
-    private void send(String address, Body body, Rumour first) {
-        List<Rumour> riders = gossip.take(RIDERS, settings.tellings(members.size()));
+    private void send(String address, Body body, GossipUpdate first) {
+        List<GossipUpdate> riders = gossip.take(RIDERS, settings.tellings(members.size()));
         if (first != null) {
             riders.add(0, first);
         }
         deliver(address, body, riders);
     }
 
-    private void deliver(String address, Body body, List<Rumour> rumours) {
+    private void deliver(String address, Body body, List<GossipUpdate> updates) {
         sent++;
-        actions.send(address, new Message(self, body, rumours));
+        actions.send(address, new Message(self, body, updates));
     }
 
     // ---- what it comes to ----
@@ -395,11 +397,11 @@
         if (left) {
             return;
         }
-        self = new Rumour(self.name(), self.address(), self.incarnation(), MemberState.LEFT, self.name());
+        self = new GossipUpdate(self.name(), self.address(), self.incarnation(), MemberState.LEFT, self.name());
         gossip.add(self);
         for (String name :
                 order.few(members.names(), settings.tellings(members.size()), n -> members.is(n, MemberState.ALIVE))) {
-            send(members.any(name).known.address(), new News(), null);
+            send(members.any(name).known.address(), new GossipOnly(), null);
         }
         left = true;
     }
@@ -413,7 +415,7 @@
         standing.assess(now, members.alive(), members.may(), spread());
     }
 
-    public FleetStanding.Standing standing() {
+    public ClusterSizeEstimate.Standing standing() {
         return standing.newest();
     }
 
--- a/src/main/java/mintstair/membership/swim/View.java
+++ b/src/main/java/mintstair/membership/swim/View.java
@@ -10,9 +10,9 @@
  * @param members the others, by name
  * @param standing what follows from it
  */
-public record View(long version, Rumour self, List<Seen> members, FleetStanding.Standing standing) {
+public record View(long version, GossipUpdate self, List<Seen> members, ClusterSizeEstimate.Standing standing) {
     /** @param since when its state became what it is; {@code dropped}: a dead one that no longer counts as one that may run */
-    public record Seen(Rumour known, long since, boolean dropped) {}
+    public record Seen(GossipUpdate known, long since, boolean dropped) {}
 
     /**
      * What happened since the start.
@@ -22,7 +22,7 @@
      * @param falseDeaths members declared dead that told later, at the next incarnation, that they had lived
      * @param deaths suspects that became dead, and {@code untilDeaths} the time from the one to the other, of all together
      * @param refutations suspicions of itself that this member refuted
-     * @param turnedAway members and errands for which there was no room
+     * @param turnedAway members and relayedProbes for which there was no room
      * @param namesakes tellings of another, newer process of this one's name
      * @param stalls times that it stood still for over a period
      */
--- a/src/main/java/mintstair/serve/MembershipKeeper.java
+++ b/src/main/java/mintstair/serve/MembershipKeeper.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import mintstair.config.MembershipConfig;
 import mintstair.membership.FleetMember;
-import mintstair.membership.swim.FleetStanding;
+import mintstair.membership.swim.ClusterSizeEstimate;
 import mintstair.membership.swim.MemberState;
 import mintstair.membership.swim.View;
 import mintstair.routing.RouterEvent;
@@ -40,7 +40,7 @@
     }
 
     private void told(View view) {
-        FleetStanding.Standing s = view.standing();
+        ClusterSizeEstimate.Standing s = view.standing();
         if (waiting.getAndSet(new RouterEvent.FleetSizeChanged(s.largest(), s.counted(), s.settled())) == null) {
             loop.execute(() -> proxies.accept(waiting.getAndSet(null)));
         }
@@ -81,7 +81,7 @@
     /** What is shared is left to the others before they are told that this one ends. */
     @Override
     public void close() {
-        FleetStanding.Standing s = member.view().standing();
+        ClusterSizeEstimate.Standing s = member.view().standing();
         loop.execute(() -> proxies.accept(new RouterEvent.FleetSizeChanged(s.largest(), s.counted(), false)));
         member.close();
     }
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -10,7 +10,7 @@
 import mintstair.decision.SplitterApi.HostState;
 import mintstair.decision.SplitterApi.Role;
 import mintstair.membership.FleetPlay;
-import mintstair.membership.swim.FleetStanding.Standing;
+import mintstair.membership.swim.ClusterSizeEstimate.Standing;
 import org.junit.jupiter.api.Test;
 
 /** What routers that know of each other take of the bounds that they share, while the fleet breaks and heals. */
--- a/src/test/java/mintstair/membership/ChecksTest.java
+++ b/src/test/java/mintstair/membership/ConnectionCheckerTest.java
@@ -13,7 +13,7 @@
 import mintstair.membership.swim.Swim;
 import org.junit.jupiter.api.Test;
 
-class ChecksTest {
+class ConnectionCheckerTest {
     /** Guards against a fleet of which most go at once: a check that is not begun makes a killed process a lost machine. */
     @Test
     void thousandChecksAreOutAtOnceAndNoMoreThanThat() throws IOException {
@@ -21,7 +21,8 @@
         Map<Long, Swim.Check> results = new HashMap<>();
         try (Selector selector = Selector.open();
                 ServerSocket mute = new ServerSocket(0, 2_000, local)) {
-            Checks checks = new Checks(selector, "me", new InetSocketAddress(local, 0), results::put);
+            ConnectionChecker checks =
+                    new ConnectionChecker(selector, "me", new InetSocketAddress(local, 0), results::put);
             InetSocketAddress address = new InetSocketAddress(local, mute.getLocalPort());
             for (long i = 0; i < 1_024; i++) {
                 checks.begin(0, i, "other", address);
--- a/src/test/java/mintstair/membership/FleetPlay.java
+++ b/src/test/java/mintstair/membership/FleetPlay.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
+import mintstair.membership.swim.GossipUpdate;
 import mintstair.membership.swim.MemberState;
 import mintstair.membership.swim.Message;
-import mintstair.membership.swim.Rumour;
 import mintstair.membership.swim.Swim;
 import mintstair.membership.swim.SwimSettings;
 import mintstair.membership.swim.View;
@@ -90,7 +90,7 @@
         }
 
         @Override
-        public void changed(Rumour known, MemberState before) {
+        public void changed(GossipUpdate known, MemberState before) {
             int of = Integer.parseInt(known.address());
             if (known.state() == MemberState.DEAD) {
                 Node dead = nodes.get(of);
--- a/src/test/java/mintstair/membership/MessageCodecTest.java
+++ b/src/test/java/mintstair/membership/MessageCodecTest.java
@@ -10,34 +10,34 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
+import mintstair.membership.swim.GossipUpdate;
 import mintstair.membership.swim.MemberState;
 import mintstair.membership.swim.Message;
 import mintstair.membership.swim.Message.Body;
-import mintstair.membership.swim.Rumour;
 import org.junit.jupiter.api.Test;
 
 class MessageCodecTest {
     private final MessageCodec codec = new MessageCodec("fleet");
-    private static final Rumour SELF = rumour("a", 7, MemberState.ALIVE, 0);
+    private static final GossipUpdate SELF = update("a", 7, MemberState.ALIVE, 0);
 
-    private static Rumour rumour(String name, long incarnation, MemberState state, long age) {
-        return new Rumour(name, "127.0.0.1:7946", incarnation, state, age, "b");
+    private static GossipUpdate update(String name, long incarnation, MemberState state, long age) {
+        return new GossipUpdate(name, "127.0.0.1:7946", incarnation, state, age, "b");
     }
 
     private static List<Message> all() {
-        List<Rumour> rumours = List.of(
-                rumour("x", 1_800_000_000_000_000L, MemberState.SUSPECT, 0),
-                rumour("y", 0, MemberState.LEFT, 5_000_000));
+        List<GossipUpdate> updates = List.of(
+                update("x", 1_800_000_000_000_000L, MemberState.SUSPECT, 0),
+                update("y", 0, MemberState.LEFT, 5_000_000));
         List<Message> all = new ArrayList<>();
         for (Body body : List.of(
                 new Message.Ping(3, "x"),
                 new Message.Ack(-1),
                 new Message.Nack(4),
-                new Message.PingFor(5, "x", "h:1"),
-                new Message.Compare(-9),
-                new Message.Fetch(),
-                new Message.News())) {
-            all.add(new Message(SELF, body, rumours));
+                new Message.PingRequest(5, "x", "h:1"),
+                new Message.CompareDigests(-9),
+                new Message.FetchUpdates(),
+                new Message.GossipOnly())) {
+            all.add(new Message(SELF, body, updates));
             all.add(new Message(SELF, body, List.of()));
         }
         return all;
@@ -69,13 +69,15 @@
     void rumoursOutOfBoundsAreRefused() {
         for (long incarnation : new long[] {-1, Long.MAX_VALUE, Long.MAX_VALUE - 5}) {
             Message message =
-                    new Message(SELF, new Message.News(), List.of(rumour("x", incarnation, MemberState.DEAD, 0)));
+                    new Message(SELF, new Message.GossipOnly(), List.of(update("x", incarnation, MemberState.DEAD, 0)));
             assertNull(codec.decode(ByteBuffer.wrap(codec.encode(message))));
         }
         assertNull(codec.decode(ByteBuffer.wrap(
-                codec.encode(new Message(rumour("", 1, MemberState.ALIVE, 0), new Message.News(), List.of())))));
+                codec.encode(new Message(update("", 1, MemberState.ALIVE, 0), new Message.GossipOnly(), List.of())))));
         assertNull(codec.decode(ByteBuffer.wrap(codec.encode(new Message(
-                rumour("n".repeat(MessageCodec.NAME + 1), 1, MemberState.ALIVE, 0), new Message.News(), List.of())))));
+                update("n".repeat(MessageCodec.NAME + 1), 1, MemberState.ALIVE, 0),
+                new Message.GossipOnly(),
+                List.of())))));
     }
 
     /** A name with a line's end would forge lines of the log and of the members command; one beyond ASCII overflows a page. */
@@ -83,7 +85,7 @@
     void namesOfOtherThanPrintableAsciiAreRefused() {
         for (String name : List.of("a\nmember b alive", "a b", "a\u0000", "\u00e4")) {
             byte[] bytes = codec.encode(new Message(
-                    rumour("x".repeat(name.length()), 1, MemberState.ALIVE, 0), new Message.News(), List.of()));
+                    update("x".repeat(name.length()), 1, MemberState.ALIVE, 0), new Message.GossipOnly(), List.of()));
             byte[] put = name.getBytes(StandardCharsets.ISO_8859_1);
             System.arraycopy(put, 0, bytes, 9, put.length);
             assertNull(codec.decode(ByteBuffer.wrap(bytes)), name);
--- a/src/test/java/mintstair/membership/SwimTest.java
+++ b/src/test/java/mintstair/membership/SwimTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import mintstair.membership.swim.GossipUpdate;
 import mintstair.membership.swim.MemberState;
 import mintstair.membership.swim.Message;
-import mintstair.membership.swim.Rumour;
 import mintstair.membership.swim.SwimSettings;
 import mintstair.membership.swim.View;
 import org.junit.jupiter.api.Test;
@@ -67,8 +67,8 @@
         FleetPlay play = new FleetPlay(1_024, 1_024, 0, 42);
         play.start(play.nodes.get(0));
         for (int i = 1; i < 1_024; i++) {
-            Rumour alive = new Rumour("p" + i, "" + i, play.now, MemberState.ALIVE, 0, "p" + i);
-            play.nodes.get(0).swim.received(play.now, new Message(alive, new Message.News(), List.of()));
+            GossipUpdate alive = new GossipUpdate("p" + i, "" + i, play.now, MemberState.ALIVE, 0, "p" + i);
+            play.nodes.get(0).swim.received(play.now, new Message(alive, new Message.GossipOnly(), List.of()));
         }
         assertEquals(1_023, play.nodes.get(0).view().members().size());
         play.start(play.nodes.get(1));
