--- a/src/main/java/mintstair/adapter/Wire.java
+++ b/src/main/java/mintstair/adapter/Wire.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import mintstair.config.ConfigException;
-import mintstair.config.Env;
+import mintstair.config.InstanceSettings;
 import mintstair.config.Json;
 import mintstair.decision.ReadWriteSplitter;
 import mintstair.decision.SplitterApi;
@@ -30,7 +30,7 @@
     private static final int SLOTS = 16;
 
     /** One router: its module and what translates for it; nothing is shared between two of them. */
-    private record Instance(SplitterApi.Router router, Env env) {}
+    private record Instance(SplitterApi.Router router, InstanceSettings env) {}
 
     private final JsonParser in;
     private final OutputStream out;
@@ -103,7 +103,7 @@
             int group = (int) number(0);
             HostState state = state(text());
             double size = number(1);
-            rows.add(new HostEntry(host, primary, zone, group, state, size, Env.toMicros(number(0))));
+            rows.add(new HostEntry(host, primary, zone, group, state, size, InstanceSettings.toMicros(number(0))));
             finishArray(2);
         }
         lists.set(slot, rows);
@@ -117,9 +117,9 @@
     }
 
     private boolean putNew(int who, long seed, Map<?, ?> map) {
-        Env env;
+        InstanceSettings env;
         try {
-            env = new Env(map);
+            env = new InstanceSettings(map);
         } catch (ConfigException e) {
             throw new WireException(e.getMessage());
         }
@@ -159,7 +159,7 @@
         int group = (int) number(0);
         number(0);
         String tenant = string();
-        long patience = Env.toMicros(number(0));
+        long patience = InstanceSettings.toMicros(number(0));
         double tokenMs = number(0);
         Integer tenantIndex = tenant == null ? null : to.env.tenants.get(tenant);
         to.router.onRequest(
@@ -181,7 +181,7 @@
         int attempt = (int) whole();
         String host = text();
         Ending ending = ending(text());
-        long latency = Env.toMicros(number(0));
+        long latency = InstanceSettings.toMicros(number(0));
         boolean finished = in.nextToken() == JsonToken.VALUE_TRUE;
         long mark = (long) number(0);
         Role role = (mark & 3) == 1 ? Role.PRIMARY : (mark & 3) == 2 ? Role.REPLICA : Role.UNTOLD;
@@ -192,12 +192,12 @@
     private void pingResult() throws IOException {
         Instance to = instance();
         Ending ending = ending(text());
-        long latency = Env.toMicros(number(0));
+        long latency = InstanceSettings.toMicros(number(0));
         String host = text();
         to.router.onProbed(now, host, ending, latency, report(to.env));
     }
 
-    private Report report(Env env) throws IOException {
+    private Report report(InstanceSettings env) throws IOException {
         JsonToken t = in.nextToken();
         if (t != JsonToken.START_ARRAY) {
             require(t == JsonToken.VALUE_NULL, "a report must be an array or null");
@@ -209,7 +209,7 @@
         for (t = in.nextToken(); t != JsonToken.END_ARRAY && t != null; t = in.nextToken(), i++) {
             Object field = i < env.reportFields.size() ? env.reportFields.get(i) : "";
             if (t.isNumeric() && field.equals("x0")) {
-                position = env.positionZero + Env.toMicros(in.getDoubleValue());
+                position = env.positionZero + InstanceSettings.toMicros(in.getDoubleValue());
             } else if (t.isNumeric() && field.equals("x1")) {
                 role = in.getDoubleValue() == 1 ? Role.PRIMARY : Role.REPLICA;
             }
@@ -250,7 +250,7 @@
 
     private long time() throws IOException {
         require(in.nextToken().isNumeric(), "a time must be a number");
-        return Env.toMicros(in.getDoubleValue());
+        return InstanceSettings.toMicros(in.getDoubleValue());
     }
 
     private long whole() throws IOException {
--- a/src/main/java/mintstair/config/Env.java
+++ b/src/main/java/mintstair/config/InstanceSettings.java
@@ -15,7 +15,7 @@
 import mintstair.decision.SplitterApi.Tenant;
 
 /** The start-up settings of one instance: from the wire's object to the module's records. */
-public final class Env {
+public final class InstanceSettings {
     public final Settings settings;
     public final Map<String, Integer> classes = new LinkedHashMap<>();
     /** How many proxies share the hosts and their list, this one included. */
@@ -33,7 +33,7 @@
     /** A connection that is not up by then counts as never made, in microseconds. */
     public final long connectTimeout;
 
-    public Env(Map<?, ?> env) {
+    public InstanceSettings(Map<?, ?> env) {
         Map<?, ?> info = map(env, "familyInfo");
         Map<?, ?> prices = map(env, "prices");
         List<RequestClass> kinds = new ArrayList<>();
--- a/src/main/java/mintstair/config/NodeConfig.java
+++ b/src/main/java/mintstair/config/NodeConfig.java
@@ -19,7 +19,7 @@
         long seed,
         int sockets,
         EndpointList known,
-        Env env,
+        InstanceSettings env,
         Map<?, ?> json) {
 
     /** Reads the file; throws {@link ConfigException} with one plain line where it cannot be used. */
@@ -50,7 +50,7 @@
                 seed(map.get("seed")),
                 sockets,
                 known,
-                new Env(checked(settings)),
+                new InstanceSettings(checked(settings)),
                 map);
     }
 
--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
-import mintstair.config.Env;
+import mintstair.config.InstanceSettings;
 import mintstair.request.AttemptVerdict;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.EndpointList;
@@ -145,7 +145,7 @@
     }
 
     /** Goes over to other settings; see {@link RequestRouter#applySettings}. */
-    public void settings(Env env) {
+    public void settings(InstanceSettings env) {
         env.classes.keySet().forEach(counters::knows);
         carryOut(router.applySettings(loop.now(), env));
     }
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import mintstair.config.Env;
+import mintstair.config.InstanceSettings;
 import mintstair.decision.AttemptRules;
 import mintstair.decision.InvariantMonitor;
 import mintstair.decision.ReadWriteSplitter;
@@ -45,7 +45,7 @@
         boolean over;
     }
 
-    private Env env;
+    private InstanceSettings env;
     private final SplitterApi.Router module;
     private final Map<Long, Taken> taken = new HashMap<>();
     private final Set<String> draining = new HashSet<>();
@@ -56,14 +56,14 @@
     private long now;
     private long alarmsSet;
 
-    public RequestRouter(long now, long seed, Env env) {
+    public RequestRouter(long now, long seed, InstanceSettings env) {
         this.env = env;
         this.now = now;
         module = new ReadWriteSplitter(now, seed, env.settings, new Recorder());
     }
 
     /** Goes over to these settings; what was taken before keeps the class that it was taken with. */
-    public List<RouterAction> applySettings(long at, Env changed) {
+    public List<RouterAction> applySettings(long at, InstanceSettings changed) {
         now = at;
         env = changed;
         module.onSettings(at, changed.settings);
--- a/src/main/java/mintstair/serve/ProtocolService.java
+++ b/src/main/java/mintstair/serve/ProtocolService.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 import mintstair.backend.ConnectionPools;
 import mintstair.backend.Protocol;
-import mintstair.config.Env;
+import mintstair.config.InstanceSettings;
 import mintstair.discovery.EndpointWatch;
 import mintstair.discovery.pace.WatchPacing;
 import mintstair.front.Front;
@@ -35,7 +35,7 @@
     private final ConnectionPools hosts;
     private final Dispatcher dispatcher;
     private final CompletableFuture<Void> listKnown = new CompletableFuture<>();
-    private Env env;
+    private InstanceSettings env;
     /** Of the last whole list: what a call to discovery costs there. */
     private int lines;
 
@@ -52,7 +52,7 @@
             TCPNIOTransport transport,
             Protocol protocol,
             long seed,
-            Env env,
+            InstanceSettings env,
             int mostHostConnections,
             FrontMaker maker) {
         this.loop = loop;
@@ -85,7 +85,7 @@
     }
 
     /** Goes over to these settings as a whole; on the loop. */
-    void settings(Env env) {
+    void settings(InstanceSettings env) {
         this.env = env;
         if (watch != null) {
             watch.pace(pace());
--- a/src/main/java/mintstair/serve/WarmUp.java
+++ b/src/main/java/mintstair/serve/WarmUp.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import mintstair.backend.Protocol;
 import mintstair.backend.pg.PgProtocol;
-import mintstair.config.Env;
+import mintstair.config.InstanceSettings;
 import mintstair.front.RequestRules;
 import mintstair.front.pg.PgStatement;
 import mintstair.proxy.Backend;
@@ -58,7 +58,7 @@
     private final CountDownLatch done = new CountDownLatch(AT_ONCE);
     private int left;
 
-    private WarmUp(Env env) {
+    private WarmUp(InstanceSettings env) {
         classes = new ArrayList<>(env.classes.keySet());
         left = requests(env.proxies);
         dispatcher =
@@ -72,7 +72,7 @@
     }
 
     /** Runs requests for {@code millis} at most, and asks the front that listens here; tells whether all came through. */
-    static boolean run(Env env, InetSocketAddress front, long millis) {
+    static boolean run(InstanceSettings env, InetSocketAddress front, long millis) {
         long end = System.nanoTime() + millis * 1_000_000;
         WarmUp rehearsal = new WarmUp(env);
         try (EventLoop loop = rehearsal.loop) {
--- a/src/test/java/mintstair/front/DrainTest.java
+++ b/src/test/java/mintstair/front/DrainTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import mintstair.config.Env;
+import mintstair.config.InstanceSettings;
 import mintstair.config.Json;
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
@@ -52,7 +52,7 @@
         TCPNIOTransport transport =
                 TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
         transport.start();
-        Env env = new Env((Map<?, ?>)
+        InstanceSettings env = new InstanceSettings((Map<?, ?>)
                 Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
         Counters counters = new Counters();
         try (EventLoop loop = new EventLoop()) {
--- a/src/test/java/mintstair/serve/BothFrontsTest.java
+++ b/src/test/java/mintstair/serve/BothFrontsTest.java
@@ -15,7 +15,7 @@
 import mintstair.backend.Protocol;
 import mintstair.backend.mongo.MongoProtocol;
 import mintstair.backend.pg.PgProtocol;
-import mintstair.config.Env;
+import mintstair.config.InstanceSettings;
 import mintstair.config.Json;
 import mintstair.config.ListReader;
 import mintstair.front.mongo.MongoFront;
@@ -90,7 +90,7 @@
         String listed = hosts.stream().map(h -> h.listed("SERVING")).collect(Collectors.joining(","));
         EndpointList list =
                 ListReader.read(Json.read(("{\"rev\":1,\"all\":true,\"targets\":[" + listed + "]}").getBytes()));
-        Env env = new Env((Map<?, ?>)
+        InstanceSettings env = new InstanceSettings((Map<?, ?>)
                 Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
         try (EventLoop loop = new EventLoop(clock::get)) {
             ProtocolService service = new ProtocolService(
--- a/src/test/java/mintstair/serve/LeaversTest.java
+++ b/src/test/java/mintstair/serve/LeaversTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import mintstair.backend.pg.PgProtocol;
-import mintstair.config.Env;
+import mintstair.config.InstanceSettings;
 import mintstair.config.Json;
 import mintstair.config.ListReader;
 import mintstair.front.pg.PgFront;
@@ -63,7 +63,7 @@
     }
 
     private ProtocolService service(int proxies, String discovery, String connectTimeout) throws IOException {
-        Env env = env(proxies, discovery, connectTimeout);
+        InstanceSettings env = env(proxies, discovery, connectTimeout);
         return new ProtocolService(
                 loop,
                 transport,
@@ -74,13 +74,13 @@
                 (dispatcher, counters) -> new PgFront(loop, dispatcher, transport, counters, 16));
     }
 
-    private static Env env(int proxies, String discovery, String connectTimeout) throws IOException {
+    private static InstanceSettings env(int proxies, String discovery, String connectTimeout) throws IOException {
         String settings = Program.SETTINGS
                 .replace("PROBING", "false")
                 .replace("\"connectTimeoutS\":0.25", "\"connectTimeoutS\":" + connectTimeout)
                 .replace("automatic", discovery)
                 .replace("\"balancers\":1,", "\"balancers\":" + proxies + ",");
-        return new Env((Map<?, ?>) Json.read(settings.getBytes(StandardCharsets.UTF_8)));
+        return new InstanceSettings((Map<?, ?>) Json.read(settings.getBytes(StandardCharsets.UTF_8)));
     }
 
     private static InetSocketAddress address(int port) {
@@ -262,7 +262,7 @@
         service = service(100, "subscribe", "0.25");
         watch();
         way.mute();
-        Env pushed = env(100, "automatic", "0.25");
+        InstanceSettings pushed = env(100, "automatic", "0.25");
         loop.execute(() -> service.settings(pushed));
         leaves("h7");
         knownWithin(SILENCE_MILLIS / 2);
--- a/src/test/java/mintstair/serve/LimitsTest.java
+++ b/src/test/java/mintstair/serve/LimitsTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import mintstair.backend.pg.PgProtocol;
-import mintstair.config.Env;
+import mintstair.config.InstanceSettings;
 import mintstair.config.Json;
 import mintstair.front.Front;
 import mintstair.front.pg.PgFront;
@@ -154,8 +154,8 @@
         }
     }
 
-    private static Env env() throws IOException {
-        return new Env((Map<?, ?>)
+    private static InstanceSettings env() throws IOException {
+        return new InstanceSettings((Map<?, ?>)
                 Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
     }
 
--- a/src/test/java/mintstair/serve/OneServiceFixture.java
+++ b/src/test/java/mintstair/serve/OneServiceFixture.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.atomic.AtomicLong;
 import mintstair.backend.pg.PgProtocol;
-import mintstair.config.Env;
+import mintstair.config.InstanceSettings;
 import mintstair.config.Json;
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
@@ -69,7 +69,7 @@
     private void serve(String settingsText, int mostHostConnections, EndpointList.Entry... hosts) throws IOException {
         String settings =
                 settingsText.replace("PROBING", "false").replace("\"connectTimeoutS\":0.25", "\"connectTimeoutS\":20");
-        Env env = new Env((Map<?, ?>) Json.read(settings.getBytes(StandardCharsets.UTF_8)));
+        InstanceSettings env = new InstanceSettings((Map<?, ?>) Json.read(settings.getBytes(StandardCharsets.UTF_8)));
         service = new ProtocolService(
                 loop,
                 transport,
