--- a/src/main/java/mintstair/traffic/Talk.java
+++ b/src/main/java/mintstair/traffic/ExchangeDecoder.java
@@ -16,7 +16,7 @@
  * read any more ends there; what is open then has no answer. Bounded: of more open requests than a front takes, the oldest are
  * given out without an answer.
  */
-abstract class Talk {
+abstract class ExchangeDecoder {
     private static final int MOST_OPEN = 1_024;
     private static final Pattern NUMBER = Pattern.compile("\\d{1,15}");
 
@@ -59,7 +59,7 @@
     /** Requests, and commands that are none, in the order in which they came. */
     protected final ArrayDeque<Open> open = new ArrayDeque<>();
 
-    Talk(int connection, Framer asked, Framer answered, Losses losses, Consumer<RecordedExchange> out) {
+    ExchangeDecoder(int connection, Framer asked, Framer answered, Losses losses, Consumer<RecordedExchange> out) {
         this.connection = connection;
         this.asked = asked;
         this.answered = answered;
--- a/src/main/java/mintstair/traffic/MongoTalk.java
+++ b/src/main/java/mintstair/traffic/MongoExchangeDecoder.java
@@ -11,13 +11,13 @@
 import org.bson.BsonDocument;
 
 /** MongoDB's wire protocol: answers name what they answer. */
-final class MongoTalk extends Talk {
+final class MongoExchangeDecoder extends ExchangeDecoder {
     private static final List<String> WRITES = List.of("insert", "update", "delete");
     private static final int OVERLOADED = 462;
     /** What differs from run to run though the value is the same. */
     private static final List<String> NOTES = List.of("lastWrite", "localTime", "operationTime", "$clusterTime");
 
-    MongoTalk(int connection, Losses losses, Consumer<RecordedExchange> out) {
+    MongoExchangeDecoder(int connection, Losses losses, Consumer<RecordedExchange> out) {
         super(connection, new MongoFramer(), new MongoFramer(), losses, out);
     }
 
--- a/src/main/java/mintstair/traffic/PgTalk.java
+++ b/src/main/java/mintstair/traffic/PgExchangeDecoder.java
@@ -9,7 +9,7 @@
 import mintstair.wire.PgFramer;
 
 /** PostgreSQL's protocol: simple queries, answered in their order. Without the beginning of a connection it is entered at a query. */
-final class PgTalk extends Talk {
+final class PgExchangeDecoder extends ExchangeDecoder {
     private static final int NO_NUMBER = 0;
     private boolean started;
     /** The first ReadyForQuery answers the start-up, though a query may have come with that. */
@@ -21,7 +21,7 @@
     private long comeBack;
     private long heardAt;
 
-    PgTalk(int connection, boolean fromStart, Losses losses, Consumer<RecordedExchange> out) {
+    PgExchangeDecoder(int connection, boolean fromStart, Losses losses, Consumer<RecordedExchange> out) {
         super(
                 connection,
                 fromStart ? new PgFramer.OfClient() : PgFramer.OfClient.started(),
--- a/src/main/java/mintstair/traffic/Recording.java
+++ b/src/main/java/mintstair/traffic/Recording.java
@@ -50,9 +50,9 @@
     private Connections.Connection opened(
             long nanos, InetSocketAddress client, InetSocketAddress server, boolean fromStart) {
         int number = connections++;
-        Talk talk = ports.get(server.getPort()) == Protocol.MONGODB
-                ? new MongoTalk(number, losses, out)
-                : new PgTalk(number, fromStart, losses, out);
+        ExchangeDecoder talk = ports.get(server.getPort()) == Protocol.MONGODB
+                ? new MongoExchangeDecoder(number, losses, out)
+                : new PgExchangeDecoder(number, fromStart, losses, out);
         return new Connections.Connection() {
             @Override
             public void said(long at, boolean byClient, byte[] bytes, int from, int to) {
--- a/src/main/java/mintstair/traffic/Replayer.java
+++ b/src/main/java/mintstair/traffic/Replayer.java
@@ -59,7 +59,7 @@
         final SocketChannel channel;
         final SelectionKey key;
         final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
-        final Talk talk;
+        final ExchangeDecoder talk;
         boolean broken;
         boolean refused;
 
@@ -68,8 +68,8 @@
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             talk = protocol == Recording.Protocol.MONGODB
-                    ? new MongoTalk(number, new Losses(), Replayer.this::answered)
-                    : new PgTalk(number, true, new Losses(), Replayer.this::answered);
+                    ? new MongoExchangeDecoder(number, new Losses(), Replayer.this::answered)
+                    : new PgExchangeDecoder(number, true, new Losses(), Replayer.this::answered);
             key = channel.register(selector, SelectionKey.OP_CONNECT, this);
             if (protocol == Recording.Protocol.POSTGRESQL) {
                 say(STARTUP, now());
--- a/src/test/java/mintstair/traffic/ReplayerTest.java
+++ b/src/test/java/mintstair/traffic/ReplayerTest.java
@@ -87,7 +87,7 @@
                 after,
                 result,
                 result == Result.REFUSED ? 40 : 0,
-                result == Result.SERVED ? Talk.digest(0, value, 0, value.length) : 0,
+                result == Result.SERVED ? ExchangeDecoder.digest(0, value, 0, value.length) : 0,
                 Client.Pg.query(text));
     }
 
