--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -264,7 +264,7 @@
         return switch (report.role()) {
             case PRIMARY -> Role.PRIMARY;
             case REPLICA -> Role.REPLICA;
-            case UNTOLD -> Role.UNTOLD;
+            case UNKNOWN -> Role.UNTOLD;
         };
     }
 
