--- a/src/main/java/mintstair/config/InstanceSettings.java
+++ b/src/main/java/mintstair/config/InstanceSettings.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mintstair.decision.SplitterApi.Freshness;
+import mintstair.decision.SplitterApi.Consistency;
 import mintstair.decision.SplitterApi.Guards;
 import mintstair.decision.SplitterApi.Limits;
 import mintstair.decision.SplitterApi.ReadCheck;
@@ -97,19 +97,19 @@
             default -> throw new ConfigException("unknown group " + c.get("group"));
         };
         List<?> needs = list(info, "consistency");
-        Freshness freshness = switch (index < needs.size() ? String.valueOf(needs.get(index)) : "any") {
-            case "write" -> Freshness.WRITE;
-            case "fresh" -> Freshness.FRESH;
-            case "session" -> Freshness.SESSION;
-            case "bounded" -> Freshness.BOUNDED;
-            case "any" -> Freshness.ANY;
+        Consistency consistency = switch (index < needs.size() ? String.valueOf(needs.get(index)) : "any") {
+            case "write" -> Consistency.WRITE;
+            case "fresh" -> Consistency.STRONG;
+            case "session" -> Consistency.SESSION;
+            case "bounded" -> Consistency.BOUNDED_STALENESS;
+            case "any" -> Consistency.EVENTUAL;
             default -> throw new ConfigException("unknown consistency " + needs.get(index));
         };
         List<?> bounds = list(info, "classBoundS");
         long bound = index < bounds.size() ? toMicros(((Number) bounds.get(index)).doubleValue()) : 0;
         return new RequestClass(
                 string(c, "name", ""),
-                freshness,
+                consistency,
                 repeat,
                 scope,
                 bound,
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -146,11 +146,11 @@
                 kind.deviation = Math.max(0, k.deviation + k.assumed * (of.aim() - k.of.aim()) / 5.0);
             }
             best = Math.max(best, of.worth() / of.aim());
-            if (of.freshness() == Freshness.BOUNDED) tightestBound = Math.min(tightestBound, of.bound());
+            if (of.consistency() == Consistency.BOUNDED_STALENESS) tightestBound = Math.min(tightestBound, of.bound());
         }
         for (Kind kind : kinds) {
             kind.worth = best > 0 ? kind.of.worth() / kind.of.aim() / best : 1;
-            boolean write = kind.of.freshness() == Freshness.WRITE;
+            boolean write = kind.of.consistency() == Consistency.WRITE;
             kind.room = write ? 1 : LEAST_WORTH_ROOM + (1 - LEAST_WORTH_ROOM) * kind.worth;
         }
         shares = new Share[settings.tenants().size()];
@@ -307,7 +307,7 @@
 
     /** The position that a session's read must see; a carried one counts back from the arrival. */
     private long tokenOf(long now, Request r, Kind kind) {
-        if (kind.of.freshness() != Freshness.SESSION) return SplitterApi.UNKNOWN;
+        if (kind.of.consistency() != Consistency.SESSION) return SplitterApi.UNKNOWN;
         if (!settings.rememberedTokens()) {
             return r.tokenAge() == SplitterApi.UNKNOWN ? r.tokenAge() : now - r.tokenAge() + TOKEN_SLACK;
         }
@@ -363,7 +363,7 @@
 
     /** Until when what a choice rests on holds: how recent a replica is, or that a repeat is dropped. */
     private static long beginBy(long now, Open q) {
-        if (q.kind.of.freshness() == Freshness.BOUNDED) return now + FRESH_FOR;
+        if (q.kind.of.consistency() == Consistency.BOUNDED_STALENESS) return now + FRESH_FOR;
         return q.mayHaveRun && !q.repeatable() ? windowEnd(q) : Long.MAX_VALUE;
     }
 
@@ -381,7 +381,7 @@
         // proven ones alone, all reads crowd for a moment upon whichever replica was polled last.
         boolean checked = settings.readCheck() != ReadCheck.NONE;
         long need = need(now, q);
-        long guess = checked && q.kind.of.freshness() == Freshness.BOUNDED ? g.reportAge : 0;
+        long guess = checked && q.kind.of.consistency() == Consistency.BOUNDED_STALENESS ? g.reportAge : 0;
         Host h = pick(now, g, q, need, guess, true);
         // A poll serves the reads of its group within a bound. Where less than one comes in that time it
         // costs more than that read gains on a replica in place of a primary with room for it.
@@ -413,7 +413,7 @@
 
     /** The position that an attempt sent now must find; a bounded read's moves with each send. */
     private long need(long now, Open q) {
-        if (q.kind.of.freshness() != Freshness.BOUNDED) return q.token;
+        if (q.kind.of.consistency() != Consistency.BOUNDED_STALENESS) return q.token;
         if (!positions.isKnown(q.request.group())) return NO_POSITION;
         return positions.present(now) - q.kind.of.bound();
     }
@@ -705,7 +705,7 @@
         if (o.role() == Role.PRIMARY) claimPrimary(h, now);
         if (o.role() == Role.REPLICA) isReplica(h, now);
         long sent = q.sentAt[o.attempt()];
-        boolean write = q.kind.of.freshness() == Freshness.WRITE;
+        boolean write = q.kind.of.consistency() == Consistency.WRITE;
         boolean told = o.position() != SplitterApi.UNKNOWN, checked = settings.readCheck() != ReadCheck.NONE;
         if (told && o.role() == Role.PRIMARY) primaryAt(now, h.group, o.position());
         long lag = positions.present(now) - o.position();
--- a/src/main/java/mintstair/decision/RouterState.java
+++ b/src/main/java/mintstair/decision/RouterState.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import mintstair.decision.SplitterApi.Freshness;
+import mintstair.decision.SplitterApi.Consistency;
 import mintstair.decision.SplitterApi.Repeat;
 import mintstair.decision.SplitterApi.Request;
 import mintstair.decision.SplitterApi.RequestClass;
@@ -118,7 +118,7 @@
         }
 
         boolean needsPrimary() {
-            return kind.of.freshness() == Freshness.WRITE || kind.of.freshness() == Freshness.FRESH;
+            return kind.of.consistency() == Consistency.WRITE || kind.of.consistency() == Consistency.STRONG;
         }
 
         boolean repeatable() {
--- a/src/main/java/mintstair/decision/SplitterApi.java
+++ b/src/main/java/mintstair/decision/SplitterApi.java
@@ -14,11 +14,11 @@
     public static final long UNKNOWN = -1;
 
     /** How recent the data behind an answer must be. */
-    public enum Freshness {
-        ANY,
-        BOUNDED,
+    public enum Consistency {
+        EVENTUAL,
+        BOUNDED_STALENESS,
         SESSION,
-        FRESH,
+        STRONG,
         WRITE
     }
 
@@ -86,7 +86,7 @@
     /** A class of requests; {@code bound} counts for bounded reads, {@code window} for keyed requests. */
     public record RequestClass(
             String name,
-            Freshness freshness,
+            Consistency consistency,
             Repeat repeat,
             RepeatScope scope,
             long bound,
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -13,8 +13,8 @@
 import mintstair.decision.InvariantMonitor;
 import mintstair.decision.ReadWriteSplitter;
 import mintstair.decision.SplitterApi;
+import mintstair.decision.SplitterApi.Consistency;
 import mintstair.decision.SplitterApi.Ending;
-import mintstair.decision.SplitterApi.Freshness;
 import mintstair.decision.SplitterApi.HostEntry;
 import mintstair.decision.SplitterApi.HostState;
 import mintstair.decision.SplitterApi.ListKind;
@@ -77,7 +77,7 @@
 
     /** Whether a class of this name is one of writes. */
     public boolean isWrite(String requestClass) {
-        return classOf(requestClass).freshness() == Freshness.WRITE;
+        return classOf(requestClass).consistency() == Consistency.WRITE;
     }
 
     /** How long clients wait for an answer of this class, where they do not say, in microseconds. */
--- a/src/test/java/mintstair/decision/Bed.java
+++ b/src/test/java/mintstair/decision/Bed.java
@@ -49,13 +49,23 @@
     Settings settings() {
         List<RequestClass> classes = List.of(
                 new RequestClass(
-                        "b", Freshness.BOUNDED, Repeat.SAFE, RepeatScope.ALL, 200 * MS, 600 * MS, 2500 * MS, 0, 2, 0),
-                new RequestClass("s", Freshness.SESSION, Repeat.SAFE, RepeatScope.ALL, 0, 400 * MS, 1200 * MS, 0, 3, 0),
+                        "b",
+                        Consistency.BOUNDED_STALENESS,
+                        Repeat.SAFE,
+                        RepeatScope.ALL,
+                        200 * MS,
+                        600 * MS,
+                        2500 * MS,
+                        0,
+                        2,
+                        0),
+                new RequestClass(
+                        "s", Consistency.SESSION, Repeat.SAFE, RepeatScope.ALL, 0, 400 * MS, 1200 * MS, 0, 3, 0),
                 new RequestClass(
-                        "u", Freshness.WRITE, Repeat.UNSAFE, RepeatScope.ALL, 0, 1000 * MS, 3000 * MS, 0, 4, 0.5),
+                        "u", Consistency.WRITE, Repeat.UNSAFE, RepeatScope.ALL, 0, 1000 * MS, 3000 * MS, 0, 4, 0.5),
                 new RequestClass(
                         "k",
-                        Freshness.WRITE,
+                        Consistency.WRITE,
                         Repeat.KEYED,
                         RepeatScope.GROUP,
                         0,
@@ -64,12 +74,13 @@
                         900 * MS,
                         4,
                         0.7),
-                new RequestClass("a", Freshness.ANY, Repeat.SAFE, RepeatScope.ALL, 0, 250 * MS, 1000 * MS, 0, 3, 0));
+                new RequestClass(
+                        "a", Consistency.EVENTUAL, Repeat.SAFE, RepeatScope.ALL, 0, 250 * MS, 1000 * MS, 0, 3, 0));
         if (deadline > 0) {
             classes = classes.stream()
                     .map(c -> new RequestClass(
                             c.name(),
-                            c.freshness(),
+                            c.consistency(),
                             c.repeat(),
                             c.scope(),
                             c.bound(),
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -247,7 +247,7 @@
         List<RequestClass> unsafe = old.classes().stream()
                 .map(c -> new RequestClass(
                         c.name(),
-                        c.freshness(),
+                        c.consistency(),
                         Repeat.UNSAFE,
                         c.scope(),
                         c.bound(),
--- a/src/test/java/mintstair/decision/InvariantMonitorTest.java
+++ b/src/test/java/mintstair/decision/InvariantMonitorTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import mintstair.decision.InvariantMonitor.Finding;
 import mintstair.decision.InvariantMonitor.Violation;
-import mintstair.decision.SplitterApi.Freshness;
+import mintstair.decision.SplitterApi.Consistency;
 import mintstair.decision.SplitterApi.Repeat;
 import mintstair.decision.SplitterApi.RepeatScope;
 import mintstair.decision.SplitterApi.RequestClass;
@@ -25,7 +25,7 @@
     private void taken(Repeat repeat) {
         monitor.taken(
                 REQUEST,
-                new RequestClass("c", Freshness.WRITE, repeat, RepeatScope.ALL, 0, SECOND, 2 * SECOND, WINDOW, 1, 0),
+                new RequestClass("c", Consistency.WRITE, repeat, RepeatScope.ALL, 0, SECOND, 2 * SECOND, WINDOW, 1, 0),
                 2 * SECOND);
     }
 
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -103,7 +103,7 @@
                                 old.classes().stream()
                                         .map(c -> new RequestClass(
                                                 c.name(),
-                                                c.freshness(),
+                                                c.consistency(),
                                                 c.repeat(),
                                                 c.scope(),
                                                 c.bound(),
