--- a/src/main/java/mintstair/config/InstanceSettings.java
+++ b/src/main/java/mintstair/config/InstanceSettings.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import mintstair.decision.SplitterApi.Consistency;
+import mintstair.decision.SplitterApi.DeduplicationScope;
 import mintstair.decision.SplitterApi.Guards;
+import mintstair.decision.SplitterApi.Idempotency;
 import mintstair.decision.SplitterApi.Limits;
 import mintstair.decision.SplitterApi.ReadCheck;
-import mintstair.decision.SplitterApi.Repeat;
-import mintstair.decision.SplitterApi.RepeatScope;
 import mintstair.decision.SplitterApi.RequestClass;
 import mintstair.decision.SplitterApi.Settings;
 import mintstair.decision.SplitterApi.Tenant;
@@ -84,16 +84,16 @@
     }
 
     private static RequestClass requestClass(Map<?, ?> c, Map<?, ?> info, int index) {
-        Repeat repeat = switch (string(c, "repeat", "at_most_once")) {
-            case "idempotent" -> Repeat.SAFE;
-            case "deduplicated" -> Repeat.KEYED;
-            case "at_most_once" -> Repeat.UNSAFE;
+        Idempotency idempotency = switch (string(c, "repeat", "at_most_once")) {
+            case "idempotent" -> Idempotency.IDEMPOTENT;
+            case "deduplicated" -> Idempotency.IDEMPOTENCY_KEY;
+            case "at_most_once" -> Idempotency.NOT_IDEMPOTENT;
             default -> throw new ConfigException("unknown repeat " + c.get("repeat"));
         };
-        RepeatScope scope = switch (string(c, "group", "all")) {
-            case "all" -> RepeatScope.ALL;
-            case "zone" -> RepeatScope.ZONE;
-            case "cell" -> RepeatScope.GROUP;
+        DeduplicationScope deduplicationScope = switch (string(c, "group", "all")) {
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.GROUP;
             default -> throw new ConfigException("unknown group " + c.get("group"));
         };
         List<?> needs = list(info, "consistency");
@@ -110,8 +110,8 @@
         return new RequestClass(
                 string(c, "name", ""),
                 consistency,
-                repeat,
-                scope,
+                idempotency,
+                deduplicationScope,
                 bound,
                 micros(c, "sloS", 1),
                 micros(c, "deadlineS", 1),
--- a/src/main/java/mintstair/decision/InvariantMonitor.java
+++ b/src/main/java/mintstair/decision/InvariantMonitor.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import mintstair.decision.SplitterApi.Repeat;
+import mintstair.decision.SplitterApi.Idempotency;
 import mintstair.decision.SplitterApi.RequestClass;
 
 /**
@@ -127,12 +127,14 @@
     }
 
     private static boolean repeatsWhatMayRun(long now, Watched watched) {
-        Repeat repeat = watched.requestClass.repeat();
-        if (repeat == Repeat.SAFE) {
+        Idempotency idempotency = watched.requestClass.idempotency();
+        if (idempotency == Idempotency.IDEMPOTENT) {
             return false;
         }
         long first = watched.firstThatMayRun();
-        return first != NOT_OUT && (repeat == Repeat.UNSAFE || now > first + watched.requestClass.window() + SLACK);
+        return first != NOT_OUT
+                && (idempotency == Idempotency.NOT_IDEMPOTENT
+                        || now > first + watched.requestClass.deduplicationWindowMicros() + SLACK);
     }
 
     /** An attempt ended; {@code mayHaveRun} unless it is certain that its host did nothing for it. */
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -369,7 +369,7 @@
 
     /** Hosts drop the repeats of a keyed request until then. */
     private static long windowEnd(Open q) {
-        return q.firstMayHaveRun + q.kind.of.window() - MARGIN;
+        return q.firstMayHaveRun + q.kind.of.deduplicationWindowMicros() - MARGIN;
     }
 
     /** The ordinary path: a random replica known to be recent enough, else the primary. */
@@ -659,7 +659,8 @@
         if (q.attempts >= most || now >= q.deadline - MARGIN) return false;
         if (q.request.pinned() != null) return q.attempts == 0;
         if (!q.mayHaveRun || q.repeatable()) return true;
-        if (q.kind.of.repeat() != Repeat.KEYED || q.kind.of.scope() == RepeatScope.ZONE) return false;
+        if (q.kind.of.idempotency() != Idempotency.IDEMPOTENCY_KEY
+                || q.kind.of.deduplicationScope() == DeduplicationScope.ZONE) return false;
         return now < windowEnd(q);
     }
 
@@ -673,7 +674,8 @@
     private void giveUp(long now, Open q) {
         boolean harmless = q.repeatable()
                 || !q.mayHaveRun && q.out == 0
-                || q.kind.of.repeat() == Repeat.KEYED && q.kind.of.scope() == RepeatScope.ALL;
+                || q.kind.of.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && q.kind.of.deduplicationScope() == DeduplicationScope.ALL;
         long longest = settings.limits().maxRetryAfter();
         long soon = (long) (COME_BACK * q.kind.of.aim());
         long back = now + soon < q.arrived + q.kind.of.aim() ? Math.min(longest, soon) : longest;
@@ -948,7 +950,7 @@
 
     /** Moves a repeatable request off a host: by a second copy, or by calling the first one off. */
     private void rescue(long now, Open q, Host from) {
-        if (q.kind.of.repeat() == Repeat.UNSAFE || !mayRepeat(now, q) || q.out > 1) return;
+        if (q.kind.of.idempotency() == Idempotency.NOT_IDEMPOTENT || !mayRepeat(now, q) || q.out > 1) return;
         if (!furtherAttempts.isEnough()) return;
         if (settings.limits().secondCopies() && q.repeatable()) {
             Host h = choose(now, q);
--- a/src/main/java/mintstair/decision/RouterState.java
+++ b/src/main/java/mintstair/decision/RouterState.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import mintstair.decision.SplitterApi.Consistency;
-import mintstair.decision.SplitterApi.Repeat;
+import mintstair.decision.SplitterApi.Idempotency;
 import mintstair.decision.SplitterApi.Request;
 import mintstair.decision.SplitterApi.RequestClass;
 
@@ -122,7 +122,7 @@
         }
 
         boolean repeatable() {
-            return kind.of.repeat() == Repeat.SAFE && request.pinned() == null;
+            return kind.of.idempotency() == Idempotency.IDEMPOTENT && request.pinned() == null;
         }
     }
 }
--- a/src/main/java/mintstair/decision/SplitterApi.java
+++ b/src/main/java/mintstair/decision/SplitterApi.java
@@ -23,14 +23,14 @@
     }
 
     /** Whether a request may run again: always, where its repeats are dropped, or never. */
-    public enum Repeat {
-        SAFE,
-        KEYED,
-        UNSAFE
+    public enum Idempotency {
+        IDEMPOTENT,
+        IDEMPOTENCY_KEY,
+        NOT_IDEMPOTENT
     }
 
     /** Where the repeats of a keyed request are dropped. */
-    public enum RepeatScope {
+    public enum DeduplicationScope {
         ALL,
         ZONE,
         GROUP
@@ -83,16 +83,16 @@
         FAILED
     }
 
-    /** A class of requests; {@code bound} counts for bounded reads, {@code window} for keyed requests. */
+    /** A class of requests; {@code bound} counts for bounded reads, {@code deduplicationWindowMicros} for keyed requests. */
     public record RequestClass(
             String name,
             Consistency consistency,
-            Repeat repeat,
-            RepeatScope scope,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
             long bound,
             long aim,
             long deadline,
-            long window,
+            long deduplicationWindowMicros,
             double worth,
             double lateWorth) {}
 
--- a/src/test/java/mintstair/decision/EmbeddingTest.java
+++ b/src/test/java/mintstair/decision/EmbeddingTest.java
@@ -52,9 +52,27 @@
     @Test
     void aWriteAndTheReadThatFollowsIt() {
         RequestClass write = new RequestClass(
-                "write", Consistency.WRITE, Repeat.UNSAFE, RepeatScope.ALL, 0, 1_000_000, 3_000_000, 0, 4, 0.5);
+                "write",
+                Consistency.WRITE,
+                Idempotency.NOT_IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                1_000_000,
+                3_000_000,
+                0,
+                4,
+                0.5);
         RequestClass read = new RequestClass(
-                "read", Consistency.SESSION, Repeat.SAFE, RepeatScope.ALL, 0, 400_000, 1_200_000, 0, 3, 0);
+                "read",
+                Consistency.SESSION,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                400_000,
+                1_200_000,
+                0,
+                3,
+                0);
         Settings settings = new Settings(
                 1,
                 0,
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -248,12 +248,12 @@
                 .map(c -> new RequestClass(
                         c.name(),
                         c.consistency(),
-                        Repeat.UNSAFE,
-                        c.scope(),
+                        Idempotency.NOT_IDEMPOTENT,
+                        c.deduplicationScope(),
                         c.bound(),
                         c.aim(),
                         c.deadline(),
-                        c.window(),
+                        c.deduplicationWindowMicros(),
                         c.worth(),
                         c.lateWorth()))
                 .toList();
--- a/src/test/java/mintstair/decision/InvariantMonitorTest.java
+++ b/src/test/java/mintstair/decision/InvariantMonitorTest.java
@@ -6,8 +6,8 @@
 import mintstair.decision.InvariantMonitor.Finding;
 import mintstair.decision.InvariantMonitor.Violation;
 import mintstair.decision.SplitterApi.Consistency;
-import mintstair.decision.SplitterApi.Repeat;
-import mintstair.decision.SplitterApi.RepeatScope;
+import mintstair.decision.SplitterApi.DeduplicationScope;
+import mintstair.decision.SplitterApi.Idempotency;
 import mintstair.decision.SplitterApi.RequestClass;
 import org.junit.jupiter.api.Test;
 
@@ -22,10 +22,20 @@
 
     private final InvariantMonitor monitor = new InvariantMonitor();
 
-    private void taken(Repeat repeat) {
+    private void taken(Idempotency idempotency) {
         monitor.taken(
                 REQUEST,
-                new RequestClass("c", Consistency.WRITE, repeat, RepeatScope.ALL, 0, SECOND, 2 * SECOND, WINDOW, 1, 0),
+                new RequestClass(
+                        "c",
+                        Consistency.WRITE,
+                        idempotency,
+                        DeduplicationScope.ALL,
+                        0,
+                        SECOND,
+                        2 * SECOND,
+                        WINDOW,
+                        1,
+                        0),
                 2 * SECOND);
     }
 
@@ -41,7 +51,7 @@
 
     @Test
     void unsafeRequestMayNotBeginAgainWhileItIsOutOrMayHaveRun() {
-        taken(Repeat.UNSAFE);
+        taken(Idempotency.NOT_IDEMPOTENT);
         assertEquals(List.of(), begun(0, 0));
         assertEquals(List.of(Violation.SENT_TWICE), begun(MS, 1));
         monitor.ended(REQUEST, 0, false);
@@ -51,7 +61,7 @@
 
     @Test
     void unsafeRequestThatNeverRanMayBeginAgain() {
-        taken(Repeat.UNSAFE);
+        taken(Idempotency.NOT_IDEMPOTENT);
         begun(0, 0);
         monitor.ended(REQUEST, 0, false);
         assertEquals(List.of(), begun(MS, 1));
@@ -59,7 +69,7 @@
 
     @Test
     void keyedRequestMayBeginAgainWithinItsWindow() {
-        taken(Repeat.KEYED);
+        taken(Idempotency.IDEMPOTENCY_KEY);
         begun(0, 0);
         monitor.ended(REQUEST, 0, true);
         assertEquals(List.of(), begun(WINDOW, 1));
@@ -68,14 +78,14 @@
 
     @Test
     void safeRequestMayBeginAgain() {
-        taken(Repeat.SAFE);
+        taken(Idempotency.IDEMPOTENT);
         begun(0, 0);
         assertEquals(List.of(), begun(MS, 1));
     }
 
     @Test
     void nothingBeginsOnceTheRequestIsOver() {
-        taken(Repeat.SAFE);
+        taken(Idempotency.IDEMPOTENT);
         begun(0, 0);
         monitor.over(REQUEST);
         assertEquals(List.of(Violation.SENT_AFTER_END), begun(MS, 1));
@@ -83,14 +93,14 @@
 
     @Test
     void hostIsToldNoMoreTimeThanTheClientHas() {
-        taken(Repeat.SAFE);
+        taken(Idempotency.IDEMPOTENT);
         assertEquals(List.of(), begun(SECOND, 0, SECOND + 150 * MS));
         assertEquals(List.of(Violation.WAIT_TOO_LONG), begun(SECOND, 1, SECOND + 151 * MS));
     }
 
     @Test
     void nothingBeginsAtADrainingHostAfterItsGrace() {
-        taken(Repeat.SAFE);
+        taken(Idempotency.IDEMPOTENT);
         monitor.listed(0, HOST, true);
         assertEquals(List.of(), begun(GRACE, 0, MS));
         monitor.listed(GRACE, HOST, true);
@@ -101,7 +111,7 @@
 
     @Test
     void answersAreGivenOnceAndInTime() {
-        taken(Repeat.SAFE);
+        taken(Idempotency.IDEMPOTENT);
         begun(0, 0);
         assertEquals(
                 List.of(new Finding(Violation.ANSWERED_LATE, REQUEST, "")),
@@ -111,7 +121,7 @@
 
     @Test
     void requestsAreForgottenOnceTheyAndTheirAttemptsAreOver() {
-        taken(Repeat.SAFE);
+        taken(Idempotency.IDEMPOTENT);
         begun(0, 0);
         monitor.answered(MS, REQUEST);
         assertEquals(1, monitor.watched());
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -104,12 +104,12 @@
                                         .map(c -> new RequestClass(
                                                 c.name(),
                                                 c.consistency(),
-                                                c.repeat(),
-                                                c.scope(),
+                                                c.idempotency(),
+                                                c.deduplicationScope(),
                                                 c.bound(),
                                                 20 * c.aim(),
                                                 20 * c.deadline(),
-                                                c.window(),
+                                                c.deduplicationWindowMicros(),
                                                 c.worth(),
                                                 c.lateWorth()))
                                         .toList(),
