--- a/src/main/java/mintstair/config/InstanceSettings.java
+++ b/src/main/java/mintstair/config/InstanceSettings.java
@@ -78,7 +78,7 @@
     /** The longest time, in microseconds, that a request of any class may wait. */
     public long longestDeadline() {
         return settings.classes().stream()
-                .mapToLong(RequestClass::deadline)
+                .mapToLong(RequestClass::deadlineMicros)
                 .max()
                 .orElse(0);
     }
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -128,7 +128,7 @@
         require(all.routers() > 0, "routers must be at least 1");
         require(all.limits().maxAttempts() > 0, "limits.maxAttempts must be at least 1");
         require(all.guards().coldShare() > 0, "guards.coldShare must be above 0");
-        for (RequestClass of : all.classes()) require(of.aim() > 0, "classes.aim must be above 0");
+        for (RequestClass of : all.classes()) require(of.latencyObjectiveMicros() > 0, "classes.aim must be above 0");
         Kind[] before = kinds;
         settings = all;
         kinds = new Kind[settings.classes().size()];
@@ -137,19 +137,22 @@
         for (int i = 0; i < kinds.length; i++) {
             RequestClass of = settings.classes().get(i);
             Kind kind = kinds[i] = new Kind(of);
-            kind.mean = kind.deviation = of.aim() / 5.0;
+            kind.mean = kind.deviation = of.latencyObjectiveMicros() / 5.0;
             for (Kind k : before) {
                 if (!k.of.name().equals(of.name())) continue;
                 // What answers have shown stays; the rest is what these settings make of it.
                 kind.assumed = k.assumed;
-                kind.mean = k.mean + k.assumed * (of.aim() - k.of.aim()) / 5.0;
-                kind.deviation = Math.max(0, k.deviation + k.assumed * (of.aim() - k.of.aim()) / 5.0);
+                kind.mean = k.mean + k.assumed * (of.latencyObjectiveMicros() - k.of.latencyObjectiveMicros()) / 5.0;
+                kind.deviation = Math.max(
+                        0,
+                        k.deviation + k.assumed * (of.latencyObjectiveMicros() - k.of.latencyObjectiveMicros()) / 5.0);
             }
-            best = Math.max(best, of.worth() / of.aim());
-            if (of.consistency() == Consistency.BOUNDED_STALENESS) tightestBound = Math.min(tightestBound, of.bound());
+            best = Math.max(best, of.priorityWeight() / of.latencyObjectiveMicros());
+            if (of.consistency() == Consistency.BOUNDED_STALENESS)
+                tightestBound = Math.min(tightestBound, of.maxStalenessMicros());
         }
         for (Kind kind : kinds) {
-            kind.worth = best > 0 ? kind.of.worth() / kind.of.aim() / best : 1;
+            kind.worth = best > 0 ? kind.of.priorityWeight() / kind.of.latencyObjectiveMicros() / best : 1;
             boolean write = kind.of.consistency() == Consistency.WRITE;
             kind.room = write ? 1 : LEAST_WORTH_ROOM + (1 - LEAST_WORTH_ROOM) * kind.worth;
         }
@@ -356,7 +359,7 @@
         q.out++;
         accrue(now, h);
         h.inFlight++;
-        long until = q.kind.of.lateWorth() == 0 && q.repeatable() ? q.arrived + q.kind.of.aim() : 0;
+        long until = q.kind.of.lateWeight() == 0 && q.repeatable() ? q.arrived + q.kind.of.latencyObjectiveMicros() : 0;
         actions.send(q.request.id(), h.name, until < q.deadline ? until : 0, beginBy(now, q));
         wake(now, stuckAt(q));
     }
@@ -415,7 +418,7 @@
     private long need(long now, Open q) {
         if (q.kind.of.consistency() != Consistency.BOUNDED_STALENESS) return q.token;
         if (!positions.isKnown(q.request.group())) return NO_POSITION;
-        return positions.present(now) - q.kind.of.bound();
+        return positions.present(now) - q.kind.of.maxStalenessMicros();
     }
 
     /** A random replica at or past {@code need}, or within {@code guess} of it and not shown to be behind. */
@@ -646,7 +649,8 @@
             q.mayHaveRun = true;
         }
         if (q.out > 0) return;
-        boolean late = q.kind.of.lateWorth() == 0 && q.repeatable() && now >= q.arrived + q.kind.of.aim();
+        boolean late =
+                q.kind.of.lateWeight() == 0 && q.repeatable() && now >= q.arrived + q.kind.of.latencyObjectiveMicros();
         // What failed at the primary may be proven elsewhere before it meets the same fault again.
         if (o.ending() == Ending.ERROR) q.asked = 0;
         if (late || !mayRepeat(now, q) || !spend(o.ending())) giveUp(now, q);
@@ -677,8 +681,8 @@
                 || q.kind.of.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && q.kind.of.deduplicationScope() == DeduplicationScope.ALL;
         long longest = settings.limits().maxRetryAfter();
-        long soon = (long) (COME_BACK * q.kind.of.aim());
-        long back = now + soon < q.arrived + q.kind.of.aim() ? Math.min(longest, soon) : longest;
+        long soon = (long) (COME_BACK * q.kind.of.latencyObjectiveMicros());
+        long back = now + soon < q.arrived + q.kind.of.latencyObjectiveMicros() ? Math.min(longest, soon) : longest;
         if (harmless) actions.refuse(q.request.id(), settings.limits().retryAfter() ? back : 0);
         else actions.fail(q.request.id());
         finish(q);
@@ -746,8 +750,10 @@
         }
         // What was given up when hardly begun, as its request's time ran out, tells nothing of a host.
         boolean givenUp = e == Ending.TIMEOUT || e == Ending.CANCELLED && !q.finished;
-        if (e == Ending.OK || e == Ending.FULL || givenUp && o.latency() >= OVERDUE * k.of.aim()) {
-            double ofAim = e == Ending.OK ? (double) o.latency() / k.of.aim() : ConcurrencyLimit.NOT_IN_TIME;
+        if (e == Ending.OK || e == Ending.FULL || givenUp && o.latency() >= OVERDUE * k.of.latencyObjectiveMicros()) {
+            double ofAim = e == Ending.OK
+                    ? (double) o.latency() / k.of.latencyObjectiveMicros()
+                    : ConcurrencyLimit.NOT_IN_TIME;
             strain(now, h, Math.min(ConcurrencyLimit.NOT_IN_TIME, ofAim), answered, e == Ending.FULL);
         }
     }
@@ -876,7 +882,8 @@
             if (q.finished || q.out == 0) continue;
             Host h = q.tried[q.attempts - 1];
             listen(now, h, patience);
-            long due = Math.max(q.sentAt[q.attempts - 1], awakeSince) + (long) (OVERDUE * q.kind.of.aim());
+            long due = Math.max(q.sentAt[q.attempts - 1], awakeSince)
+                    + (long) (OVERDUE * q.kind.of.latencyObjectiveMicros());
             if (!q.overdue && now >= due) {
                 q.overdue = true;
                 strain(now, h, OVERDUE, true, false);
@@ -935,7 +942,7 @@
         long since = Math.max(q.sentAt[q.attempts - 1], awakeSince);
         double after = k.mean + STUCK * k.deviation;
         if (losesAnswers()) {
-            double left = q.arrived + k.of.aim() - 1.5 * k.mean - since;
+            double left = q.arrived + k.of.latencyObjectiveMicros() - 1.5 * k.mean - since;
             after = Math.min(after, Math.max(k.mean + STUCK_LOSSY * k.deviation, left));
         }
         return since + (long) after;
@@ -1010,9 +1017,9 @@
         // Told no early, a client may yet be served; told late with nothing sent, its time was wasted.
         long unsent = q.arrived + (long) (UNSENT_HELD * q.request.patience());
         long last = q.attempts > 0 ? q.deadline - MARGIN : Math.min(unsent, q.deadline - MARGIN);
-        if (q.needsPrimary() && of.lateWorth() > 0 && !primary) return last;
+        if (q.needsPrimary() && of.lateWeight() > 0 && !primary) return last;
         double part = q.needsPrimary() ? WRITE_WAIT : READ_WAIT;
-        return Math.min(last, q.waitsSince + (long) (part * of.aim()));
+        return Math.min(last, q.waitsSince + (long) (part * of.latencyObjectiveMicros()));
     }
 
     /** Nothing is asked of peers: their messages may be lost, and each router decides on its own. */
--- a/src/main/java/mintstair/decision/SplitterApi.java
+++ b/src/main/java/mintstair/decision/SplitterApi.java
@@ -83,18 +83,18 @@
         FAILED
     }
 
-    /** A class of requests; {@code bound} counts for bounded reads, {@code deduplicationWindowMicros} for keyed requests. */
+    /** A class of requests; {@code maxStalenessMicros} counts for bounded reads, {@code deduplicationWindowMicros} for keyed requests. */
     public record RequestClass(
             String name,
             Consistency consistency,
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
-            long bound,
-            long aim,
-            long deadline,
+            long maxStalenessMicros,
+            long latencyObjectiveMicros,
+            long deadlineMicros,
             long deduplicationWindowMicros,
-            double worth,
-            double lateWorth) {}
+            double priorityWeight,
+            double lateWeight) {}
 
     /** A tenant and the rate, over all routers, up to which its requests are worth their full worth. */
     public record Tenant(String name, double quotaPerSecond) {}
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -82,7 +82,7 @@
 
     /** How long clients wait for an answer of this class, where they do not say, in microseconds. */
     public long deadline(String requestClass) {
-        return classOf(requestClass).deadline();
+        return classOf(requestClass).deadlineMicros();
     }
 
     private RequestClass classOf(String name) {
--- a/src/test/java/mintstair/decision/Bed.java
+++ b/src/test/java/mintstair/decision/Bed.java
@@ -110,12 +110,12 @@
                             c.consistency(),
                             c.idempotency(),
                             c.deduplicationScope(),
-                            c.bound(),
-                            Math.min(c.aim(), deadline),
+                            c.maxStalenessMicros(),
+                            Math.min(c.latencyObjectiveMicros(), deadline),
                             deadline,
                             c.deduplicationWindowMicros() > 0 ? window : 0,
-                            c.worth(),
-                            c.lateWorth()))
+                            c.priorityWeight(),
+                            c.lateWeight()))
                     .toList();
         }
         return new Settings(
--- a/src/test/java/mintstair/decision/DecisionSchedule.java
+++ b/src/test/java/mintstair/decision/DecisionSchedule.java
@@ -171,7 +171,7 @@
         int classIndex = random.nextInt(settings.classes().size());
         long patience = chance(0.03)
                 ? random.nextInt(30_000)
-                : settings.classes().get(classIndex).deadline();
+                : settings.classes().get(classIndex).deadlineMicros();
         String session = chance(0.8) ? "session" + random.nextInt(SESSIONS) : null;
         int tenant = random.nextInt(settings.tenants().size() + 1) - 1;
         long tokenAge = chance(0.5) ? random.nextInt(400_000) : SplitterApi.UNKNOWN;
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -250,12 +250,12 @@
                         c.consistency(),
                         Idempotency.NOT_IDEMPOTENT,
                         c.deduplicationScope(),
-                        c.bound(),
-                        c.aim(),
-                        c.deadline(),
+                        c.maxStalenessMicros(),
+                        c.latencyObjectiveMicros(),
+                        c.deadlineMicros(),
                         c.deduplicationWindowMicros(),
-                        c.worth(),
-                        c.lateWorth()))
+                        c.priorityWeight(),
+                        c.lateWeight()))
                 .toList();
         bed.router.onSettings(bed.now, with(old, unsafe, old.limits()));
         bed.outcome(bed.sendsOf(1).get(0), 0, Ending.RESET);
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -106,12 +106,12 @@
                                                 c.consistency(),
                                                 c.idempotency(),
                                                 c.deduplicationScope(),
-                                                c.bound(),
-                                                20 * c.aim(),
-                                                20 * c.deadline(),
+                                                c.maxStalenessMicros(),
+                                                20 * c.latencyObjectiveMicros(),
+                                                20 * c.deadlineMicros(),
                                                 c.deduplicationWindowMicros(),
-                                                c.worth(),
-                                                c.lateWorth()))
+                                                c.priorityWeight(),
+                                                c.lateWeight()))
                                         .toList(),
                                 old.tenants(),
                                 old.guards()),
