--- a/src/main/java/mintstair/adapter/Wire.java
+++ b/src/main/java/mintstair/adapter/Wire.java
@@ -16,11 +16,11 @@
 import mintstair.config.Json;
 import mintstair.decision.ReadWriteSplitter;
 import mintstair.decision.SplitterApi;
-import mintstair.decision.SplitterApi.Ending;
+import mintstair.decision.SplitterApi.AttemptOutcome;
+import mintstair.decision.SplitterApi.AttemptResult;
 import mintstair.decision.SplitterApi.HostEntry;
 import mintstair.decision.SplitterApi.HostState;
 import mintstair.decision.SplitterApi.ListKind;
-import mintstair.decision.SplitterApi.Outcome;
 import mintstair.decision.SplitterApi.Report;
 import mintstair.decision.SplitterApi.Request;
 import mintstair.decision.SplitterApi.Role;
@@ -180,21 +180,21 @@
         long id = whole();
         int attempt = (int) whole();
         String host = text();
-        Ending ending = ending(text());
+        AttemptOutcome outcome = ending(text());
         long latency = InstanceSettings.toMicros(number(0));
         boolean finished = in.nextToken() == JsonToken.VALUE_TRUE;
         long mark = (long) number(0);
         Role role = (mark & 3) == 1 ? Role.PRIMARY : (mark & 3) == 2 ? Role.REPLICA : Role.UNTOLD;
         long position = mark >> 2 == 0 ? SplitterApi.UNKNOWN : to.env.positionZero + (mark >> 2) * 1000;
-        to.router.onOutcome(now, new Outcome(id, attempt, host, ending, latency, finished, role, position));
+        to.router.onAttemptEnded(now, new AttemptResult(id, attempt, host, outcome, latency, finished, role, position));
     }
 
     private void pingResult() throws IOException {
         Instance to = instance();
-        Ending ending = ending(text());
+        AttemptOutcome outcome = ending(text());
         long latency = InstanceSettings.toMicros(number(0));
         String host = text();
-        to.router.onProbed(now, host, ending, latency, report(to.env));
+        to.router.onProbed(now, host, outcome, latency, report(to.env));
     }
 
     private Report report(InstanceSettings env) throws IOException {
@@ -217,17 +217,17 @@
         return new Report(position, role);
     }
 
-    private static Ending ending(String word) {
+    private static AttemptOutcome ending(String word) {
         return switch (word) {
-            case "pass" -> Ending.OK;
-            case "fault" -> Ending.ERROR;
-            case "no_room" -> Ending.FULL;
-            case "too_slow" -> Ending.TIMEOUT;
-            case "no_route" -> Ending.NO_ROUTE;
-            case "cut" -> Ending.RESET;
-            case "undone" -> Ending.CANCELLED;
-            case "stale_send" -> Ending.MOOT;
-            case "none_here" -> Ending.MISS;
+            case "pass" -> AttemptOutcome.SUCCESS;
+            case "fault" -> AttemptOutcome.ERROR;
+            case "no_room" -> AttemptOutcome.OVERLOADED;
+            case "too_slow" -> AttemptOutcome.TIMEOUT;
+            case "no_route" -> AttemptOutcome.UNREACHABLE;
+            case "cut" -> AttemptOutcome.CONNECTION_RESET;
+            case "undone" -> AttemptOutcome.CANCELLED;
+            case "stale_send" -> AttemptOutcome.NOT_SENT;
+            case "none_here" -> AttemptOutcome.MISDIRECTED;
             default -> throw new WireException("unknown ending " + word);
         };
     }
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -621,7 +621,7 @@
     }
 
     @Override
-    public void onOutcome(long at, Outcome o) {
+    public void onAttemptEnded(long at, AttemptResult o) {
         Open q = open.get(o.id());
         if (q == null || o.attempt() < 0 || o.attempt() >= q.attempts || !q.isOut[o.attempt()]) return;
         Host h = q.tried[o.attempt()];
@@ -643,8 +643,8 @@
         if (q.out == 0) open.remove(q.request.id());
     }
 
-    private void goOn(long now, Open q, Outcome o) {
-        if (!o.ending().neverRan()) {
+    private void goOn(long now, Open q, AttemptResult o) {
+        if (!o.outcome().hadNoEffect()) {
             if (!q.mayHaveRun) q.firstMayHaveRun = q.sentAt[o.attempt()];
             q.mayHaveRun = true;
         }
@@ -652,8 +652,8 @@
         boolean late =
                 q.kind.of.lateWeight() == 0 && q.repeatable() && now >= q.arrived + q.kind.of.latencyObjectiveMicros();
         // What failed at the primary may be proven elsewhere before it meets the same fault again.
-        if (o.ending() == Ending.ERROR) q.asked = 0;
-        if (late || !mayRepeat(now, q) || !spend(o.ending())) giveUp(now, q);
+        if (o.outcome() == AttemptOutcome.ERROR) q.asked = 0;
+        if (late || !mayRepeat(now, q) || !spend(o.outcome())) giveUp(now, q);
         else dispatch(now, q);
     }
 
@@ -669,8 +669,9 @@
     }
 
     /** A called-off attempt was paid for when it was called off. */
-    private boolean spend(Ending e) {
-        if (e == Ending.MISS || e == Ending.MOOT || e == Ending.CANCELLED) return true;
+    private boolean spend(AttemptOutcome e) {
+        if (e == AttemptOutcome.MISDIRECTED || e == AttemptOutcome.NOT_SENT || e == AttemptOutcome.CANCELLED)
+            return true;
         return furtherAttempts.spend();
     }
 
@@ -702,12 +703,15 @@
 
     // ---- what answers and polls tell ----
 
-    private void learn(long now, Host h, Open q, Outcome o) {
-        Ending e = o.ending();
-        boolean answered = e == Ending.OK || e == Ending.ERROR || e == Ending.FULL || e == Ending.MISS;
+    private void learn(long now, Host h, Open q, AttemptResult o) {
+        AttemptOutcome e = o.outcome();
+        boolean answered = e == AttemptOutcome.SUCCESS
+                || e == AttemptOutcome.ERROR
+                || e == AttemptOutcome.OVERLOADED
+                || e == AttemptOutcome.MISDIRECTED;
         if (answered) heard(now, h, true);
-        if (e == Ending.NO_ROUTE) outOfReach(now, h);
-        if (e == Ending.TIMEOUT) h.unanswered++;
+        if (e == AttemptOutcome.UNREACHABLE) outOfReach(now, h);
+        if (e == AttemptOutcome.TIMEOUT) h.unanswered++;
         if (o.role() == Role.PRIMARY) claimPrimary(h, now);
         if (o.role() == Role.REPLICA) isReplica(h, now);
         long sent = q.sentAt[o.attempt()];
@@ -717,44 +721,48 @@
         long lag = positions.present(now) - o.position();
         if (told && o.role() == Role.REPLICA) rise(now, h, o.position(), lag);
         // A checked read that was served proves that its replica had come as far as was asked for.
-        else if (e == Ending.OK && checked && o.role() == Role.REPLICA && need(sent, q) < NO_POSITION) {
+        else if (e == AttemptOutcome.SUCCESS && checked && o.role() == Role.REPLICA && need(sent, q) < NO_POSITION) {
             proven(h, need(sent, q));
         }
-        if (e == Ending.MISS && !write) h.missAt = now;
-        if (e == Ending.FULL) h.fullAt = now;
-        if (e == Ending.OK && write && q.request.session() != null && settings.rememberedTokens()) {
+        if (e == AttemptOutcome.MISDIRECTED && !write) h.missAt = now;
+        if (e == AttemptOutcome.OVERLOADED) h.fullAt = now;
+        if (e == AttemptOutcome.SUCCESS && write && q.request.session() != null && settings.rememberedTokens()) {
             long position = told ? o.position() : positions.present(now);
             tokens.written(now, q.request.session(), position);
         }
         // What came while this router stood still tells nothing of the hosts.
-        if (sent >= awakeSince || e != Ending.TIMEOUT && e != Ending.OK) measure(now, h, q, o, answered);
+        if (sent >= awakeSince || e != AttemptOutcome.TIMEOUT && e != AttemptOutcome.SUCCESS)
+            measure(now, h, q, o, answered);
     }
 
-    private void measure(long now, Host h, Open q, Outcome o, boolean answered) {
-        Ending e = o.ending();
+    private void measure(long now, Host h, Open q, AttemptResult o, boolean answered) {
+        AttemptOutcome e = o.outcome();
         Kind k = q.kind;
         h.health.fade(now);
-        if (e == Ending.OK) {
-            double off = o.latency() - k.mean;
-            h.health.answered(o.latency() / k.mean);
+        if (e == AttemptOutcome.SUCCESS) {
+            double off = o.latencyMicros() - k.mean;
+            h.health.answered(o.latencyMicros() / k.mean);
             k.mean += NEWEST_OF_CLASS * off;
             k.assumed *= 1 - NEWEST_OF_CLASS;
             k.deviation += NEWEST_OF_CLASS * (Math.abs(off) - k.deviation);
         }
-        boolean bad = e == Ending.ERROR || e == Ending.NO_ROUTE || e == Ending.RESET;
-        if (e != Ending.MISS && e != Ending.MOOT && e != Ending.CANCELLED) {
+        boolean bad =
+                e == AttemptOutcome.ERROR || e == AttemptOutcome.UNREACHABLE || e == AttemptOutcome.CONNECTION_RESET;
+        if (e != AttemptOutcome.MISDIRECTED && e != AttemptOutcome.NOT_SENT && e != AttemptOutcome.CANCELLED) {
             h.health.ended(bad);
-            boolean late = o.latency() > k.mean + STUCK * k.deviation;
-            boolean lost = e == Ending.RESET || e == Ending.TIMEOUT && late;
-            if (lost || e == Ending.OK) lossy += 0.5 * NEWEST * ((lost ? 1 : 0) - lossy);
+            boolean late = o.latencyMicros() > k.mean + STUCK * k.deviation;
+            boolean lost = e == AttemptOutcome.CONNECTION_RESET || e == AttemptOutcome.TIMEOUT && late;
+            if (lost || e == AttemptOutcome.SUCCESS) lossy += 0.5 * NEWEST * ((lost ? 1 : 0) - lossy);
         }
         // What was given up when hardly begun, as its request's time ran out, tells nothing of a host.
-        boolean givenUp = e == Ending.TIMEOUT || e == Ending.CANCELLED && !q.finished;
-        if (e == Ending.OK || e == Ending.FULL || givenUp && o.latency() >= OVERDUE * k.of.latencyObjectiveMicros()) {
-            double ofAim = e == Ending.OK
-                    ? (double) o.latency() / k.of.latencyObjectiveMicros()
+        boolean givenUp = e == AttemptOutcome.TIMEOUT || e == AttemptOutcome.CANCELLED && !q.finished;
+        if (e == AttemptOutcome.SUCCESS
+                || e == AttemptOutcome.OVERLOADED
+                || givenUp && o.latencyMicros() >= OVERDUE * k.of.latencyObjectiveMicros()) {
+            double ofAim = e == AttemptOutcome.SUCCESS
+                    ? (double) o.latencyMicros() / k.of.latencyObjectiveMicros()
                     : ConcurrencyLimit.NOT_IN_TIME;
-            strain(now, h, Math.min(ConcurrencyLimit.NOT_IN_TIME, ofAim), answered, e == Ending.FULL);
+            strain(now, h, Math.min(ConcurrencyLimit.NOT_IN_TIME, ofAim), answered, e == AttemptOutcome.OVERLOADED);
         }
     }
 
@@ -817,15 +825,15 @@
     }
 
     @Override
-    public void onProbed(long at, String host, Ending ending, long latency, Report report) {
+    public void onProbed(long at, String host, AttemptOutcome outcome, long latency, Report report) {
         long now = clock(at);
         Host h = hosts.get(host);
         if (h == null) return;
         h.pollOut = false;
-        if (ending == Ending.TIMEOUT || ending == Ending.NO_ROUTE) {
+        if (outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.UNREACHABLE) {
             // A lost poll proves nothing against a host that answered since, or in a stall of this router.
             if (Math.max(h.answeredAt, awakeSince) < h.polledAt) outOfReach(now, h);
-        } else if (ending == Ending.OK && report != null) {
+        } else if (outcome == AttemptOutcome.SUCCESS && report != null) {
             heard(now, h, false);
             if (report.role() == Role.PRIMARY) primaryAt(now, h.group, report.position());
             long age = positions.present(now) - report.position();
@@ -841,10 +849,10 @@
                 isReplica(h, Math.max(reportedAt, now - latency - h.group.reportAge));
                 rise(now, h, report.position(), age);
             }
-        } else if (ending == Ending.RESET) {
+        } else if (outcome == AttemptOutcome.CONNECTION_RESET) {
             // A connection broke under the poll: if the host is lost, the next one will not be made either.
             h.pollDue = Math.min(h.pollDue, now);
-        } else if (ending != Ending.MOOT) { // never sent: it tells nothing
+        } else if (outcome != AttemptOutcome.NOT_SENT) { // never sent: it tells nothing
             // An error is a sign of life, if of nothing else; it must not be asked for again at once.
             h.heardAt = now;
             h.lost = 0;
--- a/src/main/java/mintstair/decision/SplitterApi.java
+++ b/src/main/java/mintstair/decision/SplitterApi.java
@@ -44,20 +44,20 @@
     }
 
     /** How an attempt ended. */
-    public enum Ending {
-        OK,
+    public enum AttemptOutcome {
+        SUCCESS,
         ERROR,
-        FULL,
+        OVERLOADED,
         TIMEOUT,
-        NO_ROUTE,
-        RESET,
+        UNREACHABLE,
+        CONNECTION_RESET,
         CANCELLED,
-        MOOT,
-        MISS;
+        NOT_SENT,
+        MISDIRECTED;
 
         /** Whether it is certain that the host did nothing for it. */
-        public boolean neverRan() {
-            return this == FULL || this == NO_ROUTE || this == MOOT || this == MISS;
+        public boolean hadNoEffect() {
+            return this == OVERLOADED || this == UNREACHABLE || this == NOT_SENT || this == MISDIRECTED;
         }
     }
 
@@ -186,12 +186,12 @@
     public record Report(long position, Role role) {}
 
     /** The end of one attempt; {@code finished} when the request is over with it or was before. */
-    public record Outcome(
+    public record AttemptResult(
             long id,
             int attempt,
             String host,
-            Ending ending,
-            long latency,
+            AttemptOutcome outcome,
+            long latencyMicros,
             boolean finished,
             Role role,
             long position) {}
@@ -211,7 +211,7 @@
         void onRequest(long now, Request request);
 
         /** An attempt ended. */
-        void onOutcome(long now, Outcome outcome);
+        void onAttemptEnded(long now, AttemptResult result);
 
         /** The client left; no answer is owed any more. */
         void onHangUp(long now, long id);
@@ -223,7 +223,7 @@
         void onTimer(long now, String name);
 
         /** A probe ended; {@code report} is null where there is none. */
-        void onProbed(long now, String host, Ending ending, long latency, Report report);
+        void onProbed(long now, String host, AttemptOutcome outcome, long latency, Report report);
 
         /** How many hosts of the list are draining, silent or failing: they get trial requests at most. */
         int avoided(long now);
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -13,12 +13,12 @@
 import mintstair.decision.InvariantMonitor;
 import mintstair.decision.ReadWriteSplitter;
 import mintstair.decision.SplitterApi;
+import mintstair.decision.SplitterApi.AttemptOutcome;
+import mintstair.decision.SplitterApi.AttemptResult;
 import mintstair.decision.SplitterApi.Consistency;
-import mintstair.decision.SplitterApi.Ending;
 import mintstair.decision.SplitterApi.HostEntry;
 import mintstair.decision.SplitterApi.HostState;
 import mintstair.decision.SplitterApi.ListKind;
-import mintstair.decision.SplitterApi.Outcome;
 import mintstair.decision.SplitterApi.Report;
 import mintstair.decision.SplitterApi.Request;
 import mintstair.decision.SplitterApi.RequestClass;
@@ -156,10 +156,10 @@
             }
             t.out--;
             t.over |= e.over();
-            monitor.ended(e.request(), e.attempt(), !ending(e.end()).neverRan());
-            module.onOutcome(
+            monitor.ended(e.request(), e.attempt(), !ending(e.end()).hadNoEffect());
+            module.onAttemptEnded(
                     at,
-                    new Outcome(
+                    new AttemptResult(
                             e.request(),
                             e.attempt(),
                             e.host(),
@@ -246,17 +246,17 @@
     }
 
     /** The one place that says what each end of a connection means to the decisions. */
-    static Ending ending(ConnectionEnd end) {
+    static AttemptOutcome ending(ConnectionEnd end) {
         return switch (end) {
-            case SERVED, SERVED_AND_MORE -> Ending.OK;
-            case MISS -> Ending.MISS;
-            case HOST_ERROR, REPORT_UNREADABLE -> Ending.ERROR;
-            case TURNED_AWAY -> Ending.FULL;
-            case CONNECT_FAILED, CONNECT_TIMEOUT, BROKEN_BEFORE_WRITTEN -> Ending.NO_ROUTE;
-            case BROKEN_AFTER_WRITTEN, GARBLED -> Ending.RESET;
-            case TIMED_OUT -> Ending.TIMEOUT;
-            case CALLED_OFF -> Ending.CANCELLED;
-            case NEVER_SENT -> Ending.MOOT;
+            case SERVED, SERVED_AND_MORE -> AttemptOutcome.SUCCESS;
+            case MISS -> AttemptOutcome.MISDIRECTED;
+            case HOST_ERROR, REPORT_UNREADABLE -> AttemptOutcome.ERROR;
+            case TURNED_AWAY -> AttemptOutcome.OVERLOADED;
+            case CONNECT_FAILED, CONNECT_TIMEOUT, BROKEN_BEFORE_WRITTEN -> AttemptOutcome.UNREACHABLE;
+            case BROKEN_AFTER_WRITTEN, GARBLED -> AttemptOutcome.CONNECTION_RESET;
+            case TIMED_OUT -> AttemptOutcome.TIMEOUT;
+            case CALLED_OFF -> AttemptOutcome.CANCELLED;
+            case NEVER_SENT -> AttemptOutcome.NOT_SENT;
         };
     }
 
--- a/src/test/java/mintstair/decision/Bed.java
+++ b/src/test/java/mintstair/decision/Bed.java
@@ -160,7 +160,7 @@
     }
 
     void poll(String host, long position, Role role) {
-        router.onProbed(now, host, Ending.OK, 500, new Report(position, role));
+        router.onProbed(now, host, AttemptOutcome.SUCCESS, 500, new Report(position, role));
     }
 
     /** Answers all polls that are out, and those asked for upon that, with positions so far back. */
@@ -176,7 +176,7 @@
         for (; answered < probes.size(); answered++) {
             String h = probes.get(answered);
             if (h.equals(lost)) {
-                router.onProbed(now, h, Ending.TIMEOUT, 250 * MS, null);
+                router.onProbed(now, h, AttemptOutcome.TIMEOUT, 250 * MS, null);
             } else {
                 poll(h, now - 50 * MS, h.equals("p") ? Role.PRIMARY : Role.REPLICA);
             }
@@ -195,15 +195,19 @@
         return oneSession ? "session" : "session " + seed + "/" + id;
     }
 
-    void outcome(Sent s, int attempt, Ending ending, Role role, long position) {
-        router.onOutcome(
-                now, new Outcome(s.id, attempt, s.host, ending, now - s.at, ending == Ending.OK, role, position));
+    void outcome(Sent s, int attempt, AttemptOutcome outcome, Role role, long position) {
+        router.onAttemptEnded(
+                now,
+                new AttemptResult(
+                        s.id, attempt, s.host, outcome, now - s.at, outcome == AttemptOutcome.SUCCESS, role, position));
     }
 
-    void outcome(Sent s, int attempt, Ending ending) {
+    void outcome(Sent s, int attempt, AttemptOutcome outcome) {
         Role role = s.host.equals("p") ? Role.PRIMARY : Role.REPLICA;
-        boolean tells = ending == Ending.OK || ending == Ending.ERROR || ending == Ending.FULL;
-        outcome(s, attempt, ending, tells ? role : Role.UNTOLD, SplitterApi.UNKNOWN);
+        boolean tells = outcome == AttemptOutcome.SUCCESS
+                || outcome == AttemptOutcome.ERROR
+                || outcome == AttemptOutcome.OVERLOADED;
+        outcome(s, attempt, outcome, tells ? role : Role.UNTOLD, SplitterApi.UNKNOWN);
     }
 
     /** Lets time go on in ticks, without any event but the timers. */
--- a/src/test/java/mintstair/decision/ColdRampTest.java
+++ b/src/test/java/mintstair/decision/ColdRampTest.java
@@ -103,7 +103,7 @@
                 long[] next = due.poll();
                 bed.now = Math.max(bed.now, next[0]);
                 Bed.Sent s = bed.sends.get((int) next[1]);
-                bed.outcome(s, bed.sendsOf(s.id()).indexOf(s), Ending.OK);
+                bed.outcome(s, bed.sendsOf(s.id()).indexOf(s), AttemptOutcome.SUCCESS);
             }
             if (at - bed.now > 20 * MS) {
                 bed.now = at;
--- a/src/test/java/mintstair/decision/DecisionSchedule.java
+++ b/src/test/java/mintstair/decision/DecisionSchedule.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
-import mintstair.decision.SplitterApi.Ending;
+import mintstair.decision.SplitterApi.AttemptOutcome;
+import mintstair.decision.SplitterApi.AttemptResult;
 import mintstair.decision.SplitterApi.Fleet;
 import mintstair.decision.SplitterApi.HostEntry;
 import mintstair.decision.SplitterApi.HostState;
 import mintstair.decision.SplitterApi.ListKind;
-import mintstair.decision.SplitterApi.Outcome;
 import mintstair.decision.SplitterApi.ReadCheck;
 import mintstair.decision.SplitterApi.Report;
 import mintstair.decision.SplitterApi.Request;
@@ -305,8 +305,8 @@
         long sentAt = now;
         long latency = latency(host);
         boolean late = now + latency > until;
-        Ending ending = late ? Ending.TIMEOUT : ending(host, open);
-        after(late ? until - now : latency, () -> end(key, ending, sentAt));
+        AttemptOutcome outcome = late ? AttemptOutcome.TIMEOUT : ending(host, open);
+        after(late ? until - now : latency, () -> end(key, outcome, sentAt));
     }
 
     private long latency(SimulatedHost host) {
@@ -319,38 +319,42 @@
         };
     }
 
-    private Ending ending(SimulatedHost host, OpenRequest open) {
+    private AttemptOutcome ending(SimulatedHost host, OpenRequest open) {
         if (host.group < 0 || host.mode == Mode.DOWN) {
-            return chance(0.8) ? Ending.NO_ROUTE : Ending.RESET;
+            return chance(0.8) ? AttemptOutcome.UNREACHABLE : AttemptOutcome.CONNECTION_RESET;
         }
         if (host.mode == Mode.CROWDED && chance(0.5)) {
-            return Ending.FULL;
+            return AttemptOutcome.OVERLOADED;
         }
         if (host.mode == Mode.FAILING && chance(0.6)) {
-            return Ending.ERROR;
+            return AttemptOutcome.ERROR;
         }
         if (settings.readCheck() != ReadCheck.NONE && host.lag > 150 * MS && open.request.classIndex() < 2) {
-            return Ending.MISS;
+            return AttemptOutcome.MISDIRECTED;
         }
         if (chance(0.01)) {
-            return chance(0.5) ? Ending.RESET : Ending.MOOT;
+            return chance(0.5) ? AttemptOutcome.CONNECTION_RESET : AttemptOutcome.NOT_SENT;
         }
-        return Ending.OK;
+        return AttemptOutcome.SUCCESS;
     }
 
-    private void end(AttemptKey key, Ending ending, long sentAt) {
+    private void end(AttemptKey key, AttemptOutcome outcome, long sentAt) {
         SimulatedHost host = attemptsOut.remove(key);
         if (host == null) {
             return;
         }
         OpenRequest open = requests.get(key.id());
-        boolean answered =
-                ending == Ending.OK || ending == Ending.ERROR || ending == Ending.FULL || ending == Ending.MISS;
-        open.over |= ending == Ending.OK;
+        boolean answered = outcome == AttemptOutcome.SUCCESS
+                || outcome == AttemptOutcome.ERROR
+                || outcome == AttemptOutcome.OVERLOADED
+                || outcome == AttemptOutcome.MISDIRECTED;
+        open.over |= outcome == AttemptOutcome.SUCCESS;
         Role role = answered && chance(0.9) ? role(host) : Role.UNTOLD;
         long position = answered && chance(0.7) ? position(host) : SplitterApi.UNKNOWN;
-        router.onOutcome(
-                now, new Outcome(key.id(), key.attempt(), host.name, ending, now - sentAt, open.over, role, position));
+        router.onAttemptEnded(
+                now,
+                new AttemptResult(
+                        key.id(), key.attempt(), host.name, outcome, now - sentAt, open.over, role, position));
     }
 
     private Role role(SimulatedHost host) {
@@ -365,7 +369,7 @@
     public void cancel(long id, int attempt) {
         note("cancel " + id + " " + attempt);
         long sentAt = now;
-        after(MS, () -> end(new AttemptKey(id, attempt), Ending.CANCELLED, sentAt));
+        after(MS, () -> end(new AttemptKey(id, attempt), AttemptOutcome.CANCELLED, sentAt));
     }
 
     @Override
@@ -385,15 +389,17 @@
         note("probe " + name);
         SimulatedHost host = hosts.get(name);
         if (host == null || host.mode == Mode.DOWN || host.mode == Mode.HUNG && chance(0.5)) {
-            Ending ending = chance(0.7) ? Ending.NO_ROUTE : chance(0.5) ? Ending.TIMEOUT : Ending.RESET;
-            after(OUT_OF_REACH_AFTER, () -> router.onProbed(now, name, ending, OUT_OF_REACH_AFTER, null));
+            AttemptOutcome outcome = chance(0.7)
+                    ? AttemptOutcome.UNREACHABLE
+                    : chance(0.5) ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECTION_RESET;
+            after(OUT_OF_REACH_AFTER, () -> router.onProbed(now, name, outcome, OUT_OF_REACH_AFTER, null));
         } else if (chance(0.03)) {
-            Ending ending = chance(0.5) ? Ending.ERROR : Ending.MOOT;
-            after(MS, () -> router.onProbed(now, name, ending, MS, null));
+            AttemptOutcome outcome = chance(0.5) ? AttemptOutcome.ERROR : AttemptOutcome.NOT_SENT;
+            after(MS, () -> router.onProbed(now, name, outcome, MS, null));
         } else {
             long latency = MS + random.nextInt(2_000);
             Report report = new Report(chance(0.95) ? position(host) : SplitterApi.UNKNOWN, role(host));
-            after(latency, () -> router.onProbed(now, name, Ending.OK, latency, report));
+            after(latency, () -> router.onProbed(now, name, AttemptOutcome.SUCCESS, latency, report));
         }
     }
 
--- a/src/test/java/mintstair/decision/EmbeddingTest.java
+++ b/src/test/java/mintstair/decision/EmbeddingTest.java
@@ -99,13 +99,14 @@
                 List.of(
                         new HostEntry("db1", false, "here", 0, HostState.READY, 1, 0),
                         new HostEntry("db2", false, "here", 0, HostState.READY, 1, 0)));
-        router.onProbed(now, "db1", Ending.OK, 300, new Report(now, Role.PRIMARY));
-        router.onProbed(now, "db2", Ending.OK, 300, new Report(now, Role.REPLICA));
+        router.onProbed(now, "db1", AttemptOutcome.SUCCESS, 300, new Report(now, Role.PRIMARY));
+        router.onProbed(now, "db2", AttemptOutcome.SUCCESS, 300, new Report(now, Role.REPLICA));
         router.onRequest(now, new Request(1, 0, 0, "ann", -1, false, 3_000_000, SplitterApi.UNKNOWN));
         now += 40_000;
-        router.onOutcome(now, new Outcome(1, 0, "db1", Ending.OK, 40_000, true, Role.PRIMARY, now));
+        router.onAttemptEnded(
+                now, new AttemptResult(1, 0, "db1", AttemptOutcome.SUCCESS, 40_000, true, Role.PRIMARY, now));
         router.onRequest(now, new Request(2, 1, 0, "ann", -1, false, 1_200_000, SplitterApi.UNKNOWN));
-        router.onProbed(now, "db2", Ending.OK, 300, new Report(now, Role.REPLICA));
+        router.onProbed(now, "db2", AttemptOutcome.SUCCESS, 300, new Report(now, Role.REPLICA));
         router.onRequest(now, new Request(3, 1, 0, "ann", -1, false, 1_200_000, SplitterApi.UNKNOWN));
         assertEquals(List.of("send 1 to db1", "send 2 to db2", "send 3 to db2"), actions.asked);
     }
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -148,7 +148,7 @@
                     bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, SplitterApi.UNKNOWN);
                 }
                 for (Bed.Sent sent : List.copyOf(bed.sendsOf(i - i % 20))) {
-                    bed.outcome(sent, 0, SplitterApi.Ending.OK);
+                    bed.outcome(sent, 0, SplitterApi.AttemptOutcome.SUCCESS);
                 }
                 bed.pass(20_000);
             }
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -106,7 +106,7 @@
                 if (bed.sendsOf(1_000 + i).isEmpty()) bed.answerPolls(10 * MS);
                 if (bed.sendsOf(1_000 + i).isEmpty()) continue;
                 boolean lost = bed.last().host().equals("r1");
-                bed.outcome(bed.last(), 0, lost ? Ending.NO_ROUTE : Ending.OK);
+                bed.outcome(bed.last(), 0, lost ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             }
             bed.sends.clear();
             bed.request(1, Bed.ANY);
@@ -153,7 +153,7 @@
             bed.now += 5_000 * MS;
             int before = bed.probes.size();
             bed.request(1, Bed.BOUNDED);
-            if (!bed.sends.isEmpty()) bed.outcome(bed.last(), 0, Ending.OK);
+            if (!bed.sends.isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
             bed.request(2, Bed.SESSION, 1200 * MS, 5 * MS);
             polls += bed.probes.size() - before;
         }
@@ -175,7 +175,7 @@
             bed.request(i, Bed.BOUNDED);
             bed.answerPolls(30 * MS);
             bed.pass(5 * MS);
-            if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, Ending.OK);
+            if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
         }
         long primary = bed.sends.stream()
                 .filter(s -> s.id() >= 100 && s.host().equals("p"))
@@ -194,7 +194,7 @@
                 bed.answerPolls(5_000 * MS);
                 bed.answerPolls(5_000 * MS);
                 if (i == 30) bed.sends.clear();
-                if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, Ending.OK);
+                if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
                 bed.pass(200 * MS);
             }
         }
@@ -233,7 +233,7 @@
         bed.request(100, Bed.UNSAFE_WRITE);
         bed.request(101, Bed.KEYED_WRITE);
         assertEquals(full, bed.sends.size());
-        bed.outcome(bed.sends.get(0), 0, Ending.OK);
+        bed.outcome(bed.sends.get(0), 0, AttemptOutcome.SUCCESS);
         assertTrue(bed.sends.size() > full);
         assertEquals(101, bed.sends.get(full).id(), "4 in 0.75 s before 4 in 1 s");
     }
@@ -258,16 +258,16 @@
                         c.lateWeight()))
                 .toList();
         bed.router.onSettings(bed.now, with(old, unsafe, old.limits()));
-        bed.outcome(bed.sendsOf(1).get(0), 0, Ending.RESET);
+        bed.outcome(bed.sendsOf(1).get(0), 0, AttemptOutcome.CONNECTION_RESET);
         assertEquals(2, bed.sendsOf(1).size());
         bed.request(2, Bed.ANY);
-        bed.outcome(bed.sendsOf(2).get(0), 0, Ending.RESET);
+        bed.outcome(bed.sendsOf(2).get(0), 0, AttemptOutcome.CONNECTION_RESET);
         assertEquals(1, bed.sendsOf(2).size());
         assertEquals(List.of(2L), bed.failed);
         bed.request(3, Bed.ANY);
         bed.router.onSettings(
                 bed.now, with(old, old.classes(), new Limits(1, true, true, false, true, true, 500 * MS)));
-        bed.outcome(bed.sendsOf(3).get(0), 0, Ending.NO_ROUTE);
+        bed.outcome(bed.sendsOf(3).get(0), 0, AttemptOutcome.UNREACHABLE);
         assertEquals(1, bed.sendsOf(3).size());
         assertThrows(
                 IllegalArgumentException.class,
@@ -310,7 +310,10 @@
             bed.loseOrAnswerPolls("r2");
             bed.now += 100 * MS;
             if (!bed.sendsOf(1_000 + i).isEmpty()) {
-                bed.outcome(bed.last(), 0, bed.last().host().equals("r2") ? Ending.NO_ROUTE : Ending.OK);
+                bed.outcome(
+                        bed.last(),
+                        0,
+                        bed.last().host().equals("r2") ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             }
         }
         assertEquals(2, bed.router.avoided(bed.now));
@@ -327,7 +330,7 @@
         for (int i = 0; i < 30; i++) {
             bed.request(i, Bed.ANY);
             bed.answerPolls(10 * MS);
-            bed.outcome(bed.sendsOf(i).get(0), 0, Ending.OK);
+            bed.outcome(bed.sendsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
             bed.now += 300 * MS;
         }
         assertEquals(30, bed.sends.size());
@@ -364,7 +367,7 @@
                 new HostEntry("r2", false, "z", 7, HostState.READY, 1, 0));
         for (int i = 0; i < 60; i++) {
             bed.request(i, Bed.ANY);
-            bed.outcome(bed.last(), 0, Ending.OK);
+            bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
         }
         assertTrue(bed.sends.stream().noneMatch(s -> s.host().equals("r2")));
     }
@@ -376,10 +379,10 @@
         int polls = 0;
         for (int i = 0; i < 400; i++) {
             bed.request(i, Bed.ANY);
-            if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, Ending.OK);
+            if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
             bed.pass(20 * MS);
             for (; bed.answered < bed.probes.size(); bed.answered++, polls++) {
-                bed.router.onProbed(bed.now, bed.probes.get(bed.answered), Ending.ERROR, MS, null);
+                bed.router.onProbed(bed.now, bed.probes.get(bed.answered), AttemptOutcome.ERROR, MS, null);
             }
         }
         assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("silent")), bed.logs.toString());
@@ -405,9 +408,10 @@
                 }
             }
             List<Bed.Sent> mine = bed.sendsOf(i);
-            if (good >= 0) bed.outcome(mine.get(good), good, Ending.OK);
+            if (good >= 0) bed.outcome(mine.get(good), good, AttemptOutcome.SUCCESS);
             for (int k = 0; k < mine.size(); k++) {
-                if (k != good) bed.outcome(mine.get(k), k, good < 0 ? Ending.TIMEOUT : Ending.CANCELLED);
+                if (k != good)
+                    bed.outcome(mine.get(k), k, good < 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.CANCELLED);
             }
             inTime += i >= 200 && good >= 0 ? 1 : 0;
         }
@@ -436,8 +440,10 @@
             Bed.Sent s = bed.last();
             long time = s.host().equals("r1") ? 150 * MS : 30 * MS;
             bed.now += 30 * MS;
-            bed.router.onOutcome(
-                    bed.now, new Outcome(i, 0, s.host(), Ending.OK, time, true, Role.REPLICA, SplitterApi.UNKNOWN));
+            bed.router.onAttemptEnded(
+                    bed.now,
+                    new AttemptResult(
+                            i, 0, s.host(), AttemptOutcome.SUCCESS, time, true, Role.REPLICA, SplitterApi.UNKNOWN));
             if (i == 300) bed.sends.clear();
         }
         long slow = bed.sends.stream().filter(s -> s.host().equals("r1")).count();
@@ -475,7 +481,7 @@
         assertTrue(bed.sends.isEmpty());
         assertEquals(List.of("p"), bed.probes);
         bed.now += 20 * MS;
-        bed.router.onProbed(bed.now, "p", Ending.OK, MS, new Report(bed.now, Role.PRIMARY));
+        bed.router.onProbed(bed.now, "p", AttemptOutcome.SUCCESS, MS, new Report(bed.now, Role.PRIMARY));
         assertEquals("p", bed.last().host());
     }
 
@@ -491,7 +497,7 @@
             for (int i = 0; i < 10; i++) {
                 bed.request(i, Bed.UNSAFE_WRITE);
                 bed.now += 600 * MS;
-                if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.sendsOf(i).get(0), 0, Ending.OK);
+                if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.sendsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
                 bed.poll("p", bed.now, Role.PRIMARY);
             }
             bed.sends.clear();
@@ -509,7 +515,7 @@
             for (int i = 0; i < 12; i++) {
                 bed.request(i, Bed.ANY);
                 for (int k = 0; k < bed.sendsOf(i).size(); k++)
-                    bed.outcome(bed.sendsOf(i).get(k), k, Ending.FULL);
+                    bed.outcome(bed.sendsOf(i).get(k), k, AttemptOutcome.OVERLOADED);
                 bed.pass(120 * MS);
             }
             bed.sends.clear();
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -168,7 +168,7 @@
             for (int id = 0; id < 40 && i == 1; id++) {
                 bed.router.onRequest(bed.now, read(id, 0));
                 bed.router.onHangUp(bed.now, id);
-                bed.sendsOf(id).forEach(s -> bed.outcome(s, 0, Ending.OK));
+                bed.sendsOf(id).forEach(s -> bed.outcome(s, 0, AttemptOutcome.SUCCESS));
             }
             bed.sends.clear();
             for (int id = 100; id < 300; id++) {
@@ -207,8 +207,8 @@
         assertEquals(List.of(1L, 3L), bed.refused);
         assertEquals(List.of(2L), bed.failed, "it may have run");
         int sends = bed.sends.size();
-        bed.outcome(bed.sendsOf(1).get(0), 0, Ending.RESET);
-        bed.outcome(bed.sendsOf(2).get(0), 0, Ending.NO_ROUTE);
+        bed.outcome(bed.sendsOf(1).get(0), 0, AttemptOutcome.CONNECTION_RESET);
+        bed.outcome(bed.sendsOf(2).get(0), 0, AttemptOutcome.UNREACHABLE);
         bed.state("p", HostState.READY);
         bed.pass(500 * MS);
         assertEquals(sends, bed.sends.size(), "nothing is sent for what was answered");
--- a/src/test/java/mintstair/decision/RulesTest.java
+++ b/src/test/java/mintstair/decision/RulesTest.java
@@ -32,7 +32,7 @@
         Bed.Sent first = bed.last();
         bed.pass(2_000 * MS);
         int before = bed.sendsOf(1).size();
-        bed.outcome(first, 0, Ending.OK);
+        bed.outcome(first, 0, AttemptOutcome.SUCCESS);
         bed.state("p", HostState.READY);
         bed.pass(500 * MS);
         assertEquals(before, bed.sendsOf(1).size());
@@ -44,13 +44,15 @@
         Bed bed = new Bed().start().group();
         bed.request(1, Bed.UNSAFE_WRITE, 500 * MS, SplitterApi.UNKNOWN);
         bed.now += 500 * MS;
-        bed.outcome(bed.last(), 0, Ending.TIMEOUT);
+        bed.outcome(bed.last(), 0, AttemptOutcome.TIMEOUT);
         assertEquals(1, bed.failed.size());
     }
 
     @Test
     void unsafeWriteIsNeverResentNorRefusedOnceItMayHaveRun() {
-        for (Ending e : new Ending[] {Ending.ERROR, Ending.TIMEOUT, Ending.RESET, Ending.CANCELLED}) {
+        for (AttemptOutcome e : new AttemptOutcome[] {
+            AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECTION_RESET, AttemptOutcome.CANCELLED
+        }) {
             Bed bed = new Bed().start().group();
             bed.request(1, Bed.UNSAFE_WRITE);
             bed.now += 50 * MS;
@@ -63,7 +65,7 @@
 
     @Test
     void unsafeWriteThatNeverRanGoesOutAgain() {
-        for (Ending e : new Ending[] {Ending.FULL, Ending.NO_ROUTE}) {
+        for (AttemptOutcome e : new AttemptOutcome[] {AttemptOutcome.OVERLOADED, AttemptOutcome.UNREACHABLE}) {
             Bed bed = new Bed().start().group();
             bed.request(1, Bed.UNSAFE_WRITE);
             bed.now += 20 * MS;
@@ -78,7 +80,7 @@
         Bed bed = new Bed().start().group();
         bed.request(1, Bed.UNSAFE_WRITE);
         bed.now += 20 * MS;
-        bed.outcome(bed.last(), 0, Ending.MISS, Role.REPLICA, SplitterApi.UNKNOWN);
+        bed.outcome(bed.last(), 0, AttemptOutcome.MISDIRECTED, Role.REPLICA, SplitterApi.UNKNOWN);
         assertEquals(1, bed.sends.size());
         bed.now += 500 * MS;
         bed.poll("r2", bed.now, Role.PRIMARY);
@@ -91,10 +93,10 @@
         Bed bed = new Bed().start().group();
         bed.request(1, Bed.KEYED_WRITE);
         bed.now += 400 * MS;
-        bed.outcome(bed.last(), 0, Ending.ERROR);
+        bed.outcome(bed.last(), 0, AttemptOutcome.ERROR);
         assertEquals(2, bed.sends.size());
         bed.now += 600 * MS;
-        bed.outcome(bed.last(), 1, Ending.ERROR);
+        bed.outcome(bed.last(), 1, AttemptOutcome.ERROR);
         assertEquals(2, bed.sends.size());
         assertEquals(1, bed.failed.size());
         assertTrue(bed.refused.isEmpty());
@@ -106,7 +108,7 @@
         bed.request(1, Bed.KEYED_WRITE, 4_000 * MS, SplitterApi.UNKNOWN);
         Bed.Sent first = bed.last();
         bed.now += 100 * MS;
-        bed.outcome(first, 0, Ending.ERROR, Role.REPLICA, SplitterApi.UNKNOWN);
+        bed.outcome(first, 0, AttemptOutcome.ERROR, Role.REPLICA, SplitterApi.UNKNOWN);
         assertEquals(1, bed.sends.size());
         bed.now += 2_000 * MS;
         bed.poll("r2", bed.now, Role.PRIMARY);
@@ -120,14 +122,19 @@
     void shortestDeadlinesAndWindowsKeepTheRules() {
         for (long deadline : new long[] {1, 5, 20, 60, 300}) {
             for (long window : new long[] {1, 5, 50}) {
-                for (Ending end : new Ending[] {Ending.ERROR, Ending.RESET, Ending.FULL, Ending.TIMEOUT}) {
+                for (AttemptOutcome end : new AttemptOutcome[] {
+                    AttemptOutcome.ERROR,
+                    AttemptOutcome.CONNECTION_RESET,
+                    AttemptOutcome.OVERLOADED,
+                    AttemptOutcome.TIMEOUT
+                }) {
                     shortTimes(deadline * MS, window * MS, end);
                 }
             }
         }
     }
 
-    private static void shortTimes(long deadline, long window, Ending end) {
+    private static void shortTimes(long deadline, long window, AttemptOutcome end) {
         Bed bed = new Bed();
         bed.deadline = deadline;
         bed.window = window;
@@ -152,7 +159,7 @@
         assertTrue(
                 bed.sends.stream().allMatch(s -> s.at() <= began + deadline && s.abandonAt() <= began + deadline),
                 what + ": " + bed.sends);
-        if (end != Ending.FULL) {
+        if (end != AttemptOutcome.OVERLOADED) {
             assertTrue(bed.sendsOf(Bed.UNSAFE_WRITE).size() <= 1, what);
             List<Bed.Sent> keyed = bed.sendsOf(Bed.KEYED_WRITE);
             assertTrue(keyed.stream().allMatch(s -> s.at() <= keyed.get(0).at() + window), what + ": " + keyed);
@@ -160,8 +167,8 @@
     }
 
     /** An attempt that is not abandoned before is over with its request. */
-    private static long endOf(Bed.Sent sent, Ending end, long over) {
-        return end != Ending.TIMEOUT ? sent.at() + 2 * MS : sent.abandonAt() > 0 ? sent.abandonAt() : over;
+    private static long endOf(Bed.Sent sent, AttemptOutcome end, long over) {
+        return end != AttemptOutcome.TIMEOUT ? sent.at() + 2 * MS : sent.abandonAt() > 0 ? sent.abandonAt() : over;
     }
 
     /** It waits for its next attempt, for a second copy, or for a primary: whatever comes then, nothing begins for it. */
@@ -172,7 +179,7 @@
         Bed.Sent first = bed.last();
         bed.request(2, Bed.ANY);
         bed.now += 5 * MS;
-        bed.outcome(bed.last(), 0, Ending.FULL);
+        bed.outcome(bed.last(), 0, AttemptOutcome.OVERLOADED);
         bed.state("p", HostState.GONE);
         bed.request(3, Bed.UNSAFE_WRITE);
         assertTrue(bed.sendsOf(3).isEmpty(), "there is no primary");
@@ -181,7 +188,7 @@
             bed.router.onHangUp(bed.now, id);
         }
         bed.pass(300 * MS);
-        bed.outcome(first, 0, Ending.ERROR);
+        bed.outcome(first, 0, AttemptOutcome.ERROR);
         bed.poll("r1", bed.now, Role.PRIMARY);
         bed.pass(1_000 * MS);
         assertEquals(before, bed.sends.size());
@@ -248,7 +255,7 @@
                 cold += bed.last().host().equals("r1") ? 1 : 0;
                 Bed.Sent s = bed.last();
                 bed.now += 1;
-                bed.outcome(s, 0, Ending.OK);
+                bed.outcome(s, 0, AttemptOutcome.SUCCESS);
             }
         }
         assertTrue(all > 300, "sent " + all);
@@ -262,7 +269,7 @@
         Bed.Sent first = bed.last();
         assertNotEquals("p", first.host());
         bed.now += 300 * MS;
-        bed.outcome(first, 0, Ending.FULL, Role.UNTOLD, SplitterApi.UNKNOWN);
+        bed.outcome(first, 0, AttemptOutcome.OVERLOADED, Role.UNTOLD, SplitterApi.UNKNOWN);
         bed.answerPolls(250 * MS);
         assertEquals(2, bed.sends.size());
         assertEquals("p", bed.last().host(), "no replica is known within the bound of the second send");
@@ -288,7 +295,7 @@
         bed.start().group();
         bed.request(1, Bed.UNSAFE_WRITE);
         bed.now += 100 * MS;
-        bed.outcome(bed.last(), 0, Ending.OK, Role.PRIMARY, bed.now);
+        bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS, Role.PRIMARY, bed.now);
         bed.request(2, Bed.SESSION);
         bed.answerPolls(50 * MS);
         assertEquals("p", bed.last().host());
@@ -314,7 +321,7 @@
         bed.router.onRequest(
                 bed.now, new Request(1, Bed.ANY, 0, "s", -1, false, 1000 * Bed.MS, SplitterApi.UNKNOWN, "r2"));
         assertEquals("r2", bed.last().host());
-        bed.outcome(bed.last(), 0, Ending.RESET);
+        bed.outcome(bed.last(), 0, AttemptOutcome.CONNECTION_RESET);
         assertEquals(List.of(1L), bed.failed);
         bed.router.onRequest(bed.now, new Request(2, Bed.SESSION, 0, "s", -1, false, 1000 * Bed.MS, -5000, "r2"));
         bed.pass(500 * Bed.MS);
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/SplitterTest.java
@@ -23,7 +23,7 @@
         for (int i = 0; i < 300; i++) {
             bed.request(i, Bed.ANY);
             bed.pass(60 * MS);
-            bed.outcome(bed.last(), 0, Ending.OK);
+            bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
         }
         for (String r : List.of("r1", "r2", "r3")) {
             long n = bed.sends.stream().filter(s -> s.host().equals(r)).count();
@@ -75,7 +75,7 @@
         bed.now += 250 * MS;
         bed.request(1, Bed.BOUNDED);
         assertNotEquals("p", bed.last().host());
-        bed.outcome(bed.last(), 0, Ending.MISS, Role.REPLICA, SplitterApi.UNKNOWN);
+        bed.outcome(bed.last(), 0, AttemptOutcome.MISDIRECTED, Role.REPLICA, SplitterApi.UNKNOWN);
         assertEquals(2, bed.sends.size());
         assertNotEquals(bed.sends.get(0).host(), bed.sends.get(1).host());
     }
@@ -113,7 +113,7 @@
             bed.request(i, i % 5);
             bed.pass(20 * MS);
             if (i % 3 == 0) {
-                bed.outcome(bed.last(), bed.sendsOf(bed.last().id()).size() - 1, Ending.OK);
+                bed.outcome(bed.last(), bed.sendsOf(bed.last().id()).size() - 1, AttemptOutcome.SUCCESS);
             }
         }
         return bed.trace.toString();
@@ -128,7 +128,10 @@
             bed.loseOrAnswerPolls("r1");
             bed.now += 100 * MS;
             if (!bed.sendsOf(1_000 + i).isEmpty()) {
-                bed.outcome(bed.last(), 0, bed.last().host().equals("r1") ? Ending.NO_ROUTE : Ending.OK);
+                bed.outcome(
+                        bed.last(),
+                        0,
+                        bed.last().host().equals("r1") ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             }
         }
         assertTrue(bed.logs.contains("silent r1: out of reach"), bed.logs.toString());
@@ -138,11 +141,12 @@
             bed.loseOrAnswerPolls("r1");
             bed.now += 40 * MS;
             boolean lost = bed.last().host().equals("r1");
-            if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, lost ? Ending.NO_ROUTE : Ending.OK);
+            if (!bed.sendsOf(i).isEmpty())
+                bed.outcome(bed.last(), 0, lost ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
         }
         assertTrue(bed.sends.size() >= 195, "sent " + bed.sends.size());
         assertTrue(bed.sends.stream().filter(s -> s.host().equals("r1")).count() < 10);
-        bed.router.onProbed(bed.now, "r1", Ending.OK, 1 * MS, new Report(bed.now, Role.REPLICA));
+        bed.router.onProbed(bed.now, "r1", AttemptOutcome.SUCCESS, 1 * MS, new Report(bed.now, Role.REPLICA));
         assertTrue(bed.logs.contains("cold r1: ramp from its start"), bed.logs.toString());
     }
 
@@ -155,9 +159,9 @@
             bed.outcome(
                     bed.last(),
                     bed.sendsOf(bed.last().id()).size() - 1,
-                    bed.last().host().equals("r2") ? Ending.NO_ROUTE : Ending.OK);
+                    bed.last().host().equals("r2") ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             // A poll that was not even sent is no sign of life.
-            bed.router.onProbed(bed.now, "r2", Ending.MOOT, 0, null);
+            bed.router.onProbed(bed.now, "r2", AttemptOutcome.NOT_SENT, 0, null);
         }
         assertTrue(bed.logs.contains("silent r2: out of reach"), bed.logs.toString());
     }
@@ -168,7 +172,7 @@
         Bed bed = new Bed().start().group();
         for (int i = 0; i < 5; i++) {
             bed.now += 100 * MS;
-            bed.router.onProbed(bed.now, "r1", Ending.RESET, MS, null);
+            bed.router.onProbed(bed.now, "r1", AttemptOutcome.CONNECTION_RESET, MS, null);
         }
         bed.poll("r1", bed.now, Role.REPLICA);
         assertTrue(bed.logs.stream().noneMatch(line -> line.contains("r1")), bed.logs.toString());
@@ -186,8 +190,8 @@
         bed.now += 11_000 * MS;
         bed.state("r1", HostState.READY);
         bed.logs.clear();
-        bed.router.onProbed(bed.now, "new7", Ending.NO_ROUTE, MS, null);
-        bed.router.onProbed(bed.now, "new7", Ending.NO_ROUTE, MS, null);
+        bed.router.onProbed(bed.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
+        bed.router.onProbed(bed.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
         assertTrue(bed.logs.isEmpty(), "nothing is known of it any more");
     }
 
@@ -211,7 +215,7 @@
         Bed late = new Bed().start().group();
         late.request(1, Bed.ANY);
         late.now += 250 * MS;
-        late.outcome(late.last(), 0, Ending.TIMEOUT, Role.UNTOLD, SplitterApi.UNKNOWN);
+        late.outcome(late.last(), 0, AttemptOutcome.TIMEOUT, Role.UNTOLD, SplitterApi.UNKNOWN);
         assertEquals(List.of(500 * MS), late.comeBacks);
     }
 
@@ -245,7 +249,7 @@
         bed.answerPolls(300 * MS);
         bed.now += 40 * MS;
         int polls = bed.probes.size();
-        bed.outcome(bed.last(), 0, Ending.ERROR);
+        bed.outcome(bed.last(), 0, AttemptOutcome.ERROR);
         assertTrue(bed.probes.size() > polls);
         assertEquals(1, bed.sends.size());
         bed.answerPolls(10 * MS);
@@ -276,8 +280,10 @@
                 bed.router.onRequest(bed.now, new Request(i, Bed.SESSION, 1, "s" + i, 0, false, 1200 * MS, 5 * MS));
                 bed.now += latency;
                 if (!bed.sends.isEmpty() && bed.last().id() == i) {
-                    bed.router.onOutcome(
-                            bed.now, new Outcome(i, 0, "p1", Ending.OK, latency, true, Role.PRIMARY, bed.now));
+                    bed.router.onAttemptEnded(
+                            bed.now,
+                            new AttemptResult(
+                                    i, 0, "p1", AttemptOutcome.SUCCESS, latency, true, Role.PRIMARY, bed.now));
                 }
             }
             bed.router.onRequest(bed.now, new Request(99, Bed.SESSION, 0, "of " + n, 0, false, 1200 * MS, 5 * MS));
@@ -349,11 +355,12 @@
         Bed bed = new Bed().start().group();
         bed.router.onHangUp(bed.now, 99);
         bed.router.onTimer(bed.now, "unheard of");
-        bed.router.onProbed(bed.now, "stranger", Ending.OK, 1, null);
-        bed.router.onOutcome(bed.now, new Outcome(99, 0, "p", Ending.OK, 1, true, Role.PRIMARY, 0));
+        bed.router.onProbed(bed.now, "stranger", AttemptOutcome.SUCCESS, 1, null);
+        bed.router.onAttemptEnded(
+                bed.now, new AttemptResult(99, 0, "p", AttemptOutcome.SUCCESS, 1, true, Role.PRIMARY, 0));
         bed.request(1, Bed.ANY);
         bed.router.onHangUp(bed.now, 1);
-        bed.outcome(bed.last(), 0, Ending.TIMEOUT);
+        bed.outcome(bed.last(), 0, AttemptOutcome.TIMEOUT);
         assertEquals(1, bed.sends.size());
         assertTrue(bed.failed.isEmpty() && bed.refused.isEmpty());
     }
--- a/src/test/java/mintstair/decision/WrongClockTest.java
+++ b/src/test/java/mintstair/decision/WrongClockTest.java
@@ -52,7 +52,7 @@
             pollAll(ahead, lag);
             if (bed.sends.size() > sent) {
                 hosts.add(bed.last().host());
-                bed.outcome(bed.last(), bed.sendsOf(id).size() - 1, Ending.OK);
+                bed.outcome(bed.last(), bed.sendsOf(id).size() - 1, AttemptOutcome.SUCCESS);
             }
         }
         return hosts;
@@ -137,7 +137,7 @@
     void newPrimaryThatAPollTellsOfIsFoundWhereTheClockIsAhead() {
         start(-HOUR, 10 * MS);
         bed.request(1, Bed.UNSAFE_WRITE);
-        bed.outcome(bed.last(), 0, Ending.OK, Role.PRIMARY, SplitterApi.UNKNOWN);
+        bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS, Role.PRIMARY, SplitterApi.UNKNOWN);
         bed.now += 10 * SECOND;
         bed.poll("r1", bed.now - HOUR, Role.PRIMARY);
         bed.request(2, Bed.UNSAFE_WRITE);
