--- a/src/main/java/mintstair/adapter/Wire.java
+++ b/src/main/java/mintstair/adapter/Wire.java
@@ -18,9 +18,9 @@
 import mintstair.decision.SplitterApi;
 import mintstair.decision.SplitterApi.AttemptOutcome;
 import mintstair.decision.SplitterApi.AttemptResult;
-import mintstair.decision.SplitterApi.HostEntry;
-import mintstair.decision.SplitterApi.HostState;
-import mintstair.decision.SplitterApi.ListKind;
+import mintstair.decision.SplitterApi.EndpointEntry;
+import mintstair.decision.SplitterApi.EndpointState;
+import mintstair.decision.SplitterApi.EndpointUpdateType;
 import mintstair.decision.SplitterApi.Report;
 import mintstair.decision.SplitterApi.Request;
 import mintstair.decision.SplitterApi.Role;
@@ -36,7 +36,7 @@
     private final OutputStream out;
     private final StringBuilder reply = new StringBuilder();
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<HostEntry>> lists = new ArrayList<>();
+    private final List<List<EndpointEntry>> lists = new ArrayList<>();
     private long now;
 
     Wire(InputStream in, OutputStream out) throws IOException {
@@ -94,16 +94,16 @@
         int slot = (int) whole();
         require(slot >= 0 && slot < SLOTS, "no such list number: " + slot);
         require(in.nextToken() == JsonToken.START_ARRAY, "a pool needs its rows");
-        List<HostEntry> rows = new ArrayList<>();
+        List<EndpointEntry> rows = new ArrayList<>();
         while (in.nextToken() == JsonToken.START_ARRAY) {
             String host = text();
             boolean primary = number(0) == 1;
             String zone = string();
             string();
             int group = (int) number(0);
-            HostState state = state(text());
+            EndpointState state = state(text());
             double size = number(1);
-            rows.add(new HostEntry(host, primary, zone, group, state, size, InstanceSettings.toMicros(number(0))));
+            rows.add(new EndpointEntry(host, primary, zone, group, state, size, InstanceSettings.toMicros(number(0))));
             finishArray(2);
         }
         lists.set(slot, rows);
@@ -133,19 +133,19 @@
         String form = text();
         number(0);
         int slot = (int) number(0);
-        ListKind kind = switch (form) {
-            case "patch" -> ListKind.CHANGES;
-            case "whole" -> ListKind.WHOLE;
-            case "stale_copy" -> ListKind.OLD_COPY;
-            case "broken" -> ListKind.FAILED;
+        EndpointUpdateType kind = switch (form) {
+            case "patch" -> EndpointUpdateType.DELTA;
+            case "whole" -> EndpointUpdateType.SNAPSHOT;
+            case "stale_copy" -> EndpointUpdateType.CACHED;
+            case "broken" -> EndpointUpdateType.FAILED;
             default -> throw new WireException("unknown form of list " + form);
         };
-        List<HostEntry> rows = List.of();
-        if (kind != ListKind.FAILED) {
+        List<EndpointEntry> rows = List.of();
+        if (kind != EndpointUpdateType.FAILED) {
             require(slot >= 0 && slot < SLOTS && lists.get(slot) != null, "no such list: " + slot);
             rows = lists.get(slot);
         }
-        to.router.onList(now, kind, rows);
+        to.router.onEndpoints(now, kind, rows);
     }
 
     private void order() throws IOException {
@@ -232,11 +232,11 @@
         };
     }
 
-    private static HostState state(String word) {
+    private static EndpointState state(String word) {
         return switch (word) {
-            case "ready" -> HostState.READY;
-            case "draining" -> HostState.DRAINING;
-            case "gone" -> HostState.GONE;
+            case "ready" -> EndpointState.SERVING;
+            case "draining" -> EndpointState.DRAINING;
+            case "gone" -> EndpointState.REMOVED;
             default -> throw new WireException("unknown phase " + word);
         };
     }
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -172,22 +172,22 @@
     // ---- the list ----
 
     @Override
-    public void onList(long at, ListKind kind, List<HostEntry> entries) {
+    public void onEndpoints(long at, EndpointUpdateType kind, List<EndpointEntry> entries) {
         long now = clock(at);
-        if (kind == ListKind.FAILED) {
+        if (kind == EndpointUpdateType.FAILED) {
             // The list is out of reach: the old one stands, and routers must not ask again all at once.
             long wait = LIST_RETRY << Math.min(listFailures++, 4);
             actions.timer("subscribe", wait + (long) (random.nextDouble() * wait));
             if (listFailures == 1) actions.log("list out of reach; the old one stands");
             return;
         }
-        if (kind != ListKind.OLD_COPY) listFailures = 0;
-        if (kind != ListKind.CHANGES) {
+        if (kind != EndpointUpdateType.CACHED) listFailures = 0;
+        if (kind != EndpointUpdateType.DELTA) {
             Set<String> named = new HashSet<>();
-            for (HostEntry e : entries) named.add(e.host());
+            for (EndpointEntry e : entries) named.add(e.host());
             for (Host h : hosts.values()) if (!named.contains(h.name)) gone(now, h);
         }
-        for (HostEntry e : entries) listed(now, e);
+        for (EndpointEntry e : entries) listed(now, e);
         hosts.values().removeIf(h -> forgets(now, h));
         for (Group g : groups.values()) serveWaiting(now, g);
         wake(now, now + TICK);
@@ -209,7 +209,7 @@
         return true;
     }
 
-    private void listed(long now, HostEntry e) {
+    private void listed(long now, EndpointEntry e) {
         Host h = hosts.get(e.host());
         Group g = groupOf(e.group());
         if (h != null && h.group != g) {
@@ -227,11 +227,11 @@
             g.members.add(h);
         }
         // Drains: nothing new goes to a host told draining or gone, from this moment on.
-        h.drains = e.state() == HostState.DRAINING || h.drains && e.state() == HostState.GONE;
+        h.drains = e.state() == EndpointState.DRAINING || h.drains && e.state() == EndpointState.REMOVED;
         h.ready = !h.drains;
         h.doubted = false;
         h.goneAt = 0;
-        if (e.state() == HostState.GONE) gone(now, h);
+        if (e.state() == EndpointState.REMOVED) gone(now, h);
         if (e.lastStart() > h.listedStart) {
             h.listedStart = e.lastStart();
             judgeStart(now, h);
--- a/src/main/java/mintstair/decision/SplitterApi.java
+++ b/src/main/java/mintstair/decision/SplitterApi.java
@@ -69,17 +69,17 @@
     }
 
     /** The state of a host as the list tells it. */
-    public enum HostState {
-        READY,
+    public enum EndpointState {
+        SERVING,
         DRAINING,
-        GONE
+        REMOVED
     }
 
     /** What an announcement of the list holds. */
-    public enum ListKind {
-        CHANGES,
-        WHOLE,
-        OLD_COPY,
+    public enum EndpointUpdateType {
+        DELTA,
+        SNAPSHOT,
+        CACHED,
         FAILED
     }
 
@@ -145,12 +145,12 @@
             Limits limits) {}
 
     /** One host as listed. */
-    public record HostEntry(
+    public record EndpointEntry(
             String host,
             boolean primary,
             String zone,
             int group,
-            HostState state,
+            EndpointState state,
             double size,
             // 0 where it started long ago
             long lastStart) {}
@@ -199,7 +199,7 @@
     /** The events. One instance serves one router; calls must not overlap. */
     public interface Router {
         /** The list of hosts, changes to it, or word that a call for it failed. */
-        void onList(long now, ListKind kind, List<HostEntry> entries);
+        void onEndpoints(long now, EndpointUpdateType kind, List<EndpointEntry> entries);
 
         /** Other settings, from now on; open requests keep the class that they came with. */
         void onSettings(long now, Settings settings);
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -16,9 +16,9 @@
 import mintstair.decision.SplitterApi.AttemptOutcome;
 import mintstair.decision.SplitterApi.AttemptResult;
 import mintstair.decision.SplitterApi.Consistency;
-import mintstair.decision.SplitterApi.HostEntry;
-import mintstair.decision.SplitterApi.HostState;
-import mintstair.decision.SplitterApi.ListKind;
+import mintstair.decision.SplitterApi.EndpointEntry;
+import mintstair.decision.SplitterApi.EndpointState;
+import mintstair.decision.SplitterApi.EndpointUpdateType;
 import mintstair.decision.SplitterApi.Report;
 import mintstair.decision.SplitterApi.Request;
 import mintstair.decision.SplitterApi.RequestClass;
@@ -186,13 +186,15 @@
             module.onFleet(at, new SplitterApi.Fleet(e.largest(), e.counted(), e.settled()));
         } else if (event instanceof RouterEvent.EndpointsUpdated e) {
             noteDraining(at, e.list());
-            List<HostEntry> rows = new ArrayList<>();
+            List<EndpointEntry> rows = new ArrayList<>();
             for (EndpointList.Entry h : e.list().entries()) {
-                rows.add(new HostEntry(
+                rows.add(new EndpointEntry(
                         h.host(), h.primary(), h.zone(), h.cluster(), state(h.state()), h.size(), h.started()));
             }
-            ListKind kind = e.old() ? ListKind.OLD_COPY : e.list().whole() ? ListKind.WHOLE : ListKind.CHANGES;
-            module.onList(at, kind, rows);
+            EndpointUpdateType kind = e.old()
+                    ? EndpointUpdateType.CACHED
+                    : e.list().whole() ? EndpointUpdateType.SNAPSHOT : EndpointUpdateType.DELTA;
+            module.onEndpoints(at, kind, rows);
         }
         return takeDue();
     }
@@ -268,11 +270,11 @@
         };
     }
 
-    private static HostState state(EndpointList.State state) {
+    private static EndpointState state(EndpointList.State state) {
         return switch (state) {
-            case SERVING -> HostState.READY;
-            case DRAINING -> HostState.DRAINING;
-            case REMOVED -> HostState.GONE;
+            case SERVING -> EndpointState.SERVING;
+            case DRAINING -> EndpointState.DRAINING;
+            case REMOVED -> EndpointState.REMOVED;
         };
     }
 
--- a/src/test/java/mintstair/decision/Bed.java
+++ b/src/test/java/mintstair/decision/Bed.java
@@ -139,7 +139,7 @@
 
     /** Group 0: primary p, replicas r1 to r3, all up to date and known to be. */
     Bed group() {
-        list(ListKind.WHOLE, ready("p"), ready("r1"), ready("r2"), ready("r3"));
+        list(EndpointUpdateType.SNAPSHOT, ready("p"), ready("r1"), ready("r2"), ready("r3"));
         poll("p", now, Role.PRIMARY);
         for (String r : List.of("r1", "r2", "r3")) {
             poll(r, now, Role.REPLICA);
@@ -147,16 +147,16 @@
         return this;
     }
 
-    static HostEntry ready(String host) {
-        return new HostEntry(host, false, "z", 0, HostState.READY, 1, 0);
+    static EndpointEntry ready(String host) {
+        return new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, 0);
     }
 
-    void list(ListKind kind, HostEntry... entries) {
-        router.onList(now, kind, List.of(entries));
+    void list(EndpointUpdateType kind, EndpointEntry... entries) {
+        router.onEndpoints(now, kind, List.of(entries));
     }
 
-    void state(String host, HostState state) {
-        list(ListKind.CHANGES, new HostEntry(host, false, "z", 0, state, 1, 0));
+    void state(String host, EndpointState state) {
+        list(EndpointUpdateType.DELTA, new EndpointEntry(host, false, "z", 0, state, 1, 0));
     }
 
     void poll(String host, long position, Role role) {
--- a/src/test/java/mintstair/decision/ColdRampTest.java
+++ b/src/test/java/mintstair/decision/ColdRampTest.java
@@ -59,9 +59,11 @@
         void play(double rate, List<String> cold, List<String> gone) {
             for (Bed bed : beds) {
                 for (String host : cold) {
-                    bed.list(ListKind.CHANGES, new HostEntry(host, false, "z", 0, HostState.READY, 1, began));
+                    bed.list(
+                            EndpointUpdateType.DELTA,
+                            new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, began));
                 }
-                gone.forEach(host -> bed.state(host, HostState.GONE));
+                gone.forEach(host -> bed.state(host, EndpointState.REMOVED));
             }
             PriorityQueue<Event> events =
                     new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.id, b.id));
--- a/src/test/java/mintstair/decision/DecisionSchedule.java
+++ b/src/test/java/mintstair/decision/DecisionSchedule.java
@@ -10,10 +10,10 @@
 import java.util.Random;
 import mintstair.decision.SplitterApi.AttemptOutcome;
 import mintstair.decision.SplitterApi.AttemptResult;
+import mintstair.decision.SplitterApi.EndpointEntry;
+import mintstair.decision.SplitterApi.EndpointState;
+import mintstair.decision.SplitterApi.EndpointUpdateType;
 import mintstair.decision.SplitterApi.Fleet;
-import mintstair.decision.SplitterApi.HostEntry;
-import mintstair.decision.SplitterApi.HostState;
-import mintstair.decision.SplitterApi.ListKind;
 import mintstair.decision.SplitterApi.ReadCheck;
 import mintstair.decision.SplitterApi.Report;
 import mintstair.decision.SplitterApi.Request;
@@ -52,7 +52,7 @@
         final String name;
         final int group;
         Mode mode = Mode.UP;
-        HostState listed = HostState.READY;
+        EndpointState listed = EndpointState.SERVING;
         long lag;
         long lastStart;
 
@@ -101,7 +101,7 @@
             primaries[group] = members(group).get(0);
         }
         router = new ReadWriteSplitter(now, seed, settings, this);
-        router.onList(now, ListKind.WHOLE, entries());
+        router.onEndpoints(now, EndpointUpdateType.SNAPSHOT, entries());
     }
 
     /** Plays the schedule to its end; returns one line for each action, with its time. */
@@ -155,13 +155,13 @@
         return List.copyOf(hosts.values()).get(random.nextInt(hosts.size()));
     }
 
-    private List<HostEntry> entries() {
+    private List<EndpointEntry> entries() {
         return hosts.values().stream().map(this::entry).toList();
     }
 
-    private HostEntry entry(SimulatedHost host) {
+    private EndpointEntry entry(SimulatedHost host) {
         boolean primary = primaries[host.group] == host;
-        return new HostEntry(host.name, primary, "z", host.group, host.listed, 1, host.lastStart);
+        return new EndpointEntry(host.name, primary, "z", host.group, host.listed, 1, host.lastStart);
     }
 
     // ---- clients ----
@@ -207,8 +207,8 @@
             case 5, 6, 7 -> heal();
             case 8 -> changePrimary(host.group);
             case 9 -> host.lag = random.nextInt(3_000_000);
-            case 10 -> tellState(host, HostState.DRAINING);
-            case 11 -> tellState(host, HostState.GONE);
+            case 10 -> tellState(host, EndpointState.DRAINING);
+            case 11 -> tellState(host, EndpointState.REMOVED);
             case 12 -> restart(host);
             case 13 -> tellList();
             case 14 -> requestsPerSecond = 20 + random.nextInt(400);
@@ -229,23 +229,23 @@
         primaries[group] = members.get(random.nextInt(members.size()));
     }
 
-    private void tellState(SimulatedHost host, HostState state) {
+    private void tellState(SimulatedHost host, EndpointState state) {
         host.listed = state;
-        router.onList(now, ListKind.CHANGES, List.of(entry(host)));
+        router.onEndpoints(now, EndpointUpdateType.DELTA, List.of(entry(host)));
         after(exponential(3_000 * MS), () -> restart(host));
     }
 
     private void restart(SimulatedHost host) {
         host.mode = Mode.UP;
-        host.listed = HostState.READY;
+        host.listed = EndpointState.SERVING;
         host.lastStart = chance(0.8) ? now : 0;
-        router.onList(now, ListKind.CHANGES, List.of(entry(host)));
+        router.onEndpoints(now, EndpointUpdateType.DELTA, List.of(entry(host)));
     }
 
     private void tellList() {
-        ListKind[] kinds = ListKind.values();
-        ListKind kind = kinds[random.nextInt(kinds.length)];
-        router.onList(now, kind, kind == ListKind.FAILED ? List.of() : entries());
+        EndpointUpdateType[] kinds = EndpointUpdateType.values();
+        EndpointUpdateType kind = kinds[random.nextInt(kinds.length)];
+        router.onEndpoints(now, kind, kind == EndpointUpdateType.FAILED ? List.of() : entries());
     }
 
     private void other() {
@@ -288,7 +288,7 @@
             if (primaries[gone.group] == gone) {
                 changePrimary(gone.group);
             }
-            router.onList(now, ListKind.WHOLE, entries());
+            router.onEndpoints(now, EndpointUpdateType.SNAPSHOT, entries());
         }
     }
 
--- a/src/test/java/mintstair/decision/EmbeddingTest.java
+++ b/src/test/java/mintstair/decision/EmbeddingTest.java
@@ -93,12 +93,12 @@
         MyActions actions = new MyActions();
         long now = 5_000_000;
         SplitterApi.Router router = new ReadWriteSplitter(now, 42, settings, actions);
-        router.onList(
+        router.onEndpoints(
                 now,
-                ListKind.WHOLE,
+                EndpointUpdateType.SNAPSHOT,
                 List.of(
-                        new HostEntry("db1", false, "here", 0, HostState.READY, 1, 0),
-                        new HostEntry("db2", false, "here", 0, HostState.READY, 1, 0)));
+                        new EndpointEntry("db1", false, "here", 0, EndpointState.SERVING, 1, 0),
+                        new EndpointEntry("db2", false, "here", 0, EndpointState.SERVING, 1, 0)));
         router.onProbed(now, "db1", AttemptOutcome.SUCCESS, 300, new Report(now, Role.PRIMARY));
         router.onProbed(now, "db2", AttemptOutcome.SUCCESS, 300, new Report(now, Role.REPLICA));
         router.onRequest(now, new Request(1, 0, 0, "ann", -1, false, 3_000_000, SplitterApi.UNKNOWN));
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
+import mintstair.decision.SplitterApi.EndpointState;
 import mintstair.decision.SplitterApi.Fleet;
-import mintstair.decision.SplitterApi.HostState;
 import mintstair.decision.SplitterApi.Role;
 import mintstair.membership.FleetPlay;
 import mintstair.membership.swim.ClusterSizeEstimate.Standing;
@@ -135,7 +135,7 @@
     /** Writes that reach a new primary in the 16 s after it came up, when it had been looked for in vain for 24 s. */
     private static long served(List<Bed> running) {
         for (Bed bed : running) {
-            bed.state("p", HostState.DRAINING);
+            bed.state("p", EndpointState.DRAINING);
             for (int i = 0; i < 2000; i++) {
                 for (; bed.answered < bed.probes.size(); bed.answered++) {
                     boolean up = i >= 1200 && bed.probes.get(bed.answered).equals("r1");
@@ -171,8 +171,8 @@
             long cold = 0;
             for (Bed bed : fleet) {
                 bed.list(
-                        SplitterApi.ListKind.CHANGES,
-                        new SplitterApi.HostEntry("r1", false, "z", 0, HostState.READY, 1, bed.now));
+                        SplitterApi.EndpointUpdateType.DELTA,
+                        new SplitterApi.EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now));
                 bed.request(1, Bed.ANY);
                 cold += bed.sendsOf(1).stream()
                         .filter(s -> s.host().equals("r1"))
@@ -187,7 +187,7 @@
     private static double polls(List<Bed> running) {
         long polls = 0;
         for (Bed bed : running) {
-            bed.state("p", HostState.DRAINING);
+            bed.state("p", EndpointState.DRAINING);
             for (int i = 0; i < 2400; i++) {
                 for (; bed.answered < bed.probes.size(); bed.answered++) {
                     bed.poll(bed.probes.get(bed.answered), bed.now - 5 * S, Role.REPLICA);
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -30,8 +30,8 @@
                 .count();
     }
 
-    private static HostEntry started(String host, long at) {
-        return new HostEntry(host, false, "z", 0, HostState.READY, 1, at);
+    private static EndpointEntry started(String host, long at) {
+        return new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, at);
     }
 
     /** One read at each router: with a floor of one a router, all 300 would be let through to the cold host. */
@@ -39,7 +39,7 @@
     void coldHostGetsItsPartOfAllRoutersTogether() {
         List<Bed> fleet = fleet(300);
         for (Bed bed : fleet) {
-            bed.list(ListKind.CHANGES, started("r1", bed.now));
+            bed.list(EndpointUpdateType.DELTA, started("r1", bed.now));
             bed.request(1, Bed.ANY);
         }
         long cold = sentTo(fleet, "r1");
@@ -52,7 +52,7 @@
         List<Bed> fleet = fleet(300);
         for (Bed bed : fleet) {
             bed.list(
-                    ListKind.CHANGES,
+                    EndpointUpdateType.DELTA,
                     started("p", bed.now),
                     started("r1", bed.now),
                     started("r2", bed.now),
@@ -75,7 +75,7 @@
             List<Bed> fleet = fleet(routers);
             long[] polls = new long[2];
             for (Bed bed : fleet) {
-                bed.state("p", HostState.DRAINING);
+                bed.state("p", EndpointState.DRAINING);
                 for (int i = 0; i < 1600; i++) {
                     for (; bed.answered < bed.probes.size(); bed.answered++) {
                         bed.poll(bed.probes.get(bed.answered), bed.now - 5_000 * MS, Role.REPLICA);
@@ -209,7 +209,7 @@
         for (int i = 0; i < 2; i++) {
             Bed bed = new Bed();
             bed.oneSession = false;
-            bed.start().list(ListKind.WHOLE, Bed.ready("p"));
+            bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
             bed.poll("p", bed.now, Role.PRIMARY);
             for (int id = 0; id < 200; id++) {
                 bed.request(id, i == 0 ? Bed.BOUNDED : Bed.ANY);
@@ -224,7 +224,7 @@
     void roomThatAppearsGoesToThoseOfMostWorth() {
         Bed bed = new Bed();
         bed.oneSession = false;
-        bed.start().list(ListKind.WHOLE, Bed.ready("p"));
+        bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
         bed.poll("p", bed.now, Role.PRIMARY);
         for (int id = 0; id < 60; id++) {
             bed.request(id, Bed.UNSAFE_WRITE);
@@ -302,7 +302,7 @@
     void drainingAndSilentHostsAreAvoided() {
         Bed bed = new Bed().start().group();
         assertEquals(0, bed.router.avoided(bed.now));
-        bed.state("r1", HostState.DRAINING);
+        bed.state("r1", EndpointState.DRAINING);
         assertEquals(1, bed.router.avoided(bed.now));
         bed.now += 500 * MS;
         for (int i = 0; i < 20; i++) {
@@ -317,7 +317,7 @@
             }
         }
         assertEquals(2, bed.router.avoided(bed.now));
-        bed.state("r1", HostState.GONE);
+        bed.state("r1", EndpointState.REMOVED);
         assertEquals(1, bed.router.avoided(bed.now), "what is gone is not on the list");
     }
 
@@ -326,7 +326,7 @@
         Bed bed = new Bed();
         bed.goneIsAdvice = true;
         bed.start().group();
-        bed.list(ListKind.WHOLE);
+        bed.list(EndpointUpdateType.SNAPSHOT);
         for (int i = 0; i < 30; i++) {
             bed.request(i, Bed.ANY);
             bed.answerPolls(10 * MS);
@@ -342,16 +342,16 @@
     @Test
     void goneBindsWhereItIsNoAdviceAndDrainingBindsEverywhere() {
         Bed bound = new Bed().start().group();
-        bound.list(ListKind.WHOLE);
+        bound.list(EndpointUpdateType.SNAPSHOT);
         bound.request(1, Bed.ANY);
         assertTrue(bound.sends.isEmpty());
         Bed advice = new Bed();
         advice.goneIsAdvice = true;
         advice.start().group();
-        for (String h : List.of("p", "r1", "r2", "r3")) advice.state(h, HostState.DRAINING);
-        advice.list(ListKind.WHOLE);
+        for (String h : List.of("p", "r1", "r2", "r3")) advice.state(h, EndpointState.DRAINING);
+        advice.list(EndpointUpdateType.SNAPSHOT);
         advice.request(1, Bed.ANY);
-        for (String h : List.of("p", "r1", "r2", "r3")) advice.state(h, HostState.GONE);
+        for (String h : List.of("p", "r1", "r2", "r3")) advice.state(h, EndpointState.REMOVED);
         advice.request(2, Bed.UNSAFE_WRITE);
         advice.pass(300 * MS);
         assertTrue(advice.sends.isEmpty());
@@ -361,10 +361,10 @@
     void listThatNamesAHostTwiceOrMovesItDoesNoHarm() {
         Bed bed = new Bed().start().group();
         bed.list(
-                ListKind.CHANGES,
+                EndpointUpdateType.DELTA,
                 Bed.ready("r1"),
                 Bed.ready("r1"),
-                new HostEntry("r2", false, "z", 7, HostState.READY, 1, 0));
+                new EndpointEntry("r2", false, "z", 7, EndpointState.SERVING, 1, 0));
         for (int i = 0; i < 60; i++) {
             bed.request(i, Bed.ANY);
             bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
@@ -454,7 +454,7 @@
     @Test
     void freshRouterServesFromItsOldListAtOnce() {
         Bed bed = new Bed().start();
-        bed.list(ListKind.OLD_COPY, Bed.ready("p"), Bed.ready("r1"), Bed.ready("r2"), Bed.ready("r3"));
+        bed.list(EndpointUpdateType.CACHED, Bed.ready("p"), Bed.ready("r1"), Bed.ready("r2"), Bed.ready("r3"));
         bed.request(1, Bed.ANY);
         bed.request(2, Bed.BOUNDED);
         bed.request(3, Bed.UNSAFE_WRITE);
@@ -467,7 +467,7 @@
     @Test
     void requestWithoutTimeIsAnsweredAtOnce() {
         Bed bed = new Bed().start();
-        bed.list(ListKind.OLD_COPY, Bed.ready("p"), Bed.ready("r1"));
+        bed.list(EndpointUpdateType.CACHED, Bed.ready("p"), Bed.ready("r1"));
         bed.request(1, Bed.KEYED_WRITE, 0, SplitterApi.UNKNOWN);
         assertEquals(1, bed.refused.size() + bed.failed.size());
     }
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -36,13 +36,13 @@
         return with(s, s.routers(), s.classes(), s.tenants(), guards);
     }
 
-    private static HostEntry started(String host, long at) {
-        return new HostEntry(host, false, "z", 0, HostState.READY, 1, at);
+    private static EndpointEntry started(String host, long at) {
+        return new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, at);
     }
 
     /** So many of 200 fresh routers that go over to these settings send their read to r1. */
     private static long readsAt(
-            String host, HostEntry listed, boolean advice, java.util.function.Function<Settings, Settings> change) {
+            String host, EndpointEntry listed, boolean advice, java.util.function.Function<Settings, Settings> change) {
         long sent = 0;
         for (int i = 0; i < 200; i++) {
             Bed bed = new Bed();
@@ -50,7 +50,7 @@
             bed.oneSession = false;
             bed.goneIsAdvice = advice;
             bed.start().group();
-            bed.list(ListKind.CHANGES, listed);
+            bed.list(EndpointUpdateType.DELTA, listed);
             bed.router.onSettings(bed.now, change.apply(bed.settings()));
             bed.request(1, Bed.ANY);
             sent += bed.sends.stream().filter(s -> s.host().equals(host)).count();
@@ -61,7 +61,7 @@
     /** A host that started 15 s ago was warm by the settings before; by those now it is cold, and must not be pushed over. */
     @Test
     void hostThatIsColdByTheNewSettingsIsRampedByThem() {
-        HostEntry listed = started("r1", 1_000_000_000L - 15_000 * MS);
+        EndpointEntry listed = started("r1", 1_000_000_000L - 15_000 * MS);
         long warm = readsAt("r1", listed, false, s -> s);
         long cold = readsAt(
                 "r1", listed, false, s -> guarded(s, new Guards(250 * MS, 0.1, 60_000 * MS, 3, 2_000 * MS, false)));
@@ -73,7 +73,7 @@
     /** Where gone is advice no more, what was kept in use against the list is not. */
     @Test
     void hostKeptByAdviceIsLeftWhereGoneBinds() {
-        HostEntry gone = new HostEntry("r1", false, "z", 0, HostState.GONE, 1, 0);
+        EndpointEntry gone = new EndpointEntry("r1", false, "z", 0, EndpointState.REMOVED, 1, 0);
         assertTrue(readsAt("r1", gone, true, s -> s) > 50);
         assertEquals(
                 0,
@@ -138,7 +138,7 @@
             Bed bed = new Bed();
             bed.oneSession = false;
             bed.routers = i == 0 ? 16 : 1;
-            bed.start().list(ListKind.WHOLE, Bed.ready("p"));
+            bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
             bed.poll("p", bed.now, Role.PRIMARY);
             bed.routers = 16;
             bed.router.onSettings(bed.now, bed.settings());
@@ -194,7 +194,7 @@
         bed.start().group();
         bed.request(1, Bed.ANY);
         bed.request(2, Bed.UNSAFE_WRITE);
-        bed.state("p", HostState.DRAINING);
+        bed.state("p", EndpointState.DRAINING);
         bed.request(3, Bed.UNSAFE_WRITE);
         assertEquals(
                 List.of(1, 1, 0),
@@ -209,7 +209,7 @@
         int sends = bed.sends.size();
         bed.outcome(bed.sendsOf(1).get(0), 0, AttemptOutcome.CONNECTION_RESET);
         bed.outcome(bed.sendsOf(2).get(0), 0, AttemptOutcome.UNREACHABLE);
-        bed.state("p", HostState.READY);
+        bed.state("p", EndpointState.SERVING);
         bed.pass(500 * MS);
         assertEquals(sends, bed.sends.size(), "nothing is sent for what was answered");
         assertEquals(3, bed.refused.size() + bed.failed.size());
--- a/src/test/java/mintstair/decision/RulesTest.java
+++ b/src/test/java/mintstair/decision/RulesTest.java
@@ -14,7 +14,7 @@
     @Test
     void everyWaitingRequestIsAnsweredOnceBeforeItsDeadline() {
         Bed bed = new Bed().start();
-        bed.list(ListKind.WHOLE, Bed.ready("r1"));
+        bed.list(EndpointUpdateType.SNAPSHOT, Bed.ready("r1"));
         bed.poll("r1", bed.now - 5_000 * MS, Role.REPLICA);
         bed.request(1, Bed.UNSAFE_WRITE, 800 * MS, SplitterApi.UNKNOWN);
         bed.request(2, Bed.BOUNDED, 800 * MS, SplitterApi.UNKNOWN);
@@ -33,7 +33,7 @@
         bed.pass(2_000 * MS);
         int before = bed.sendsOf(1).size();
         bed.outcome(first, 0, AttemptOutcome.SUCCESS);
-        bed.state("p", HostState.READY);
+        bed.state("p", EndpointState.SERVING);
         bed.pass(500 * MS);
         assertEquals(before, bed.sendsOf(1).size());
         assertTrue(bed.refused.isEmpty() && bed.failed.isEmpty());
@@ -180,7 +180,7 @@
         bed.request(2, Bed.ANY);
         bed.now += 5 * MS;
         bed.outcome(bed.last(), 0, AttemptOutcome.OVERLOADED);
-        bed.state("p", HostState.GONE);
+        bed.state("p", EndpointState.REMOVED);
         bed.request(3, Bed.UNSAFE_WRITE);
         assertTrue(bed.sendsOf(3).isEmpty(), "there is no primary");
         int before = bed.sends.size();
@@ -212,8 +212,8 @@
     @Test
     void drainingHostsGetNothingMoreEvenForThoseWhoWait() {
         Bed bed = new Bed().start().group();
-        bed.state("p", HostState.DRAINING);
-        bed.state("r1", HostState.GONE);
+        bed.state("p", EndpointState.DRAINING);
+        bed.state("r1", EndpointState.REMOVED);
         bed.request(1, Bed.UNSAFE_WRITE);
         for (int i = 0; i < 40; i++) {
             bed.request(10 + i, Bed.ANY);
@@ -227,7 +227,7 @@
     @Test
     void hostMissingFromAWholeListIsGone() {
         Bed bed = new Bed().start().group();
-        bed.list(ListKind.WHOLE, Bed.ready("p"), Bed.ready("r2"));
+        bed.list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"), Bed.ready("r2"));
         for (int i = 0; i < 40; i++) {
             bed.request(10 + i, Bed.ANY);
         }
@@ -240,7 +240,7 @@
         Bed bed = new Bed();
         bed.routers = 4;
         bed.start().group();
-        bed.list(ListKind.CHANGES, new HostEntry("r1", false, "z", 0, HostState.READY, 1, bed.now));
+        bed.list(EndpointUpdateType.DELTA, new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now));
         int cold = 0;
         int all = 0;
         for (int i = 0; i < 400; i++) {
@@ -307,7 +307,7 @@
     @Test
     void freshRouterSendsTokenReadsOnlyWhereProven() {
         Bed bed = new Bed().start();
-        bed.list(ListKind.OLD_COPY, Bed.ready("p"), Bed.ready("r1"));
+        bed.list(EndpointUpdateType.CACHED, Bed.ready("p"), Bed.ready("r1"));
         bed.request(1, Bed.SESSION, 1_200 * MS, 5_000 * MS);
         assertTrue(bed.sends.isEmpty());
         bed.poll("r1", bed.now - 100 * MS, Role.REPLICA);
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/SplitterTest.java
@@ -85,9 +85,9 @@
         Bed bed = new Bed().start().group();
         assertEquals(1, bed.subscribed);
         bed.trace.setLength(0);
-        bed.list(ListKind.FAILED);
-        bed.list(ListKind.FAILED);
-        bed.list(ListKind.FAILED);
+        bed.list(EndpointUpdateType.FAILED);
+        bed.list(EndpointUpdateType.FAILED);
+        bed.list(EndpointUpdateType.FAILED);
         long[] waits = bed.trace
                 .toString()
                 .lines()
@@ -183,12 +183,12 @@
     void hostsThatStayAwayAreForgotten() {
         Bed bed = new Bed().start().group();
         for (int i = 0; i < 50; i++) {
-            bed.list(ListKind.CHANGES, Bed.ready("new" + i));
+            bed.list(EndpointUpdateType.DELTA, Bed.ready("new" + i));
             bed.poll("new" + i, bed.now, Role.REPLICA);
-            bed.state("new" + i, HostState.GONE);
+            bed.state("new" + i, EndpointState.REMOVED);
         }
         bed.now += 11_000 * MS;
-        bed.state("r1", HostState.READY);
+        bed.state("r1", EndpointState.SERVING);
         bed.logs.clear();
         bed.router.onProbed(bed.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
         bed.router.onProbed(bed.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
@@ -199,7 +199,7 @@
     @Test
     void whatWasNeverSentIsGivenUpInTheFirstHalfOfItsTime() {
         Bed bed = new Bed().start();
-        bed.list(ListKind.WHOLE, Bed.ready("r1"));
+        bed.list(EndpointUpdateType.SNAPSHOT, Bed.ready("r1"));
         bed.request(1, Bed.UNSAFE_WRITE, 1000 * MS, SplitterApi.UNKNOWN);
         bed.pass(500 * MS);
         assertEquals(List.of(1L), bed.refused);
@@ -208,7 +208,7 @@
     @Test
     void refusedClientsComeBackWithinTheirAimOrElseLate() {
         Bed bed = new Bed().start().group();
-        bed.list(ListKind.WHOLE);
+        bed.list(EndpointUpdateType.SNAPSHOT);
         bed.request(1, Bed.ANY);
         bed.pass(120 * MS);
         assertEquals(List.of(75 * MS), bed.comeBacks);
@@ -227,7 +227,7 @@
         for (String r : List.of("r1", "r2", "r3")) {
             bed.poll(r, bed.now - 5_000 * MS, Role.REPLICA);
         }
-        bed.state("p", HostState.DRAINING);
+        bed.state("p", EndpointState.DRAINING);
         bed.probes.clear();
         bed.request(1, Bed.BOUNDED);
         assertTrue(bed.probes.containsAll(List.of("r1", "r2", "r3")), bed.probes.toString());
@@ -265,13 +265,13 @@
             bed.oneSession = false;
             bed.routers = 14;
             bed.start();
-            List<HostEntry> hosts = new ArrayList<>();
+            List<EndpointEntry> hosts = new ArrayList<>();
             for (int g = 0; g < 2; g++) {
                 for (String h : List.of("p", "r1", "r2", "r3")) {
-                    hosts.add(new HostEntry(h + g, false, "z", g, HostState.READY, 1, 0));
+                    hosts.add(new EndpointEntry(h + g, false, "z", g, EndpointState.SERVING, 1, 0));
                 }
             }
-            bed.list(ListKind.WHOLE, hosts.toArray(HostEntry[]::new));
+            bed.list(EndpointUpdateType.SNAPSHOT, hosts.toArray(EndpointEntry[]::new));
             hosts.forEach(h -> bed.poll(
                     h.host(),
                     bed.now - (h.host().startsWith("p") ? 0 : 9_000 * MS),
--- a/src/test/java/mintstair/decision/WrongClockTest.java
+++ b/src/test/java/mintstair/decision/WrongClockTest.java
@@ -25,7 +25,7 @@
     private void start(long ahead, long lag) {
         bed.now = 100 * HOUR;
         bed.start();
-        bed.list(ListKind.WHOLE, Bed.ready("p"), Bed.ready("r1"), Bed.ready("r2"), Bed.ready("r3"));
+        bed.list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"), Bed.ready("r1"), Bed.ready("r2"), Bed.ready("r3"));
         for (String replica : List.of("r1", "r2", "r3")) {
             bed.poll(replica, bed.now + ahead - lag, Role.REPLICA);
         }
@@ -85,7 +85,9 @@
         start(HOUR, 10 * MS);
         long started = bed.now + HOUR - 600 * SECOND;
         for (String host : List.of("p", "r1", "r2", "r3")) {
-            bed.list(ListKind.CHANGES, new HostEntry(host, false, "z", 0, HostState.READY, 1, started));
+            bed.list(
+                    EndpointUpdateType.DELTA,
+                    new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, started));
         }
         assertFalse(bed.logs.stream().anyMatch(line -> line.startsWith("cold ")), bed.logs.toString());
     }
@@ -97,9 +99,9 @@
         bed.start();
         long started = bed.now + HOUR - 600 * SECOND;
         bed.list(
-                ListKind.WHOLE,
-                new HostEntry("p", false, "z", 0, HostState.READY, 1, started),
-                new HostEntry("r1", false, "z", 0, HostState.READY, 1, started));
+                EndpointUpdateType.SNAPSHOT,
+                new EndpointEntry("p", false, "z", 0, EndpointState.SERVING, 1, started),
+                new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, started));
         bed.poll("p", bed.now + HOUR, Role.PRIMARY);
         bed.poll("r1", bed.now + HOUR, Role.REPLICA);
         // 40 at once: a cold replica would be given its fifth of them at most.
@@ -114,7 +116,9 @@
     @Test
     void clockThatIsAheadWipesNoSlowStart() {
         start(-HOUR, 10 * MS);
-        bed.list(ListKind.CHANGES, new HostEntry("r1", false, "z", 0, HostState.READY, 1, bed.now - HOUR - SECOND));
+        bed.list(
+                EndpointUpdateType.DELTA,
+                new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now - HOUR - SECOND));
         assertTrue(bed.logs.contains("cold r1: ramp from its start"), bed.logs.toString());
     }
 
@@ -124,9 +128,9 @@
         bed.now = 100 * HOUR;
         bed.start();
         bed.list(
-                ListKind.WHOLE,
+                EndpointUpdateType.SNAPSHOT,
                 Bed.ready("p"),
-                new HostEntry("r1", false, "z", 0, HostState.READY, 1, bed.now - HOUR - SECOND));
+                new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now - HOUR - SECOND));
         bed.poll("p", bed.now - HOUR, Role.PRIMARY);
         bed.poll("r1", bed.now - HOUR, Role.REPLICA);
         assertTrue(bed.logs.contains("cold r1: ramp from its start"), bed.logs.toString());
