--- a/src/main/java/mintstair/adapter/Wire.java
+++ b/src/main/java/mintstair/adapter/Wire.java
@@ -23,7 +23,7 @@
 import mintstair.decision.SplitterApi.EndpointUpdateType;
 import mintstair.decision.SplitterApi.Report;
 import mintstair.decision.SplitterApi.Request;
-import mintstair.decision.SplitterApi.Role;
+import mintstair.request.ReplicationRole;
 
 /** Reads batches of events, hands each to its instance, and writes one reply a batch. */
 final class Wire {
@@ -184,7 +184,9 @@
         long latency = InstanceSettings.toMicros(number(0));
         boolean finished = in.nextToken() == JsonToken.VALUE_TRUE;
         long mark = (long) number(0);
-        Role role = (mark & 3) == 1 ? Role.PRIMARY : (mark & 3) == 2 ? Role.REPLICA : Role.UNTOLD;
+        ReplicationRole role = (mark & 3) == 1
+                ? ReplicationRole.PRIMARY
+                : (mark & 3) == 2 ? ReplicationRole.REPLICA : ReplicationRole.UNKNOWN;
         long position = mark >> 2 == 0 ? SplitterApi.UNKNOWN : to.env.positionZero + (mark >> 2) * 1000;
         to.router.onAttemptEnded(now, new AttemptResult(id, attempt, host, outcome, latency, finished, role, position));
     }
@@ -204,14 +206,14 @@
             return null;
         }
         long position = SplitterApi.UNKNOWN;
-        Role role = Role.UNTOLD;
+        ReplicationRole role = ReplicationRole.UNKNOWN;
         int i = 0;
         for (t = in.nextToken(); t != JsonToken.END_ARRAY && t != null; t = in.nextToken(), i++) {
             Object field = i < env.reportFields.size() ? env.reportFields.get(i) : "";
             if (t.isNumeric() && field.equals("x0")) {
                 position = env.positionZero + InstanceSettings.toMicros(in.getDoubleValue());
             } else if (t.isNumeric() && field.equals("x1")) {
-                role = in.getDoubleValue() == 1 ? Role.PRIMARY : Role.REPLICA;
+                role = in.getDoubleValue() == 1 ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA;
             }
         }
         return new Report(position, role);
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -3,6 +3,7 @@
 import java.util.*;
 import mintstair.decision.RouterState.*;
 import mintstair.decision.SplitterApi.*;
+import mintstair.request.ReplicationRole;
 
 /**
  * All decisions of one router; its types, events and actions are in SplitterApi, its state in RouterState.
@@ -712,16 +713,19 @@
         if (answered) heard(now, h, true);
         if (e == AttemptOutcome.UNREACHABLE) outOfReach(now, h);
         if (e == AttemptOutcome.TIMEOUT) h.unanswered++;
-        if (o.role() == Role.PRIMARY) claimPrimary(h, now);
-        if (o.role() == Role.REPLICA) isReplica(h, now);
+        if (o.role() == ReplicationRole.PRIMARY) claimPrimary(h, now);
+        if (o.role() == ReplicationRole.REPLICA) isReplica(h, now);
         long sent = q.sentAt[o.attempt()];
         boolean write = q.kind.of.consistency() == Consistency.WRITE;
         boolean told = o.position() != SplitterApi.UNKNOWN, checked = settings.readCheck() != ReadCheck.NONE;
-        if (told && o.role() == Role.PRIMARY) primaryAt(now, h.group, o.position());
+        if (told && o.role() == ReplicationRole.PRIMARY) primaryAt(now, h.group, o.position());
         long lag = positions.present(now) - o.position();
-        if (told && o.role() == Role.REPLICA) rise(now, h, o.position(), lag);
+        if (told && o.role() == ReplicationRole.REPLICA) rise(now, h, o.position(), lag);
         // A checked read that was served proves that its replica had come as far as was asked for.
-        else if (e == AttemptOutcome.SUCCESS && checked && o.role() == Role.REPLICA && need(sent, q) < NO_POSITION) {
+        else if (e == AttemptOutcome.SUCCESS
+                && checked
+                && o.role() == ReplicationRole.REPLICA
+                && need(sent, q) < NO_POSITION) {
             proven(h, need(sent, q));
         }
         if (e == AttemptOutcome.MISDIRECTED && !write) h.missAt = now;
@@ -835,17 +839,17 @@
             if (Math.max(h.answeredAt, awakeSince) < h.polledAt) outOfReach(now, h);
         } else if (outcome == AttemptOutcome.SUCCESS && report != null) {
             heard(now, h, false);
-            if (report.role() == Role.PRIMARY) primaryAt(now, h.group, report.position());
+            if (report.role() == ReplicationRole.PRIMARY) primaryAt(now, h.group, report.position());
             long age = positions.present(now) - report.position();
             long reportedAt = positions.ownTime(h.group.number, now, report.position());
-            if (report.role() == Role.PRIMARY) {
+            if (report.role() == ReplicationRole.PRIMARY) {
                 // A primary stands at the present, so its position is the time of its report.
                 h.toldAt = now;
                 if (report.position() != SplitterApi.UNKNOWN) {
                     h.group.reportAge = Math.max(age, (long) (h.group.reportAge * 0.95));
                 }
                 claimPrimary(h, reportedAt);
-            } else if (report.role() == Role.REPLICA && report.position() != SplitterApi.UNKNOWN) {
+            } else if (report.role() == ReplicationRole.REPLICA && report.position() != SplitterApi.UNKNOWN) {
                 isReplica(h, Math.max(reportedAt, now - latency - h.group.reportAge));
                 rise(now, h, report.position(), age);
             }
--- a/src/main/java/mintstair/decision/SplitterApi.java
+++ b/src/main/java/mintstair/decision/SplitterApi.java
@@ -1,6 +1,7 @@
 package mintstair.decision;
 
 import java.util.List;
+import mintstair.request.ReplicationRole;
 
 /**
  * The interface of the decision module: settings, events ({@link Router}) and actions ({@link Actions}).
@@ -61,13 +62,6 @@
         }
     }
 
-    /** What an answer told of its host's role. */
-    public enum Role {
-        UNTOLD,
-        PRIMARY,
-        REPLICA
-    }
-
     /** The state of a host as the list tells it. */
     public enum EndpointState {
         SERVING,
@@ -183,7 +177,7 @@
     }
 
     /** A host's report on itself; {@code position} may be {@link #UNKNOWN}. */
-    public record Report(long position, Role role) {}
+    public record Report(long position, ReplicationRole role) {}
 
     /** The end of one attempt; {@code finished} when the request is over with it or was before. */
     public record AttemptResult(
@@ -193,7 +187,7 @@
             AttemptOutcome outcome,
             long latencyMicros,
             boolean finished,
-            Role role,
+            ReplicationRole role,
             long position) {}
 
     /** The events. One instance serves one router; calls must not overlap. */
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -22,7 +22,6 @@
 import mintstair.decision.SplitterApi.Report;
 import mintstair.decision.SplitterApi.Request;
 import mintstair.decision.SplitterApi.RequestClass;
-import mintstair.decision.SplitterApi.Role;
 import mintstair.request.AttemptVerdict;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.EndpointList;
@@ -166,13 +165,13 @@
                             ending(e.end()),
                             e.latency(),
                             e.over(),
-                            role(e.report()),
+                            e.report().role(),
                             e.report().position()));
             forget(e.request(), t);
         } else if (event instanceof RouterEvent.HealthCheckEnded e) {
             Report report = e.report().role() == ReplicationRole.UNKNOWN
                     ? null
-                    : new Report(e.report().position(), role(e.report()));
+                    : new Report(e.report().position(), e.report().role());
             module.onProbed(at, e.host(), ending(e.end()), e.latency(), report);
         } else if (event instanceof RouterEvent.ClientDisconnected e) {
             Taken t = taken.get(e.request());
@@ -262,14 +261,6 @@
         };
     }
 
-    private static Role role(HostReport report) {
-        return switch (report.role()) {
-            case PRIMARY -> Role.PRIMARY;
-            case REPLICA -> Role.REPLICA;
-            case UNKNOWN -> Role.UNTOLD;
-        };
-    }
-
     private static EndpointState state(EndpointList.State state) {
         return switch (state) {
             case SERVING -> EndpointState.SERVING;
--- a/src/test/java/mintstair/decision/Bed.java
+++ b/src/test/java/mintstair/decision/Bed.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import mintstair.decision.SplitterApi.*;
+import mintstair.request.ReplicationRole;
 
 /** A router under test: settings that a test may alter, a clock, and the actions it took. */
 final class Bed implements SplitterApi.Actions {
@@ -140,9 +141,9 @@
     /** Group 0: primary p, replicas r1 to r3, all up to date and known to be. */
     Bed group() {
         list(EndpointUpdateType.SNAPSHOT, ready("p"), ready("r1"), ready("r2"), ready("r3"));
-        poll("p", now, Role.PRIMARY);
+        poll("p", now, ReplicationRole.PRIMARY);
         for (String r : List.of("r1", "r2", "r3")) {
-            poll(r, now, Role.REPLICA);
+            poll(r, now, ReplicationRole.REPLICA);
         }
         return this;
     }
@@ -159,7 +160,7 @@
         list(EndpointUpdateType.DELTA, new EndpointEntry(host, false, "z", 0, state, 1, 0));
     }
 
-    void poll(String host, long position, Role role) {
+    void poll(String host, long position, ReplicationRole role) {
         router.onProbed(now, host, AttemptOutcome.SUCCESS, 500, new Report(position, role));
     }
 
@@ -167,7 +168,10 @@
     void answerPolls(long behind) {
         for (; answered < probes.size(); answered++) {
             now += MS;
-            poll(probes.get(answered), now - behind, probes.get(answered).equals("p") ? Role.PRIMARY : Role.REPLICA);
+            poll(
+                    probes.get(answered),
+                    now - behind,
+                    probes.get(answered).equals("p") ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
         }
     }
 
@@ -178,7 +182,7 @@
             if (h.equals(lost)) {
                 router.onProbed(now, h, AttemptOutcome.TIMEOUT, 250 * MS, null);
             } else {
-                poll(h, now - 50 * MS, h.equals("p") ? Role.PRIMARY : Role.REPLICA);
+                poll(h, now - 50 * MS, h.equals("p") ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
             }
         }
     }
@@ -195,7 +199,7 @@
         return oneSession ? "session" : "session " + seed + "/" + id;
     }
 
-    void outcome(Sent s, int attempt, AttemptOutcome outcome, Role role, long position) {
+    void outcome(Sent s, int attempt, AttemptOutcome outcome, ReplicationRole role, long position) {
         router.onAttemptEnded(
                 now,
                 new AttemptResult(
@@ -203,11 +207,11 @@
     }
 
     void outcome(Sent s, int attempt, AttemptOutcome outcome) {
-        Role role = s.host.equals("p") ? Role.PRIMARY : Role.REPLICA;
+        ReplicationRole role = s.host.equals("p") ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA;
         boolean tells = outcome == AttemptOutcome.SUCCESS
                 || outcome == AttemptOutcome.ERROR
                 || outcome == AttemptOutcome.OVERLOADED;
-        outcome(s, attempt, outcome, tells ? role : Role.UNTOLD, SplitterApi.UNKNOWN);
+        outcome(s, attempt, outcome, tells ? role : ReplicationRole.UNKNOWN, SplitterApi.UNKNOWN);
     }
 
     /** Lets time go on in ticks, without any event but the timers. */
--- a/src/test/java/mintstair/decision/DecisionSchedule.java
+++ b/src/test/java/mintstair/decision/DecisionSchedule.java
@@ -17,8 +17,8 @@
 import mintstair.decision.SplitterApi.ReadCheck;
 import mintstair.decision.SplitterApi.Report;
 import mintstair.decision.SplitterApi.Request;
-import mintstair.decision.SplitterApi.Role;
 import mintstair.decision.SplitterApi.Settings;
+import mintstair.request.ReplicationRole;
 
 /**
  * Plays a seeded schedule of requests and faults against the decision module, in virtual time, and records every action
@@ -349,7 +349,7 @@
                 || outcome == AttemptOutcome.OVERLOADED
                 || outcome == AttemptOutcome.MISDIRECTED;
         open.over |= outcome == AttemptOutcome.SUCCESS;
-        Role role = answered && chance(0.9) ? role(host) : Role.UNTOLD;
+        ReplicationRole role = answered && chance(0.9) ? role(host) : ReplicationRole.UNKNOWN;
         long position = answered && chance(0.7) ? position(host) : SplitterApi.UNKNOWN;
         router.onAttemptEnded(
                 now,
@@ -357,12 +357,12 @@
                         key.id(), key.attempt(), host.name, outcome, now - sentAt, open.over, role, position));
     }
 
-    private Role role(SimulatedHost host) {
-        return host.group >= 0 && primaries[host.group] == host ? Role.PRIMARY : Role.REPLICA;
+    private ReplicationRole role(SimulatedHost host) {
+        return host.group >= 0 && primaries[host.group] == host ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA;
     }
 
     private long position(SimulatedHost host) {
-        return role(host) == Role.PRIMARY ? now : now - host.lag;
+        return role(host) == ReplicationRole.PRIMARY ? now : now - host.lag;
     }
 
     @Override
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -8,9 +8,9 @@
 import java.util.Random;
 import mintstair.decision.SplitterApi.EndpointState;
 import mintstair.decision.SplitterApi.Fleet;
-import mintstair.decision.SplitterApi.Role;
 import mintstair.membership.FleetPlay;
 import mintstair.membership.swim.ClusterSizeEstimate.Standing;
+import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
 /** What routers that know of each other take of the bounds that they share, while the fleet breaks and heals. */
@@ -142,7 +142,7 @@
                     bed.poll(
                             bed.probes.get(bed.answered),
                             up ? bed.now : bed.now - 5 * S,
-                            up ? Role.PRIMARY : Role.REPLICA);
+                            up ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
                 }
                 if (i % 20 == 0) {
                     bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, SplitterApi.UNKNOWN);
@@ -190,7 +190,7 @@
             bed.state("p", EndpointState.DRAINING);
             for (int i = 0; i < 2400; i++) {
                 for (; bed.answered < bed.probes.size(); bed.answered++) {
-                    bed.poll(bed.probes.get(bed.answered), bed.now - 5 * S, Role.REPLICA);
+                    bed.poll(bed.probes.get(bed.answered), bed.now - 5 * S, ReplicationRole.REPLICA);
                 }
                 if (i % 20 == 0) {
                     bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, SplitterApi.UNKNOWN);
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import mintstair.decision.SplitterApi.*;
+import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
 /** Many routers with a trickle of traffic each, and routers that are told what is not so. */
@@ -78,7 +79,7 @@
                 bed.state("p", EndpointState.DRAINING);
                 for (int i = 0; i < 1600; i++) {
                     for (; bed.answered < bed.probes.size(); bed.answered++) {
-                        bed.poll(bed.probes.get(bed.answered), bed.now - 5_000 * MS, Role.REPLICA);
+                        bed.poll(bed.probes.get(bed.answered), bed.now - 5_000 * MS, ReplicationRole.REPLICA);
                     }
                     if (i % 20 == 0) {
                         bed.request(i, Bed.UNSAFE_WRITE, 1200 * MS, SplitterApi.UNKNOWN);
@@ -129,7 +130,7 @@
     void readThatNoReplicaIsProvenForPollsAFewWhereThePrimaryIsFullAndGoesToOneOfThem() {
         Bed bed = new Bed().start().group();
         bed.now += 5_000 * MS;
-        bed.poll("p", bed.now, Role.PRIMARY);
+        bed.poll("p", bed.now, ReplicationRole.PRIMARY);
         int polls = bed.probes.size();
         for (int id = 100; id < 160; id++) {
             bed.request(id, Bed.UNSAFE_WRITE);
@@ -210,7 +211,7 @@
             Bed bed = new Bed();
             bed.oneSession = false;
             bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
-            bed.poll("p", bed.now, Role.PRIMARY);
+            bed.poll("p", bed.now, ReplicationRole.PRIMARY);
             for (int id = 0; id < 200; id++) {
                 bed.request(id, i == 0 ? Bed.BOUNDED : Bed.ANY);
             }
@@ -225,7 +226,7 @@
         Bed bed = new Bed();
         bed.oneSession = false;
         bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
-        bed.poll("p", bed.now, Role.PRIMARY);
+        bed.poll("p", bed.now, ReplicationRole.PRIMARY);
         for (int id = 0; id < 60; id++) {
             bed.request(id, Bed.UNSAFE_WRITE);
         }
@@ -443,7 +444,14 @@
             bed.router.onAttemptEnded(
                     bed.now,
                     new AttemptResult(
-                            i, 0, s.host(), AttemptOutcome.SUCCESS, time, true, Role.REPLICA, SplitterApi.UNKNOWN));
+                            i,
+                            0,
+                            s.host(),
+                            AttemptOutcome.SUCCESS,
+                            time,
+                            true,
+                            ReplicationRole.REPLICA,
+                            SplitterApi.UNKNOWN));
             if (i == 300) bed.sends.clear();
         }
         long slow = bed.sends.stream().filter(s -> s.host().equals("r1")).count();
@@ -481,7 +489,7 @@
         assertTrue(bed.sends.isEmpty());
         assertEquals(List.of("p"), bed.probes);
         bed.now += 20 * MS;
-        bed.router.onProbed(bed.now, "p", AttemptOutcome.SUCCESS, MS, new Report(bed.now, Role.PRIMARY));
+        bed.router.onProbed(bed.now, "p", AttemptOutcome.SUCCESS, MS, new Report(bed.now, ReplicationRole.PRIMARY));
         assertEquals("p", bed.last().host());
     }
 
@@ -498,7 +506,7 @@
                 bed.request(i, Bed.UNSAFE_WRITE);
                 bed.now += 600 * MS;
                 if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.sendsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
-                bed.poll("p", bed.now, Role.PRIMARY);
+                bed.poll("p", bed.now, ReplicationRole.PRIMARY);
             }
             bed.sends.clear();
             bed.request(99, Bed.UNSAFE_WRITE);
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -5,6 +5,7 @@
 
 import java.util.List;
 import mintstair.decision.SplitterApi.*;
+import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
 /** Nothing of one customer's settings shows up for another's: neither of two side by side, nor of those before a change. */
@@ -139,7 +140,7 @@
             bed.oneSession = false;
             bed.routers = i == 0 ? 16 : 1;
             bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
-            bed.poll("p", bed.now, Role.PRIMARY);
+            bed.poll("p", bed.now, ReplicationRole.PRIMARY);
             bed.routers = 16;
             bed.router.onSettings(bed.now, bed.settings());
             for (int id = 0; id < 60; id++) {
--- a/src/test/java/mintstair/decision/RulesTest.java
+++ b/src/test/java/mintstair/decision/RulesTest.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import mintstair.decision.SplitterApi.*;
+import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
 /** The five rules, each able to fail without the bench. */
@@ -15,7 +16,7 @@
     void everyWaitingRequestIsAnsweredOnceBeforeItsDeadline() {
         Bed bed = new Bed().start();
         bed.list(EndpointUpdateType.SNAPSHOT, Bed.ready("r1"));
-        bed.poll("r1", bed.now - 5_000 * MS, Role.REPLICA);
+        bed.poll("r1", bed.now - 5_000 * MS, ReplicationRole.REPLICA);
         bed.request(1, Bed.UNSAFE_WRITE, 800 * MS, SplitterApi.UNKNOWN);
         bed.request(2, Bed.BOUNDED, 800 * MS, SplitterApi.UNKNOWN);
         bed.pass(800 * MS);
@@ -80,10 +81,10 @@
         Bed bed = new Bed().start().group();
         bed.request(1, Bed.UNSAFE_WRITE);
         bed.now += 20 * MS;
-        bed.outcome(bed.last(), 0, AttemptOutcome.MISDIRECTED, Role.REPLICA, SplitterApi.UNKNOWN);
+        bed.outcome(bed.last(), 0, AttemptOutcome.MISDIRECTED, ReplicationRole.REPLICA, SplitterApi.UNKNOWN);
         assertEquals(1, bed.sends.size());
         bed.now += 500 * MS;
-        bed.poll("r2", bed.now, Role.PRIMARY);
+        bed.poll("r2", bed.now, ReplicationRole.PRIMARY);
         assertEquals("r2", bed.last().host());
         assertEquals(2, bed.sends.size());
     }
@@ -108,10 +109,10 @@
         bed.request(1, Bed.KEYED_WRITE, 4_000 * MS, SplitterApi.UNKNOWN);
         Bed.Sent first = bed.last();
         bed.now += 100 * MS;
-        bed.outcome(first, 0, AttemptOutcome.ERROR, Role.REPLICA, SplitterApi.UNKNOWN);
+        bed.outcome(first, 0, AttemptOutcome.ERROR, ReplicationRole.REPLICA, SplitterApi.UNKNOWN);
         assertEquals(1, bed.sends.size());
         bed.now += 2_000 * MS;
-        bed.poll("r2", bed.now, Role.PRIMARY);
+        bed.poll("r2", bed.now, ReplicationRole.PRIMARY);
         bed.pass(40 * MS);
         assertEquals(1, bed.sends.size());
         assertEquals(1, bed.failed.size());
@@ -189,7 +190,7 @@
         }
         bed.pass(300 * MS);
         bed.outcome(first, 0, AttemptOutcome.ERROR);
-        bed.poll("r1", bed.now, Role.PRIMARY);
+        bed.poll("r1", bed.now, ReplicationRole.PRIMARY);
         bed.pass(1_000 * MS);
         assertEquals(before, bed.sends.size());
         assertTrue(bed.refused.isEmpty() && bed.failed.isEmpty(), "nobody is there to be told");
@@ -203,8 +204,8 @@
         bed.request(1, Bed.BOUNDED);
         for (int i = 0; i < 40; i++) {
             bed.pass(20 * MS);
-            bed.poll("r1", bed.now, Role.REPLICA);
-            bed.poll("r2", bed.now, Role.REPLICA);
+            bed.poll("r1", bed.now, ReplicationRole.REPLICA);
+            bed.poll("r2", bed.now, ReplicationRole.REPLICA);
         }
         assertEquals(1, bed.sendsOf(1).size());
     }
@@ -269,7 +270,7 @@
         Bed.Sent first = bed.last();
         assertNotEquals("p", first.host());
         bed.now += 300 * MS;
-        bed.outcome(first, 0, AttemptOutcome.OVERLOADED, Role.UNTOLD, SplitterApi.UNKNOWN);
+        bed.outcome(first, 0, AttemptOutcome.OVERLOADED, ReplicationRole.UNKNOWN, SplitterApi.UNKNOWN);
         bed.answerPolls(250 * MS);
         assertEquals(2, bed.sends.size());
         assertEquals("p", bed.last().host(), "no replica is known within the bound of the second send");
@@ -295,11 +296,11 @@
         bed.start().group();
         bed.request(1, Bed.UNSAFE_WRITE);
         bed.now += 100 * MS;
-        bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS, Role.PRIMARY, bed.now);
+        bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS, ReplicationRole.PRIMARY, bed.now);
         bed.request(2, Bed.SESSION);
         bed.answerPolls(50 * MS);
         assertEquals("p", bed.last().host());
-        bed.poll("r3", bed.now, Role.REPLICA);
+        bed.poll("r3", bed.now, ReplicationRole.REPLICA);
         bed.request(3, Bed.SESSION);
         assertEquals("r3", bed.last().host());
     }
@@ -310,7 +311,7 @@
         bed.list(EndpointUpdateType.CACHED, Bed.ready("p"), Bed.ready("r1"));
         bed.request(1, Bed.SESSION, 1_200 * MS, 5_000 * MS);
         assertTrue(bed.sends.isEmpty());
-        bed.poll("r1", bed.now - 100 * MS, Role.REPLICA);
+        bed.poll("r1", bed.now - 100 * MS, ReplicationRole.REPLICA);
         assertEquals("r1", bed.last().host());
     }
 
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/SplitterTest.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 import mintstair.decision.SplitterApi.*;
+import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
 /** The departures from the ordinary path, and the module's own limits. */
@@ -35,8 +36,8 @@
     void newestEvidenceOfThePrimaryWinsWhateverItsOrder() {
         Bed bed = new Bed().start().group();
         bed.now += 1_000 * MS;
-        bed.poll("r1", bed.now, Role.PRIMARY);
-        bed.poll("p", bed.now - 900 * MS, Role.PRIMARY);
+        bed.poll("r1", bed.now, ReplicationRole.PRIMARY);
+        bed.poll("p", bed.now - 900 * MS, ReplicationRole.PRIMARY);
         bed.request(1, Bed.UNSAFE_WRITE);
         assertEquals("r1", bed.last().host());
     }
@@ -52,7 +53,7 @@
         bed.request(50, Bed.UNSAFE_WRITE);
         assertEquals(before, bed.sends.size());
         assertTrue(bed.logs.stream().anyMatch(l -> l.startsWith("silent p (primary)")), bed.logs.toString());
-        bed.poll("r1", bed.now, Role.PRIMARY);
+        bed.poll("r1", bed.now, ReplicationRole.PRIMARY);
         assertEquals(50, bed.last().id());
         assertEquals("r1", bed.last().host());
     }
@@ -75,7 +76,7 @@
         bed.now += 250 * MS;
         bed.request(1, Bed.BOUNDED);
         assertNotEquals("p", bed.last().host());
-        bed.outcome(bed.last(), 0, AttemptOutcome.MISDIRECTED, Role.REPLICA, SplitterApi.UNKNOWN);
+        bed.outcome(bed.last(), 0, AttemptOutcome.MISDIRECTED, ReplicationRole.REPLICA, SplitterApi.UNKNOWN);
         assertEquals(2, bed.sends.size());
         assertNotEquals(bed.sends.get(0).host(), bed.sends.get(1).host());
     }
@@ -146,7 +147,8 @@
         }
         assertTrue(bed.sends.size() >= 195, "sent " + bed.sends.size());
         assertTrue(bed.sends.stream().filter(s -> s.host().equals("r1")).count() < 10);
-        bed.router.onProbed(bed.now, "r1", AttemptOutcome.SUCCESS, 1 * MS, new Report(bed.now, Role.REPLICA));
+        bed.router.onProbed(
+                bed.now, "r1", AttemptOutcome.SUCCESS, 1 * MS, new Report(bed.now, ReplicationRole.REPLICA));
         assertTrue(bed.logs.contains("cold r1: ramp from its start"), bed.logs.toString());
     }
 
@@ -174,7 +176,7 @@
             bed.now += 100 * MS;
             bed.router.onProbed(bed.now, "r1", AttemptOutcome.CONNECTION_RESET, MS, null);
         }
-        bed.poll("r1", bed.now, Role.REPLICA);
+        bed.poll("r1", bed.now, ReplicationRole.REPLICA);
         assertTrue(bed.logs.stream().noneMatch(line -> line.contains("r1")), bed.logs.toString());
     }
 
@@ -184,7 +186,7 @@
         Bed bed = new Bed().start().group();
         for (int i = 0; i < 50; i++) {
             bed.list(EndpointUpdateType.DELTA, Bed.ready("new" + i));
-            bed.poll("new" + i, bed.now, Role.REPLICA);
+            bed.poll("new" + i, bed.now, ReplicationRole.REPLICA);
             bed.state("new" + i, EndpointState.REMOVED);
         }
         bed.now += 11_000 * MS;
@@ -215,7 +217,7 @@
         Bed late = new Bed().start().group();
         late.request(1, Bed.ANY);
         late.now += 250 * MS;
-        late.outcome(late.last(), 0, AttemptOutcome.TIMEOUT, Role.UNTOLD, SplitterApi.UNKNOWN);
+        late.outcome(late.last(), 0, AttemptOutcome.TIMEOUT, ReplicationRole.UNKNOWN, SplitterApi.UNKNOWN);
         assertEquals(List.of(500 * MS), late.comeBacks);
     }
 
@@ -225,13 +227,13 @@
         Bed bed = new Bed().start().group();
         bed.now += 400 * MS;
         for (String r : List.of("r1", "r2", "r3")) {
-            bed.poll(r, bed.now - 5_000 * MS, Role.REPLICA);
+            bed.poll(r, bed.now - 5_000 * MS, ReplicationRole.REPLICA);
         }
         bed.state("p", EndpointState.DRAINING);
         bed.probes.clear();
         bed.request(1, Bed.BOUNDED);
         assertTrue(bed.probes.containsAll(List.of("r1", "r2", "r3")), bed.probes.toString());
-        bed.poll("r2", bed.now, Role.PRIMARY);
+        bed.poll("r2", bed.now, ReplicationRole.PRIMARY);
         assertEquals("r2", bed.last().host());
     }
 
@@ -275,7 +277,7 @@
             hosts.forEach(h -> bed.poll(
                     h.host(),
                     bed.now - (h.host().startsWith("p") ? 0 : 9_000 * MS),
-                    h.host().startsWith("p") ? Role.PRIMARY : Role.REPLICA));
+                    h.host().startsWith("p") ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA));
             for (int i = 0; i < 60; i++) {
                 bed.router.onRequest(bed.now, new Request(i, Bed.SESSION, 1, "s" + i, 0, false, 1200 * MS, 5 * MS));
                 bed.now += latency;
@@ -283,7 +285,14 @@
                     bed.router.onAttemptEnded(
                             bed.now,
                             new AttemptResult(
-                                    i, 0, "p1", AttemptOutcome.SUCCESS, latency, true, Role.PRIMARY, bed.now));
+                                    i,
+                                    0,
+                                    "p1",
+                                    AttemptOutcome.SUCCESS,
+                                    latency,
+                                    true,
+                                    ReplicationRole.PRIMARY,
+                                    bed.now));
                 }
             }
             bed.router.onRequest(bed.now, new Request(99, Bed.SESSION, 0, "of " + n, 0, false, 1200 * MS, 5 * MS));
@@ -321,7 +330,7 @@
         }
         for (int i = 0; i < 20; i++) {
             bed.pass(100 * MS);
-            bed.poll("r1", bed.now - 10 * MS, Role.REPLICA);
+            bed.poll("r1", bed.now - 10 * MS, ReplicationRole.REPLICA);
         }
         assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("silent p")), bed.logs.toString());
         bed.request(50, Bed.UNSAFE_WRITE);
@@ -357,7 +366,7 @@
         bed.router.onTimer(bed.now, "unheard of");
         bed.router.onProbed(bed.now, "stranger", AttemptOutcome.SUCCESS, 1, null);
         bed.router.onAttemptEnded(
-                bed.now, new AttemptResult(99, 0, "p", AttemptOutcome.SUCCESS, 1, true, Role.PRIMARY, 0));
+                bed.now, new AttemptResult(99, 0, "p", AttemptOutcome.SUCCESS, 1, true, ReplicationRole.PRIMARY, 0));
         bed.request(1, Bed.ANY);
         bed.router.onHangUp(bed.now, 1);
         bed.outcome(bed.last(), 0, AttemptOutcome.TIMEOUT);
--- a/src/test/java/mintstair/decision/WrongClockTest.java
+++ b/src/test/java/mintstair/decision/WrongClockTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Set;
 import mintstair.decision.SplitterApi.*;
+import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -27,9 +28,9 @@
         bed.start();
         bed.list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"), Bed.ready("r1"), Bed.ready("r2"), Bed.ready("r3"));
         for (String replica : List.of("r1", "r2", "r3")) {
-            bed.poll(replica, bed.now + ahead - lag, Role.REPLICA);
+            bed.poll(replica, bed.now + ahead - lag, ReplicationRole.REPLICA);
         }
-        bed.poll("p", bed.now + ahead, Role.PRIMARY);
+        bed.poll("p", bed.now + ahead, ReplicationRole.PRIMARY);
     }
 
     private void pollAll(long ahead, long lag) {
@@ -39,7 +40,7 @@
             bed.poll(
                     bed.probes.get(bed.answered),
                     bed.now + ahead - (primary ? 0 : lag),
-                    primary ? Role.PRIMARY : Role.REPLICA);
+                    primary ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
         }
     }
 
@@ -102,8 +103,8 @@
                 EndpointUpdateType.SNAPSHOT,
                 new EndpointEntry("p", false, "z", 0, EndpointState.SERVING, 1, started),
                 new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, started));
-        bed.poll("p", bed.now + HOUR, Role.PRIMARY);
-        bed.poll("r1", bed.now + HOUR, Role.REPLICA);
+        bed.poll("p", bed.now + HOUR, ReplicationRole.PRIMARY);
+        bed.poll("r1", bed.now + HOUR, ReplicationRole.REPLICA);
         // 40 at once: a cold replica would be given its fifth of them at most.
         int sent = bed.sends.size();
         for (long id = 1; id <= 12; id++) {
@@ -131,8 +132,8 @@
                 EndpointUpdateType.SNAPSHOT,
                 Bed.ready("p"),
                 new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now - HOUR - SECOND));
-        bed.poll("p", bed.now - HOUR, Role.PRIMARY);
-        bed.poll("r1", bed.now - HOUR, Role.REPLICA);
+        bed.poll("p", bed.now - HOUR, ReplicationRole.PRIMARY);
+        bed.poll("r1", bed.now - HOUR, ReplicationRole.REPLICA);
         assertTrue(bed.logs.contains("cold r1: ramp from its start"), bed.logs.toString());
     }
 
@@ -141,9 +142,9 @@
     void newPrimaryThatAPollTellsOfIsFoundWhereTheClockIsAhead() {
         start(-HOUR, 10 * MS);
         bed.request(1, Bed.UNSAFE_WRITE);
-        bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS, Role.PRIMARY, SplitterApi.UNKNOWN);
+        bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS, ReplicationRole.PRIMARY, SplitterApi.UNKNOWN);
         bed.now += 10 * SECOND;
-        bed.poll("r1", bed.now - HOUR, Role.PRIMARY);
+        bed.poll("r1", bed.now - HOUR, ReplicationRole.PRIMARY);
         bed.request(2, Bed.UNSAFE_WRITE);
         assertEquals("r1", bed.last().host());
     }
