--- a/src/main/java/mintstair/config/InstanceSettings.java
+++ b/src/main/java/mintstair/config/InstanceSettings.java
@@ -4,19 +4,19 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import mintstair.decision.SplitterApi.AttemptLimits;
 import mintstair.decision.SplitterApi.Consistency;
 import mintstair.decision.SplitterApi.DeduplicationScope;
-import mintstair.decision.SplitterApi.Guards;
 import mintstair.decision.SplitterApi.Idempotency;
-import mintstair.decision.SplitterApi.Limits;
-import mintstair.decision.SplitterApi.ReadCheck;
+import mintstair.decision.SplitterApi.ProtectionSettings;
+import mintstair.decision.SplitterApi.ReplicaReadCheck;
 import mintstair.decision.SplitterApi.RequestClass;
-import mintstair.decision.SplitterApi.Settings;
+import mintstair.decision.SplitterApi.RouterSettings;
 import mintstair.decision.SplitterApi.Tenant;
 
 /** The start-up settings of one instance: from the wire's object to the module's records. */
 public final class InstanceSettings {
-    public final Settings settings;
+    public final RouterSettings settings;
     public final Map<String, Integer> classes = new LinkedHashMap<>();
     /** How many proxies share the hosts and their list, this one included. */
     public final int proxies;
@@ -55,7 +55,7 @@
         connectTimeout = micros(map(env, "limits"), "connectTimeoutS", 0.25);
         proxies = (int) number(env, "balancers", 1);
         listPushed = string(env, "discovery", "").equals("automatic");
-        settings = new Settings(
+        settings = new RouterSettings(
                 proxies,
                 (int) number(env, "position", 0),
                 string(env, "locality", ""),
@@ -70,9 +70,9 @@
                 truth(map(env, "clients"), "marksRetry", false),
                 number(prices, "probe", 0),
                 number(prices, "crossZone", 0),
-                guards(map(env, "invariants")),
+                protection(map(env, "invariants")),
                 limits(map(env, "limits")));
-        drainGrace = settings.guards().drainGrace();
+        drainGrace = settings.protection().drainGraceMicros();
     }
 
     /** The longest time, in microseconds, that a request of any class may wait. */
@@ -120,21 +120,21 @@
                 number(c, "lateValue", 0));
     }
 
-    private static ReadCheck check(String word) {
+    private static ReplicaReadCheck check(String word) {
         return switch (word) {
-            case "none" -> ReadCheck.NONE;
-            case "refuse" -> ReadCheck.REFUSE;
-            case "wait" -> ReadCheck.WAIT;
+            case "none" -> ReplicaReadCheck.NONE;
+            case "refuse" -> ReplicaReadCheck.REJECT;
+            case "wait" -> ReplicaReadCheck.WAIT;
             default -> throw new ConfigException("unknown serverChecks " + word);
         };
     }
 
-    private static Guards guards(Map<?, ?> rules) {
+    private static ProtectionSettings protection(Map<?, ?> rules) {
         Object gone = rules.get("goneIsAdvice");
         if (gone != null && !(gone instanceof Boolean)) {
             throw new ConfigException("goneIsAdvice must be true or false");
         }
-        return new Guards(
+        return new ProtectionSettings(
                 micros(rules, "drainGraceS", 0),
                 number(rules, "coldFrom", 1),
                 micros(rules, "warmAfterS", 0),
@@ -143,8 +143,8 @@
                 Boolean.TRUE.equals(gone));
     }
 
-    private static Limits limits(Map<?, ?> limits) {
-        return new Limits(
+    private static AttemptLimits limits(Map<?, ?> limits) {
+        return new AttemptLimits(
                 (int) number(limits, "maxAttempts", 1),
                 truth(limits, "cancelling", false),
                 truth(limits, "probing", false),
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -61,7 +61,7 @@
     // A bounded read's bound counts from its send: one that waited longer for a connection is decided anew.
     static final long FRESH_FOR = 25_000; // less than the rules leave on sockets
 
-    private Settings settings;
+    private RouterSettings settings;
     private final SplitterApi.Actions actions;
     private final Random random;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
@@ -79,11 +79,11 @@
     private long rateAt, wakeAt = Long.MAX_VALUE, awakeSince, alarmAt = RouterState.NEVER, lastSeen;
     private long youngestReport = REPORT_AGE / 4;
     private int listFailures;
-    private Fleet fleet;
+    private FleetSize fleet;
     private double outThere, trustedThere, usualStretch, weights[] = new double[16];
 
     /** Starts a router that knows nothing yet; refuses settings that make no sense. */
-    public ReadWriteSplitter(long now, long seed, Settings settings, SplitterApi.Actions actions) {
+    public ReadWriteSplitter(long now, long seed, RouterSettings settings, SplitterApi.Actions actions) {
         this.actions = actions;
         random = new Random(seed);
         adopt(now, settings);
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void onSettings(long at, Settings changed) {
+    public void onSettings(long at, RouterSettings changed) {
         long now = clock(at);
         adopt(now, changed);
         // What was concluded by the former settings is concluded anew by these.
@@ -104,7 +104,7 @@
             h.asPrimary.shareAmong(routers());
             long listed = h.listedStart > 0 ? now - positions.startedAgo(now, h.listedStart) : 0;
             long start = Math.max(h.slowStart.since(), listed);
-            boolean cold = start > 0 && now - start < settings.guards().warmAfter();
+            boolean cold = start > 0 && now - start < settings.protection().slowStartMicros();
             if (cold && !h.slowStart.isActive()) startCold(h, start);
             if (h.doubted) gone(now, h);
         }
@@ -112,23 +112,23 @@
     }
 
     @Override
-    public void onFleet(long at, Fleet told) {
+    public void onFleetSize(long at, FleetSize told) {
         clock(at);
         fleet = told;
     }
 
     /** One in so many is this router's part of what all share; those of all settled ones add up to one. */
     double routers() {
-        if (fleet == null) return settings.routers();
+        if (fleet == null) return settings.fleetSize();
         double rest = fleet.settled() ? (1 - BASE_SHARE) / fleet.counted() : 0;
-        return 1 / (BASE_SHARE / Math.max(settings.routers(), fleet.largest()) + rest);
+        return 1 / (BASE_SHARE / Math.max(settings.fleetSize(), fleet.largest()) + rest);
     }
 
     /** Takes these settings whole or not at all; what a class's answers have shown stays with its name. */
-    private void adopt(long now, Settings all) {
-        require(all.routers() > 0, "routers must be at least 1");
+    private void adopt(long now, RouterSettings all) {
+        require(all.fleetSize() > 0, "routers must be at least 1");
         require(all.limits().maxAttempts() > 0, "limits.maxAttempts must be at least 1");
-        require(all.guards().coldShare() > 0, "guards.coldShare must be above 0");
+        require(all.protection().slowStartInitialShare() > 0, "guards.coldShare must be above 0");
         for (RequestClass of : all.classes()) require(of.latencyObjectiveMicros() > 0, "classes.aim must be above 0");
         Kind[] before = kinds;
         settings = all;
@@ -196,7 +196,7 @@
 
     /** A list may be wrong: where gone is only advice, such a host is used as long as it is heard from. */
     private void gone(long now, Host h) {
-        if (!settings.guards().goneIsAdvice() || h.drains) {
+        if (!settings.protection().removalIsAdvisory() || h.drains) {
             if (h.goneAt == 0) h.goneAt = now;
             h.ready = false;
         } else h.doubted = true;
@@ -238,13 +238,13 @@
             judgeStart(now, h);
         }
         // The list's role is late: it only fills in where nothing better is known.
-        if (settings.listTellsRole() && e.primary() && h.group.primary == null) claimPrimary(h, 0);
+        if (settings.listReportsRole() && e.primary() && h.group.primary == null) claimPrimary(h, 0);
     }
 
     /** Whether a host is in slow start by what the list tells of its start. */
     private void judgeStart(long now, Host h) {
         long ago = positions.startedAgo(now, h.listedStart);
-        if (ago < settings.guards().warmAfter()) {
+        if (ago < settings.protection().slowStartMicros()) {
             h.slowStart.listed(now - ago);
             logCold(h);
         } else {
@@ -271,7 +271,7 @@
 
     /** The share of its capacity that a host can be trusted with after its start. */
     private double warmth(Host h, long now) {
-        return h.slowStart.share(now, settings.guards());
+        return h.slowStart.share(now, settings.protection());
     }
 
     @Override
@@ -281,7 +281,7 @@
         double unstrained = Math.max(0, 1 - allReplicas.answerTime() / ConcurrencyLimit.STRAIN_AIM);
         double more = SPARE_RATE + (SPARE_RATE_SWIFT - SPARE_RATE) * unstrained;
         furtherAttempts.earn(more, rate(now));
-        double polls = DEMAND_BUDGET / Math.max(1e-9, settings.probePrice());
+        double polls = DEMAND_BUDGET / Math.max(1e-9, settings.healthCheckCost());
         demandedPolls.earn(polls, rate(now));
         requestRate = rate(now) + 1e6 / RATE_SPAN;
         rateAt = now;
@@ -312,7 +312,7 @@
     /** The position that a session's read must see; a carried one counts back from the arrival. */
     private long tokenOf(long now, Request r, Kind kind) {
         if (kind.of.consistency() != Consistency.SESSION) return SplitterApi.UNKNOWN;
-        if (!settings.rememberedTokens()) {
+        if (!settings.remembersSessionTokens()) {
             return r.tokenAge() == SplitterApi.UNKNOWN ? r.tokenAge() : now - r.tokenAge() + TOKEN_SLACK;
         }
         return tokens.positionOf(r.session());
@@ -383,7 +383,7 @@
         if (q.needsPrimary()) return mustConfirm(now, g) ? null : usablePrimary(now, g, q);
         // Where replicas check reads a miss is cheap, so those that may be recent enough count as well: with
         // proven ones alone, all reads crowd for a moment upon whichever replica was polled last.
-        boolean checked = settings.readCheck() != ReadCheck.NONE;
+        boolean checked = settings.replicaReadCheck() != ReplicaReadCheck.NONE;
         long need = need(now, q);
         long guess = checked && q.kind.of.consistency() == Consistency.BOUNDED_STALENESS ? g.reportAge : 0;
         Host h = pick(now, g, q, need, guess, true);
@@ -411,7 +411,7 @@
         Host h = hosts.get(q.request.pinned());
         if (h == null || h.group != g || !h.ready || h.silent || q.attempts > 0) return null;
         if (h == g.primary || !q.needsPrimary() && h.position >= need(now, q)) return h;
-        if (settings.limits().probing() && !h.pollOut && now - h.polledAt >= DEMAND_WAIT) ask(now, h);
+        if (settings.limits().healthChecks() && !h.pollOut && now - h.polledAt >= DEMAND_WAIT) ask(now, h);
         return null;
     }
 
@@ -476,7 +476,7 @@
 
     /** After signs of lost hosts, or against the list, only a host that was heard from is used unasked. */
     private boolean trusted(long now, Host h) {
-        boolean wary = h.doubted || settings.limits().probing() && now - alarmAt < WARY;
+        boolean wary = h.doubted || settings.limits().healthChecks() && now - alarmAt < WARY;
         return !wary || now - h.heardAt < WARY;
     }
 
@@ -489,7 +489,7 @@
 
     /** Polls a few random members that may prove recent enough; true while it pays to wait for them. */
     private boolean mayProve(long now, Group g, Open q, long need) {
-        if (!settings.limits().probing()) return false;
+        if (!settings.limits().healthChecks()) return false;
         boolean out = false;
         int candidates = 0;
         for (Host h : g.members) {
@@ -542,7 +542,7 @@
     /** No write is risked on a primary unheard of for long; advancing replicas or an error show it lives. */
     private boolean mustConfirm(long now, Group g) {
         Host p = g.primary;
-        if (!settings.limits().probing()) return false;
+        if (!settings.limits().healthChecks()) return false;
         boolean heard = p != null && Math.max(p.heardAt, headAt(now, g)) > now - CONFIRM;
         boolean lives = heard && p.ready && !p.silent;
         if (lives) g.seeks = 0;
@@ -682,7 +682,7 @@
                 || !q.mayHaveRun && q.out == 0
                 || q.kind.of.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && q.kind.of.deduplicationScope() == DeduplicationScope.ALL;
-        long longest = settings.limits().maxRetryAfter();
+        long longest = settings.limits().maxRetryAfterMicros();
         long soon = (long) (COME_BACK * q.kind.of.latencyObjectiveMicros());
         long back = now + soon < q.arrived + q.kind.of.latencyObjectiveMicros() ? Math.min(longest, soon) : longest;
         if (harmless) actions.refuse(q.request.id(), settings.limits().retryAfter() ? back : 0);
@@ -717,7 +717,8 @@
         if (o.role() == ReplicationRole.REPLICA) isReplica(h, now);
         long sent = q.sentAt[o.attempt()];
         boolean write = q.kind.of.consistency() == Consistency.WRITE;
-        boolean told = o.position() != SplitterApi.UNKNOWN, checked = settings.readCheck() != ReadCheck.NONE;
+        boolean told = o.position() != SplitterApi.UNKNOWN,
+                checked = settings.replicaReadCheck() != ReplicaReadCheck.NONE;
         if (told && o.role() == ReplicationRole.PRIMARY) primaryAt(now, h.group, o.position());
         long lag = positions.present(now) - o.position();
         if (told && o.role() == ReplicationRole.REPLICA) rise(now, h, o.position(), lag);
@@ -730,7 +731,7 @@
         }
         if (e == AttemptOutcome.MISDIRECTED && !write) h.missAt = now;
         if (e == AttemptOutcome.OVERLOADED) h.fullAt = now;
-        if (e == AttemptOutcome.SUCCESS && write && q.request.session() != null && settings.rememberedTokens()) {
+        if (e == AttemptOutcome.SUCCESS && write && q.request.session() != null && settings.remembersSessionTokens()) {
             long position = told ? o.position() : positions.present(now);
             tokens.written(now, q.request.session(), position);
         }
@@ -971,26 +972,26 @@
     private void rescue(long now, Open q, Host from) {
         if (q.kind.of.idempotency() == Idempotency.NOT_IDEMPOTENT || !mayRepeat(now, q) || q.out > 1) return;
         if (!furtherAttempts.isEnough()) return;
-        if (settings.limits().secondCopies() && q.repeatable()) {
+        if (settings.limits().hedging() && q.repeatable()) {
             Host h = choose(now, q);
             if (h == null || h == from) return;
             furtherAttempts.spend();
             send(now, q, h);
-        } else if (settings.limits().cancelling() && (from.silent || losesAnswers())) {
+        } else if (settings.limits().cancellation() && (from.silent || losesAnswers())) {
             furtherAttempts.spend();
             callOff(q);
         }
     }
 
     private void callOff(Open q) {
-        for (int i = 0; i < q.attempts && settings.limits().cancelling(); i++)
+        for (int i = 0; i < q.attempts && settings.limits().cancellation(); i++)
             if (q.isOut[i]) actions.cancel(q.request.id(), i);
     }
 
     /** How often each host is polled by the timer: by the design, or as often as the price allows. */
     private long pollInterval(long now) {
-        if (!settings.limits().probing() || hosts.isEmpty()) return Long.MAX_VALUE;
-        double affordable = POLL_BUDGET / Math.max(1e-9, settings.probePrice()) * rate(now);
+        if (!settings.limits().healthChecks() || hosts.isEmpty()) return Long.MAX_VALUE;
+        double affordable = POLL_BUDGET / Math.max(1e-9, settings.healthCheckCost()) * rate(now);
         double every = hosts.size() * 1e6 / Math.max(1e-9, affordable);
         return Math.max(Math.min(POLL_EVERY, tightestBound / POLLS_A_BOUND), (long) Math.min(1e12, every));
     }
--- a/src/main/java/mintstair/decision/SlowStart.java
+++ b/src/main/java/mintstair/decision/SlowStart.java
@@ -1,6 +1,6 @@
 package mintstair.decision;
 
-import mintstair.decision.SplitterApi.Guards;
+import mintstair.decision.SplitterApi.ProtectionSettings;
 
 /**
  * The slow start of one host: since when it has been warming up, and what share of its capacity it can be trusted with. Times are
@@ -45,12 +45,12 @@
     }
 
     /** The share of its capacity that the host can be trusted with now. */
-    double share(long now, Guards guards) {
+    double share(long now, ProtectionSettings protection) {
         if (!active) {
             return 1;
         }
-        double cold = guards.coldShare();
-        double share = cold + (1 - cold) * (now - since) / Math.max(1, guards.warmAfter());
+        double cold = protection.slowStartInitialShare();
+        double share = cold + (1 - cold) * (now - since) / Math.max(1, protection.slowStartMicros());
         active = share < 1;
         return Math.max(cold, Math.min(1, share));
     }
--- a/src/main/java/mintstair/decision/SplitterApi.java
+++ b/src/main/java/mintstair/decision/SplitterApi.java
@@ -38,9 +38,9 @@
     }
 
     /** What a replica does with a read for which it is too far behind. */
-    public enum ReadCheck {
+    public enum ReplicaReadCheck {
         NONE,
-        REFUSE,
+        REJECT,
         WAIT
     }
 
@@ -93,50 +93,50 @@
     /** A tenant and the rate, over all routers, up to which its requests are worth their full worth. */
     public record Tenant(String name, double quotaPerSecond) {}
 
-    /** The rules' figures; with {@code goneIsAdvice} only draining binds, and a gone host may still serve. */
-    public record Guards(
-            long drainGrace,
-            double coldShare,
-            long warmAfter,
-            double fallMultiple,
-            long fallSpan,
-            boolean goneIsAdvice) {}
+    /** The rules' figures; with {@code removalIsAdvisory} only draining binds, and a gone host may still serve. */
+    public record ProtectionSettings(
+            long drainGraceMicros,
+            double slowStartInitialShare,
+            long slowStartMicros,
+            double overloadMultiple,
+            long overloadSpanMicros,
+            boolean removalIsAdvisory) {}
 
     /** What the site allows. */
-    public record Limits(
+    public record AttemptLimits(
             int maxAttempts,
-            boolean cancelling,
-            boolean probing,
+            boolean cancellation,
+            boolean healthChecks,
             boolean peerMessages,
-            boolean secondCopies,
+            boolean hedging,
             boolean retryAfter,
-            long maxRetryAfter) {}
+            long maxRetryAfterMicros) {}
 
     /**
      * How many routers there are, as far as this one knows: the largest number seen or told, those that may
      * run and know of each other, and whether this one is {@code settled}: only if all that are so count each
      * other.
      */
-    public record Fleet(int largest, int counted, boolean settled) {}
+    public record FleetSize(int largest, int counted, boolean settled) {}
 
     /** All that a router is told at its start. */
-    public record Settings(
-            int routers,
-            int me,
+    public record RouterSettings(
+            int fleetSize,
+            int instanceIndex,
             String zone,
             List<RequestClass> classes,
             List<Tenant> tenants,
-            double overShareWorth,
-            boolean rememberedTokens,
-            ReadCheck readCheck,
-            boolean positionsInAnswers,
-            boolean listTellsRole,
+            double overQuotaWeight,
+            boolean remembersSessionTokens,
+            ReplicaReadCheck replicaReadCheck,
+            boolean positionsInResponses,
+            boolean listReportsRole,
             boolean subscribe,
-            boolean clientsMarkRepeats,
-            double probePrice,
-            double crossZonePrice,
-            Guards guards,
-            Limits limits) {}
+            boolean clientsMarkRetries,
+            double healthCheckCost,
+            double crossZoneCost,
+            ProtectionSettings protection,
+            AttemptLimits limits) {}
 
     /** One host as listed. */
     public record EndpointEntry(
@@ -196,10 +196,10 @@
         void onEndpoints(long now, EndpointUpdateType kind, List<EndpointEntry> entries);
 
         /** Other settings, from now on; open requests keep the class that they came with. */
-        void onSettings(long now, Settings settings);
+        void onSettings(long now, RouterSettings settings);
 
         /** How many routers there are; where it is never told, those of the settings count. */
-        void onFleet(long now, Fleet fleet);
+        void onFleetSize(long now, FleetSize fleet);
 
         /** A client's request, which is owed exactly one final answer. */
         void onRequest(long now, Request request);
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -182,7 +182,7 @@
                 forget(e.request(), t);
             }
         } else if (event instanceof RouterEvent.FleetSizeChanged e) {
-            module.onFleet(at, new SplitterApi.Fleet(e.largest(), e.counted(), e.settled()));
+            module.onFleetSize(at, new SplitterApi.FleetSize(e.largest(), e.counted(), e.settled()));
         } else if (event instanceof RouterEvent.EndpointsUpdated e) {
             noteDraining(at, e.list());
             List<EndpointEntry> rows = new ArrayList<>();
--- a/src/test/java/mintstair/decision/Bed.java
+++ b/src/test/java/mintstair/decision/Bed.java
@@ -27,7 +27,7 @@
     final StringBuilder trace = new StringBuilder();
     int subscribed;
     int answered;
-    ReadCheck check = ReadCheck.NONE;
+    ReplicaReadCheck check = ReplicaReadCheck.NONE;
     boolean remembered;
     boolean goneIsAdvice;
     boolean secondCopies = true;
@@ -47,7 +47,7 @@
         return this;
     }
 
-    Settings settings() {
+    RouterSettings settings() {
         List<RequestClass> classes = List.of(
                 new RequestClass(
                         "b",
@@ -119,7 +119,7 @@
                             c.lateWeight()))
                     .toList();
         }
-        return new Settings(
+        return new RouterSettings(
                 routers,
                 0,
                 "z",
@@ -134,8 +134,8 @@
                 false,
                 0.01,
                 0,
-                new Guards(250 * MS, 0.2, 10_000 * MS, 3, 2_000 * MS, goneIsAdvice),
-                new Limits(maxAttempts, true, true, false, secondCopies, true, 500 * MS));
+                new ProtectionSettings(250 * MS, 0.2, 10_000 * MS, 3, 2_000 * MS, goneIsAdvice),
+                new AttemptLimits(maxAttempts, true, true, false, secondCopies, true, 500 * MS));
     }
 
     /** Group 0: primary p, replicas r1 to r3, all up to date and known to be. */
--- a/src/test/java/mintstair/decision/DecisionSchedule.java
+++ b/src/test/java/mintstair/decision/DecisionSchedule.java
@@ -13,11 +13,11 @@
 import mintstair.decision.SplitterApi.EndpointEntry;
 import mintstair.decision.SplitterApi.EndpointState;
 import mintstair.decision.SplitterApi.EndpointUpdateType;
-import mintstair.decision.SplitterApi.Fleet;
-import mintstair.decision.SplitterApi.ReadCheck;
+import mintstair.decision.SplitterApi.FleetSize;
+import mintstair.decision.SplitterApi.ReplicaReadCheck;
 import mintstair.decision.SplitterApi.Report;
 import mintstair.decision.SplitterApi.Request;
-import mintstair.decision.SplitterApi.Settings;
+import mintstair.decision.SplitterApi.RouterSettings;
 import mintstair.request.ReplicationRole;
 
 /**
@@ -75,7 +75,7 @@
     }
 
     private final Random random;
-    private final Settings settings;
+    private final RouterSettings settings;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
     private final Map<String, SimulatedHost> hosts = new LinkedHashMap<>();
@@ -91,7 +91,7 @@
     private int played;
     private double requestsPerSecond = 150;
 
-    DecisionSchedule(long seed, Settings settings) {
+    DecisionSchedule(long seed, RouterSettings settings) {
         this.settings = settings;
         random = new Random(seed);
         for (int group = 0; group < GROUPS; group++) {
@@ -252,31 +252,32 @@
         switch (random.nextInt(5)) {
             case 0 -> now += random.nextInt(400_000);
             case 1 -> router.onSettings(now, changedSettings());
-            case 2 -> router.onFleet(now, new Fleet(1 + random.nextInt(40), 1 + random.nextInt(20), chance(0.5)));
+            case 2 ->
+                router.onFleetSize(now, new FleetSize(1 + random.nextInt(40), 1 + random.nextInt(20), chance(0.5)));
             case 3 -> replaceHost();
             default -> router.onTimer(now - random.nextInt(50_000), "tick");
         }
     }
 
-    private Settings changedSettings() {
+    private RouterSettings changedSettings() {
         DecisionSettings[] all = DecisionSettings.values();
-        Settings other = all[random.nextInt(all.length)].settings();
-        return new Settings(
-                other.routers(),
+        RouterSettings other = all[random.nextInt(all.length)].settings();
+        return new RouterSettings(
+                other.fleetSize(),
                 0,
                 "z",
                 settings.classes(),
                 settings.tenants(),
-                other.overShareWorth(),
-                settings.rememberedTokens(),
-                other.readCheck(),
+                other.overQuotaWeight(),
+                settings.remembersSessionTokens(),
+                other.replicaReadCheck(),
                 true,
-                settings.listTellsRole(),
+                settings.listReportsRole(),
                 true,
                 false,
-                other.probePrice(),
+                other.healthCheckCost(),
                 0,
-                other.guards(),
+                other.protection(),
                 other.limits());
     }
 
@@ -329,7 +330,9 @@
         if (host.mode == Mode.FAILING && chance(0.6)) {
             return AttemptOutcome.ERROR;
         }
-        if (settings.readCheck() != ReadCheck.NONE && host.lag > 150 * MS && open.request.classIndex() < 2) {
+        if (settings.replicaReadCheck() != ReplicaReadCheck.NONE
+                && host.lag > 150 * MS
+                && open.request.classIndex() < 2) {
             return AttemptOutcome.MISDIRECTED;
         }
         if (chance(0.01)) {
--- a/src/test/java/mintstair/decision/DecisionSettings.java
+++ b/src/test/java/mintstair/decision/DecisionSettings.java
@@ -1,10 +1,10 @@
 package mintstair.decision;
 
 import java.util.List;
-import mintstair.decision.SplitterApi.Guards;
-import mintstair.decision.SplitterApi.Limits;
-import mintstair.decision.SplitterApi.ReadCheck;
-import mintstair.decision.SplitterApi.Settings;
+import mintstair.decision.SplitterApi.AttemptLimits;
+import mintstair.decision.SplitterApi.ProtectionSettings;
+import mintstair.decision.SplitterApi.ReplicaReadCheck;
+import mintstair.decision.SplitterApi.RouterSettings;
 import mintstair.decision.SplitterApi.Tenant;
 
 /** The settings under which {@link DecisionSchedule} plays: each one switches on other parts of the decision module. */
@@ -12,16 +12,16 @@
     /** One router, replicas that check nothing, hedged requests allowed. */
     PLAIN {
         @Override
-        Settings settings() {
+        RouterSettings settings() {
             return new Bed().settings();
         }
     },
     /** Replicas refuse reads for which they are behind; session positions are remembered by the router. */
     CHECKED_READS {
         @Override
-        Settings settings() {
+        RouterSettings settings() {
             Bed bed = new Bed();
-            bed.check = ReadCheck.REFUSE;
+            bed.check = ReplicaReadCheck.REJECT;
             bed.remembered = true;
             bed.routers = 3;
             return bed.settings();
@@ -30,9 +30,9 @@
     /** Replicas wait until they are recent enough, and the list only advises that an endpoint is gone. */
     WAITING_READS {
         @Override
-        Settings settings() {
+        RouterSettings settings() {
             Bed bed = new Bed();
-            bed.check = ReadCheck.WAIT;
+            bed.check = ReplicaReadCheck.WAIT;
             bed.goneIsAdvice = true;
             bed.maxAttempts = 3;
             return bed.settings();
@@ -41,7 +41,7 @@
     /** One of a hundred routers, cancellation in place of hedged requests, few attempts, short deadlines. */
     LARGE_FLEET {
         @Override
-        Settings settings() {
+        RouterSettings settings() {
             Bed bed = new Bed();
             bed.routers = 100;
             bed.secondCopies = false;
@@ -54,61 +54,62 @@
     /** No polls, no cancellation, no Retry-After; the list tells the roles. */
     LIST_ONLY {
         @Override
-        Settings settings() {
-            Limits limits = new Limits(5, false, false, false, false, false, 0);
+        RouterSettings settings() {
+            AttemptLimits limits = new AttemptLimits(5, false, false, false, false, false, 0);
             return altered(new Bed().settings(), limits, true);
         }
     },
     /** Several tenants over their quotas, a dear price of polls, a long slow start. */
     TENANTS {
         @Override
-        Settings settings() {
+        RouterSettings settings() {
             Bed bed = new Bed();
             bed.remembered = true;
             bed.routers = 8;
-            Settings base = bed.settings();
+            RouterSettings base = bed.settings();
             List<Tenant> tenants = List.of(new Tenant("small", 20), new Tenant("large", 400), new Tenant("none", 0));
-            Guards guards = new Guards(250 * Bed.MS, 0.1, 20_000 * Bed.MS, 2, 1_000 * Bed.MS, false);
-            return new Settings(
-                    base.routers(),
+            ProtectionSettings protection =
+                    new ProtectionSettings(250 * Bed.MS, 0.1, 20_000 * Bed.MS, 2, 1_000 * Bed.MS, false);
+            return new RouterSettings(
+                    base.fleetSize(),
                     0,
                     "z",
                     base.classes(),
                     tenants,
                     0.2,
                     true,
-                    ReadCheck.NONE,
+                    ReplicaReadCheck.NONE,
                     true,
                     false,
                     true,
                     true,
                     0.2,
                     0.1,
-                    guards,
+                    protection,
                     base.limits());
         }
     };
 
     /** A settings object of its own for each schedule. */
-    abstract Settings settings();
+    abstract RouterSettings settings();
 
-    private static Settings altered(Settings base, Limits limits, boolean listTellsRole) {
-        return new Settings(
-                base.routers(),
+    private static RouterSettings altered(RouterSettings base, AttemptLimits limits, boolean listTellsRole) {
+        return new RouterSettings(
+                base.fleetSize(),
                 0,
                 "z",
                 base.classes(),
                 base.tenants(),
-                base.overShareWorth(),
+                base.overQuotaWeight(),
                 false,
-                base.readCheck(),
-                base.positionsInAnswers(),
+                base.replicaReadCheck(),
+                base.positionsInResponses(),
                 listTellsRole,
                 true,
                 false,
-                base.probePrice(),
+                base.healthCheckCost(),
                 0,
-                base.guards(),
+                base.protection(),
                 limits);
     }
 }
--- a/src/test/java/mintstair/decision/EmbeddingTest.java
+++ b/src/test/java/mintstair/decision/EmbeddingTest.java
@@ -74,7 +74,7 @@
                 0,
                 3,
                 0);
-        Settings settings = new Settings(
+        RouterSettings settings = new RouterSettings(
                 1,
                 0,
                 "here",
@@ -82,15 +82,15 @@
                 List.of(),
                 1,
                 true,
-                ReadCheck.NONE,
+                ReplicaReadCheck.NONE,
                 true,
                 false,
                 false,
                 false,
                 0.01,
                 0,
-                new Guards(1_000_000, 0.2, 10_000_000, 3, 2_000_000, false),
-                new Limits(6, true, true, false, true, true, 500_000));
+                new ProtectionSettings(1_000_000, 0.2, 10_000_000, 3, 2_000_000, false),
+                new AttemptLimits(6, true, true, false, true, true, 500_000));
         MyActions actions = new MyActions();
         long now = 5_000_000;
         SplitterApi.Router router = new ReadWriteSplitter(now, 42, settings, actions);
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Random;
 import mintstair.decision.SplitterApi.EndpointState;
-import mintstair.decision.SplitterApi.Fleet;
+import mintstair.decision.SplitterApi.FleetSize;
 import mintstair.membership.FleetPlay;
 import mintstair.membership.swim.ClusterSizeEstimate.Standing;
 import mintstair.request.ReplicationRole;
@@ -37,7 +37,7 @@
         for (FleetPlay.Node node : play.running()) {
             Standing s = node.swim.standing();
             ReadWriteSplitter router = (ReadWriteSplitter) beds[node.number].router;
-            router.onFleet(play.now, new Fleet(s.largest(), s.counted(), s.settled()));
+            router.onFleetSize(play.now, new FleetSize(s.largest(), s.counted(), s.settled()));
             sum += node.isStill() ? 0 : 1 / router.routers();
         }
         return sum;
@@ -215,7 +215,7 @@
             bed.oneSession = false;
             bed.start().group();
             if (counted > 0) {
-                bed.router.onFleet(bed.now, new Fleet(ROUTERS, counted, i < settled));
+                bed.router.onFleetSize(bed.now, new FleetSize(ROUTERS, counted, i < settled));
             }
             beds.add(bed);
         }
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -244,7 +244,7 @@
     void openRequestsKeepTheirClassThroughOtherSettings() {
         Bed bed = new Bed().start().group();
         bed.request(1, Bed.ANY);
-        Settings old = bed.settings();
+        RouterSettings old = bed.settings();
         List<RequestClass> unsafe = old.classes().stream()
                 .map(c -> new RequestClass(
                         c.name(),
@@ -267,34 +267,35 @@
         assertEquals(List.of(2L), bed.failed);
         bed.request(3, Bed.ANY);
         bed.router.onSettings(
-                bed.now, with(old, old.classes(), new Limits(1, true, true, false, true, true, 500 * MS)));
+                bed.now, with(old, old.classes(), new AttemptLimits(1, true, true, false, true, true, 500 * MS)));
         bed.outcome(bed.sendsOf(3).get(0), 0, AttemptOutcome.UNREACHABLE);
         assertEquals(1, bed.sendsOf(3).size());
         assertThrows(
                 IllegalArgumentException.class,
                 () -> bed.router.onSettings(
-                        bed.now, with(old, old.classes(), new Limits(0, true, true, false, true, true, 500 * MS))));
+                        bed.now,
+                        with(old, old.classes(), new AttemptLimits(0, true, true, false, true, true, 500 * MS))));
         bed.request(4, Bed.ANY);
         assertEquals(1, bed.sendsOf(4).size(), "what makes no sense changes nothing");
     }
 
-    private static Settings with(Settings s, List<RequestClass> classes, Limits limits) {
-        return new Settings(
-                s.routers(),
-                s.me(),
+    private static RouterSettings with(RouterSettings s, List<RequestClass> classes, AttemptLimits limits) {
+        return new RouterSettings(
+                s.fleetSize(),
+                s.instanceIndex(),
                 s.zone(),
                 classes,
                 s.tenants(),
-                s.overShareWorth(),
-                s.rememberedTokens(),
-                s.readCheck(),
-                s.positionsInAnswers(),
-                s.listTellsRole(),
+                s.overQuotaWeight(),
+                s.remembersSessionTokens(),
+                s.replicaReadCheck(),
+                s.positionsInResponses(),
+                s.listReportsRole(),
                 s.subscribe(),
-                s.clientsMarkRepeats(),
-                s.probePrice(),
-                s.crossZonePrice(),
-                s.guards(),
+                s.clientsMarkRetries(),
+                s.healthCheckCost(),
+                s.crossZoneCost(),
+                s.protection(),
                 limits);
     }
 
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -12,29 +12,33 @@
 class OtherSettingsTest {
     private static final long MS = Bed.MS;
 
-    private static Settings with(
-            Settings s, int routers, List<RequestClass> classes, List<Tenant> tenants, Guards guards) {
-        return new Settings(
+    private static RouterSettings with(
+            RouterSettings s,
+            int routers,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            ProtectionSettings protection) {
+        return new RouterSettings(
                 routers,
-                s.me(),
+                s.instanceIndex(),
                 s.zone(),
                 classes,
                 tenants,
-                s.overShareWorth(),
-                s.rememberedTokens(),
-                s.readCheck(),
-                s.positionsInAnswers(),
-                s.listTellsRole(),
+                s.overQuotaWeight(),
+                s.remembersSessionTokens(),
+                s.replicaReadCheck(),
+                s.positionsInResponses(),
+                s.listReportsRole(),
                 s.subscribe(),
-                s.clientsMarkRepeats(),
-                s.probePrice(),
-                s.crossZonePrice(),
-                guards,
+                s.clientsMarkRetries(),
+                s.healthCheckCost(),
+                s.crossZoneCost(),
+                protection,
                 s.limits());
     }
 
-    private static Settings guarded(Settings s, Guards guards) {
-        return with(s, s.routers(), s.classes(), s.tenants(), guards);
+    private static RouterSettings guarded(RouterSettings s, ProtectionSettings protection) {
+        return with(s, s.fleetSize(), s.classes(), s.tenants(), protection);
     }
 
     private static EndpointEntry started(String host, long at) {
@@ -43,7 +47,10 @@
 
     /** So many of 200 fresh routers that go over to these settings send their read to r1. */
     private static long readsAt(
-            String host, EndpointEntry listed, boolean advice, java.util.function.Function<Settings, Settings> change) {
+            String host,
+            EndpointEntry listed,
+            boolean advice,
+            java.util.function.Function<RouterSettings, RouterSettings> change) {
         long sent = 0;
         for (int i = 0; i < 200; i++) {
             Bed bed = new Bed();
@@ -65,7 +72,10 @@
         EndpointEntry listed = started("r1", 1_000_000_000L - 15_000 * MS);
         long warm = readsAt("r1", listed, false, s -> s);
         long cold = readsAt(
-                "r1", listed, false, s -> guarded(s, new Guards(250 * MS, 0.1, 60_000 * MS, 3, 2_000 * MS, false)));
+                "r1",
+                listed,
+                false,
+                s -> guarded(s, new ProtectionSettings(250 * MS, 0.1, 60_000 * MS, 3, 2_000 * MS, false)));
         assertTrue(warm > 50, warm + " of 200 while it is warm");
         // Of three equal replicas one with a warmth of 0.1 + 0.9 / 4 has its part of 2.3.
         assertTrue(cold < warm * 2 / 3, cold + " of 200 once it is cold, " + warm + " before");
@@ -82,7 +92,7 @@
                         "r1",
                         gone,
                         true,
-                        s -> guarded(s, new Guards(250 * MS, 0.2, 10_000 * MS, 3, 2_000 * MS, false))));
+                        s -> guarded(s, new ProtectionSettings(250 * MS, 0.2, 10_000 * MS, 3, 2_000 * MS, false))));
     }
 
     /** What is assumed of a class until its answers have shown it goes by its own aim, not by that of a class of that name before. */
@@ -94,7 +104,7 @@
             bed.oneSession = false;
             bed.start().group();
             if (i == 1) {
-                Settings old = bed.settings();
+                RouterSettings old = bed.settings();
                 bed.router = new ReadWriteSplitter(
                         bed.now,
                         7,
@@ -115,7 +125,7 @@
                                                 c.lateWeight()))
                                         .toList(),
                                 old.tenants(),
-                                old.guards()),
+                                old.protection()),
                         bed);
                 bed.group();
                 bed.router.onSettings(bed.now, old);
@@ -160,9 +170,13 @@
             Bed bed = new Bed();
             bed.oneSession = false;
             bed.start();
-            Settings old = bed.settings();
-            Settings both = with(
-                    old, 1, old.classes(), List.of(new Tenant("small", 1), new Tenant("large", 1_000)), old.guards());
+            RouterSettings old = bed.settings();
+            RouterSettings both = with(
+                    old,
+                    1,
+                    old.classes(),
+                    List.of(new Tenant("small", 1), new Tenant("large", 1_000)),
+                    old.protection());
             bed.router = new ReadWriteSplitter(bed.now, 7, both, bed);
             bed.group();
             // One uses up its share long before; the other has sent nothing yet.
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/SplitterTest.java
@@ -71,7 +71,7 @@
     @Test
     void whereReplicasCheckABoundedReadTriesTheLeastBehind() {
         Bed bed = new Bed();
-        bed.check = ReadCheck.REFUSE;
+        bed.check = ReplicaReadCheck.REJECT;
         bed.start().group();
         bed.now += 250 * MS;
         bed.request(1, Bed.BOUNDED);
@@ -348,7 +348,7 @@
     @Test
     void sessionReadNeedsProofAsLongAsThePrimaryHasRoom() {
         Bed bed = new Bed();
-        bed.check = ReadCheck.REFUSE;
+        bed.check = ReplicaReadCheck.REJECT;
         bed.start().group();
         bed.now += 100 * MS;
         for (int i = 0; i < 30; i++) {
