--- a/src/main/java/mintstair/adapter/Wire.java
+++ b/src/main/java/mintstair/adapter/Wire.java
@@ -21,8 +21,8 @@
 import mintstair.decision.SplitterApi.EndpointEntry;
 import mintstair.decision.SplitterApi.EndpointState;
 import mintstair.decision.SplitterApi.EndpointUpdateType;
-import mintstair.decision.SplitterApi.Report;
-import mintstair.decision.SplitterApi.Request;
+import mintstair.decision.SplitterApi.ReplicationStatus;
+import mintstair.decision.SplitterApi.RoutingRequest;
 import mintstair.request.ReplicationRole;
 
 /** Reads batches of events, hands each to its instance, and writes one reply a batch. */
@@ -164,7 +164,7 @@
         Integer tenantIndex = tenant == null ? null : to.env.tenants.get(tenant);
         to.router.onRequest(
                 now,
-                new Request(
+                new RoutingRequest(
                         id,
                         classIndex,
                         group,
@@ -199,7 +199,7 @@
         to.router.onProbed(now, host, outcome, latency, report(to.env));
     }
 
-    private Report report(InstanceSettings env) throws IOException {
+    private ReplicationStatus report(InstanceSettings env) throws IOException {
         JsonToken t = in.nextToken();
         if (t != JsonToken.START_ARRAY) {
             require(t == JsonToken.VALUE_NULL, "a report must be an array or null");
@@ -216,7 +216,7 @@
                 role = in.getDoubleValue() == 1 ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA;
             }
         }
-        return new Report(position, role);
+        return new ReplicationStatus(position, role);
     }
 
     private static AttemptOutcome ending(String word) {
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -275,7 +275,7 @@
     }
 
     @Override
-    public void onRequest(long at, Request r) {
+    public void onRequest(long at, RoutingRequest r) {
         long now = clock(at);
         Kind kind = kinds[r.classIndex()];
         double unstrained = Math.max(0, 1 - allReplicas.answerTime() / ConcurrencyLimit.STRAIN_AIM);
@@ -303,17 +303,19 @@
     }
 
     /** Where only a part may pass the lucky do; a session keeps its luck, so trying again is no way in. */
-    private double luckOf(Request r) {
+    private double luckOf(RoutingRequest r) {
         return r.session() == null
                 ? random.nextDouble()
                 : new Random(r.session().hashCode() * 0x9E3779B97F4A7C15L).nextDouble();
     }
 
     /** The position that a session's read must see; a carried one counts back from the arrival. */
-    private long tokenOf(long now, Request r, Kind kind) {
+    private long tokenOf(long now, RoutingRequest r, Kind kind) {
         if (kind.of.consistency() != Consistency.SESSION) return SplitterApi.UNKNOWN;
         if (!settings.remembersSessionTokens()) {
-            return r.tokenAge() == SplitterApi.UNKNOWN ? r.tokenAge() : now - r.tokenAge() + TOKEN_SLACK;
+            return r.tokenAgeMicros() == SplitterApi.UNKNOWN
+                    ? r.tokenAgeMicros()
+                    : now - r.tokenAgeMicros() + TOKEN_SLACK;
         }
         return tokens.positionOf(r.session());
     }
@@ -379,7 +381,7 @@
     /** The ordinary path: a random replica known to be recent enough, else the primary. */
     private Host choose(long now, Open q) {
         Group g = groupOf(q.request.group());
-        if (q.request.pinned() != null) return pinned(now, g, q);
+        if (q.request.stickyHost() != null) return pinned(now, g, q);
         if (q.needsPrimary()) return mustConfirm(now, g) ? null : usablePrimary(now, g, q);
         // Where replicas check reads a miss is cheap, so those that may be recent enough count as well: with
         // proven ones alone, all reads crowd for a moment upon whichever replica was polled last.
@@ -408,7 +410,7 @@
 
     /** A pinned read's own host while that is known to be recent enough; it is polled to find out. */
     private Host pinned(long now, Group g, Open q) {
-        Host h = hosts.get(q.request.pinned());
+        Host h = hosts.get(q.request.stickyHost());
         if (h == null || h.group != g || !h.ready || h.silent || q.attempts > 0) return null;
         if (h == g.primary || !q.needsPrimary() && h.position >= need(now, q)) return h;
         if (settings.limits().healthChecks() && !h.pollOut && now - h.polledAt >= DEMAND_WAIT) ask(now, h);
@@ -662,7 +664,7 @@
     private boolean mayRepeat(long now, Open q) {
         int most = Math.min(q.tried.length, settings.limits().maxAttempts());
         if (q.attempts >= most || now >= q.deadline - MARGIN) return false;
-        if (q.request.pinned() != null) return q.attempts == 0;
+        if (q.request.stickyHost() != null) return q.attempts == 0;
         if (!q.mayHaveRun || q.repeatable()) return true;
         if (q.kind.of.idempotency() != Idempotency.IDEMPOTENCY_KEY
                 || q.kind.of.deduplicationScope() == DeduplicationScope.ZONE) return false;
@@ -830,7 +832,7 @@
     }
 
     @Override
-    public void onProbed(long at, String host, AttemptOutcome outcome, long latency, Report report) {
+    public void onProbed(long at, String host, AttemptOutcome outcome, long latency, ReplicationStatus report) {
         long now = clock(at);
         Host h = hosts.get(host);
         if (h == null) return;
@@ -1028,7 +1030,7 @@
     private long waitsUntil(Open q, boolean primary) {
         RequestClass of = q.kind.of;
         // Told no early, a client may yet be served; told late with nothing sent, its time was wasted.
-        long unsent = q.arrived + (long) (UNSENT_HELD * q.request.patience());
+        long unsent = q.arrived + (long) (UNSENT_HELD * q.request.timeoutMicros());
         long last = q.attempts > 0 ? q.deadline - MARGIN : Math.min(unsent, q.deadline - MARGIN);
         if (q.needsPrimary() && of.lateWeight() > 0 && !primary) return last;
         double part = q.needsPrimary() ? WRITE_WAIT : READ_WAIT;
--- a/src/main/java/mintstair/decision/RouterState.java
+++ b/src/main/java/mintstair/decision/RouterState.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import mintstair.decision.SplitterApi.Consistency;
 import mintstair.decision.SplitterApi.Idempotency;
-import mintstair.decision.SplitterApi.Request;
 import mintstair.decision.SplitterApi.RequestClass;
+import mintstair.decision.SplitterApi.RoutingRequest;
 
 /** What a router remembers: plain facts, read and written by ReadWriteSplitter, which alone decides. */
 final class RouterState {
@@ -84,7 +84,7 @@
 
     /** A request that is not over, or some attempt of which is still out. */
     static final class Open {
-        final Request request;
+        final RoutingRequest request;
         final Kind kind;
         final long arrived, deadline, token;
         final boolean overShare;
@@ -96,11 +96,11 @@
         boolean mayHaveRun, finished, waits, counted, overdue;
         long firstMayHaveRun, waitsSince, askedAt = NEVER;
 
-        Open(Request request, Kind kind, long now, long token, boolean overShare, double luck, int most) {
+        Open(RoutingRequest request, Kind kind, long now, long token, boolean overShare, double luck, int most) {
             this.request = request;
             this.kind = kind;
             arrived = now;
-            deadline = now + request.patience();
+            deadline = now + request.timeoutMicros();
             this.token = token;
             this.overShare = overShare;
             this.luck = luck;
@@ -122,7 +122,7 @@
         }
 
         boolean repeatable() {
-            return kind.of.idempotency() == Idempotency.IDEMPOTENT && request.pinned() == null;
+            return kind.of.idempotency() == Idempotency.IDEMPOTENT && request.stickyHost() == null;
         }
     }
 }
--- a/src/main/java/mintstair/decision/SplitterApi.java
+++ b/src/main/java/mintstair/decision/SplitterApi.java
@@ -150,34 +150,34 @@
             long lastStart) {}
 
     /**
-     * A request; {@code patience} is the time until its client gives up, {@code tenant} -1 where none.
-     * One that is {@code pinned} goes on with what its host holds: no other host can serve it, nor it twice.
+     * A request; {@code timeoutMicros} is the time until its client gives up, {@code tenant} -1 where none.
+     * One that is {@code stickyHost} goes on with what its host holds: no other host can serve it, nor it twice.
      */
-    public record Request(
+    public record RoutingRequest(
             long id,
             int classIndex,
             int group,
             String session,
             int tenant,
-            boolean clientRepeat,
-            long patience,
-            long tokenAge,
-            String pinned) {
-        public Request(
+            boolean clientRetry,
+            long timeoutMicros,
+            long tokenAgeMicros,
+            String stickyHost) {
+        public RoutingRequest(
                 long id,
                 int classIndex,
                 int group,
                 String session,
                 int tenant,
-                boolean clientRepeat,
-                long patience,
-                long tokenAge) {
-            this(id, classIndex, group, session, tenant, clientRepeat, patience, tokenAge, null);
+                boolean clientRetry,
+                long timeoutMicros,
+                long tokenAgeMicros) {
+            this(id, classIndex, group, session, tenant, clientRetry, timeoutMicros, tokenAgeMicros, null);
         }
     }
 
     /** A host's report on itself; {@code position} may be {@link #UNKNOWN}. */
-    public record Report(long position, ReplicationRole role) {}
+    public record ReplicationStatus(long position, ReplicationRole role) {}
 
     /** The end of one attempt; {@code finished} when the request is over with it or was before. */
     public record AttemptResult(
@@ -202,7 +202,7 @@
         void onFleetSize(long now, FleetSize fleet);
 
         /** A client's request, which is owed exactly one final answer. */
-        void onRequest(long now, Request request);
+        void onRequest(long now, RoutingRequest request);
 
         /** An attempt ended. */
         void onAttemptEnded(long now, AttemptResult result);
@@ -217,7 +217,7 @@
         void onTimer(long now, String name);
 
         /** A probe ended; {@code report} is null where there is none. */
-        void onProbed(long now, String host, AttemptOutcome outcome, long latency, Report report);
+        void onProbed(long now, String host, AttemptOutcome outcome, long latency, ReplicationStatus report);
 
         /** How many hosts of the list are draining, silent or failing: they get trial requests at most. */
         int avoided(long now);
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -19,9 +19,9 @@
 import mintstair.decision.SplitterApi.EndpointEntry;
 import mintstair.decision.SplitterApi.EndpointState;
 import mintstair.decision.SplitterApi.EndpointUpdateType;
-import mintstair.decision.SplitterApi.Report;
-import mintstair.decision.SplitterApi.Request;
+import mintstair.decision.SplitterApi.ReplicationStatus;
 import mintstair.decision.SplitterApi.RequestClass;
+import mintstair.decision.SplitterApi.RoutingRequest;
 import mintstair.request.AttemptVerdict;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.EndpointList;
@@ -107,7 +107,7 @@
         }
         module.onRequest(
                 at,
-                new Request(
+                new RoutingRequest(
                         number,
                         env.classes.get(r.requestClass()),
                         r.cluster(),
@@ -169,9 +169,9 @@
                             e.report().position()));
             forget(e.request(), t);
         } else if (event instanceof RouterEvent.HealthCheckEnded e) {
-            Report report = e.report().role() == ReplicationRole.UNKNOWN
+            ReplicationStatus report = e.report().role() == ReplicationRole.UNKNOWN
                     ? null
-                    : new Report(e.report().position(), e.report().role());
+                    : new ReplicationStatus(e.report().position(), e.report().role());
             module.onProbed(at, e.host(), ending(e.end()), e.latency(), report);
         } else if (event instanceof RouterEvent.ClientDisconnected e) {
             Taken t = taken.get(e.request());
--- a/src/test/java/mintstair/decision/Bed.java
+++ b/src/test/java/mintstair/decision/Bed.java
@@ -161,7 +161,7 @@
     }
 
     void poll(String host, long position, ReplicationRole role) {
-        router.onProbed(now, host, AttemptOutcome.SUCCESS, 500, new Report(position, role));
+        router.onProbed(now, host, AttemptOutcome.SUCCESS, 500, new ReplicationStatus(position, role));
     }
 
     /** Answers all polls that are out, and those asked for upon that, with positions so far back. */
@@ -192,7 +192,7 @@
     }
 
     void request(long id, int kind, long patience, long tokenAge) {
-        router.onRequest(now, new Request(id, kind, 0, session(id), 0, false, patience, tokenAge));
+        router.onRequest(now, new RoutingRequest(id, kind, 0, session(id), 0, false, patience, tokenAge));
     }
 
     private String session(long id) {
--- a/src/test/java/mintstair/decision/DecisionSchedule.java
+++ b/src/test/java/mintstair/decision/DecisionSchedule.java
@@ -15,9 +15,9 @@
 import mintstair.decision.SplitterApi.EndpointUpdateType;
 import mintstair.decision.SplitterApi.FleetSize;
 import mintstair.decision.SplitterApi.ReplicaReadCheck;
-import mintstair.decision.SplitterApi.Report;
-import mintstair.decision.SplitterApi.Request;
+import mintstair.decision.SplitterApi.ReplicationStatus;
 import mintstair.decision.SplitterApi.RouterSettings;
+import mintstair.decision.SplitterApi.RoutingRequest;
 import mintstair.request.ReplicationRole;
 
 /**
@@ -63,12 +63,12 @@
     }
 
     private static final class OpenRequest {
-        final Request request;
+        final RoutingRequest request;
         final long deadline;
         int attempts;
         boolean over;
 
-        OpenRequest(Request request, long deadline) {
+        OpenRequest(RoutingRequest request, long deadline) {
             this.request = request;
             this.deadline = deadline;
         }
@@ -176,7 +176,7 @@
         int tenant = random.nextInt(settings.tenants().size() + 1) - 1;
         long tokenAge = chance(0.5) ? random.nextInt(400_000) : SplitterApi.UNKNOWN;
         String pinned = chance(0.02) ? anyHost().name : null;
-        Request request = new Request(
+        RoutingRequest request = new RoutingRequest(
                 id, classIndex, random.nextInt(GROUPS), session, tenant, chance(0.05), patience, tokenAge, pinned);
         requests.put(id, new OpenRequest(request, now + patience));
         router.onRequest(now, request);
@@ -401,7 +401,8 @@
             after(MS, () -> router.onProbed(now, name, outcome, MS, null));
         } else {
             long latency = MS + random.nextInt(2_000);
-            Report report = new Report(chance(0.95) ? position(host) : SplitterApi.UNKNOWN, role(host));
+            ReplicationStatus report =
+                    new ReplicationStatus(chance(0.95) ? position(host) : SplitterApi.UNKNOWN, role(host));
             after(latency, () -> router.onProbed(now, name, AttemptOutcome.SUCCESS, latency, report));
         }
     }
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -490,7 +490,8 @@
         assertTrue(bed.sends.isEmpty());
         assertEquals(List.of("p"), bed.probes);
         bed.now += 20 * MS;
-        bed.router.onProbed(bed.now, "p", AttemptOutcome.SUCCESS, MS, new Report(bed.now, ReplicationRole.PRIMARY));
+        bed.router.onProbed(
+                bed.now, "p", AttemptOutcome.SUCCESS, MS, new ReplicationStatus(bed.now, ReplicationRole.PRIMARY));
         assertEquals("p", bed.last().host());
     }
 
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -197,8 +197,8 @@
                 "the second tenant's " + sent[1] + " beside a loud first, " + sent[0] + " alone");
     }
 
-    private static Request read(long id, int tenant) {
-        return new Request(id, Bed.ANY, 0, "s" + id, tenant, false, 2_500 * MS, SplitterApi.UNKNOWN);
+    private static RoutingRequest read(long id, int tenant) {
+        return new RoutingRequest(id, Bed.ANY, 0, "s" + id, tenant, false, 2_500 * MS, SplitterApi.UNKNOWN);
     }
 
     /** The end of a router: each request that it holds, in whatever state, gets one final answer, refused only where that is harmless. */
--- a/src/test/java/mintstair/decision/RulesTest.java
+++ b/src/test/java/mintstair/decision/RulesTest.java
@@ -320,11 +320,12 @@
     void pinnedReadGoesToItsHostOnceOrNowhere() {
         Bed bed = new Bed().start().group();
         bed.router.onRequest(
-                bed.now, new Request(1, Bed.ANY, 0, "s", -1, false, 1000 * Bed.MS, SplitterApi.UNKNOWN, "r2"));
+                bed.now, new RoutingRequest(1, Bed.ANY, 0, "s", -1, false, 1000 * Bed.MS, SplitterApi.UNKNOWN, "r2"));
         assertEquals("r2", bed.last().host());
         bed.outcome(bed.last(), 0, AttemptOutcome.CONNECTION_RESET);
         assertEquals(List.of(1L), bed.failed);
-        bed.router.onRequest(bed.now, new Request(2, Bed.SESSION, 0, "s", -1, false, 1000 * Bed.MS, -5000, "r2"));
+        bed.router.onRequest(
+                bed.now, new RoutingRequest(2, Bed.SESSION, 0, "s", -1, false, 1000 * Bed.MS, -5000, "r2"));
         bed.pass(500 * Bed.MS);
         assertEquals(List.of(2L), bed.refused);
         assertEquals(1, bed.sends.size());
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/SplitterTest.java
@@ -148,7 +148,7 @@
         assertTrue(bed.sends.size() >= 195, "sent " + bed.sends.size());
         assertTrue(bed.sends.stream().filter(s -> s.host().equals("r1")).count() < 10);
         bed.router.onProbed(
-                bed.now, "r1", AttemptOutcome.SUCCESS, 1 * MS, new Report(bed.now, ReplicationRole.REPLICA));
+                bed.now, "r1", AttemptOutcome.SUCCESS, 1 * MS, new ReplicationStatus(bed.now, ReplicationRole.REPLICA));
         assertTrue(bed.logs.contains("cold r1: ramp from its start"), bed.logs.toString());
     }
 
@@ -279,7 +279,8 @@
                     bed.now - (h.host().startsWith("p") ? 0 : 9_000 * MS),
                     h.host().startsWith("p") ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA));
             for (int i = 0; i < 60; i++) {
-                bed.router.onRequest(bed.now, new Request(i, Bed.SESSION, 1, "s" + i, 0, false, 1200 * MS, 5 * MS));
+                bed.router.onRequest(
+                        bed.now, new RoutingRequest(i, Bed.SESSION, 1, "s" + i, 0, false, 1200 * MS, 5 * MS));
                 bed.now += latency;
                 if (!bed.sends.isEmpty() && bed.last().id() == i) {
                     bed.router.onAttemptEnded(
@@ -295,7 +296,8 @@
                                     bed.now));
                 }
             }
-            bed.router.onRequest(bed.now, new Request(99, Bed.SESSION, 0, "of " + n, 0, false, 1200 * MS, 5 * MS));
+            bed.router.onRequest(
+                    bed.now, new RoutingRequest(99, Bed.SESSION, 0, "of " + n, 0, false, 1200 * MS, 5 * MS));
             sent += bed.last().id() == 99 ? 1 : 0;
         }
         return sent;
