--- a/src/main/java/mintstair/adapter/ActionWriter.java
+++ b/src/main/java/mintstair/adapter/ActionWriter.java
@@ -32,9 +32,9 @@
     }
 
     @Override
-    public void refuse(long id, long comeBack) {
+    public void reject(long id, long retryAfterMicros) {
         open("busy").append(',').append(id);
-        seconds(comeBack);
+        seconds(retryAfterMicros);
         close();
     }
 
@@ -45,17 +45,17 @@
     }
 
     @Override
-    public void probe(String host) {
+    public void checkHealth(String host) {
         open("askLoad");
         text(host);
         close();
     }
 
     @Override
-    public void timer(String name, long after) {
+    public void startTimer(String name, long delayMicros) {
         open("sleep");
         text(name);
-        seconds(after);
+        seconds(delayMicros);
         close();
     }
 
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void tellPeers(String message) {
+    public void broadcast(String message) {
         open("broadcastTo");
         text("*");
         text(message);
--- a/src/main/java/mintstair/adapter/Wire.java
+++ b/src/main/java/mintstair/adapter/Wire.java
@@ -80,10 +80,10 @@
             case "announce" -> announce();
             case "order" -> order();
             case "result" -> result();
-            case "hangup" -> instance().router.onHangUp(now, whole());
+            case "hangup" -> instance().router.onClientDisconnected(now, whole());
             case "wakeup" -> instance().router.onTimer(now, text());
             case "pingResult" -> pingResult();
-            case "memo" -> instance().router.onPeer(now, (int) whole(), text());
+            case "memo" -> instance().router.onPeerMessage(now, (int) whole(), text());
             case "headReceived" -> instance();
             case "crashNow" -> instances.remove((int) whole());
             default -> throw new WireException("unknown event " + name);
@@ -196,7 +196,7 @@
         AttemptOutcome outcome = ending(text());
         long latency = InstanceSettings.toMicros(number(0));
         String host = text();
-        to.router.onProbed(now, host, outcome, latency, report(to.env));
+        to.router.onHealthCheckEnded(now, host, outcome, latency, report(to.env));
     }
 
     private ReplicationStatus report(InstanceSettings env) throws IOException {
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -178,7 +178,7 @@
         if (kind == EndpointUpdateType.FAILED) {
             // The list is out of reach: the old one stands, and routers must not ask again all at once.
             long wait = LIST_RETRY << Math.min(listFailures++, 4);
-            actions.timer("subscribe", wait + (long) (random.nextDouble() * wait));
+            actions.startTimer("subscribe", wait + (long) (random.nextDouble() * wait));
             if (listFailures == 1) actions.log("list out of reach; the old one stands");
             return;
         }
@@ -533,7 +533,7 @@
     private void ask(long now, Host h) {
         h.pollOut = true;
         h.polledAt = now;
-        actions.probe(h.name);
+        actions.checkHealth(h.name);
     }
 
     /** The own time at which the newest position of a group was the present. */
@@ -595,7 +595,7 @@
     }
 
     @Override
-    public int avoided(long now) {
+    public int unavailableEndpoints(long now) {
         int count = 0;
         for (Host h : hosts.values()) {
             h.health.fade(now);
@@ -687,20 +687,20 @@
         long longest = settings.limits().maxRetryAfterMicros();
         long soon = (long) (COME_BACK * q.kind.of.latencyObjectiveMicros());
         long back = now + soon < q.arrived + q.kind.of.latencyObjectiveMicros() ? Math.min(longest, soon) : longest;
-        if (harmless) actions.refuse(q.request.id(), settings.limits().retryAfter() ? back : 0);
+        if (harmless) actions.reject(q.request.id(), settings.limits().retryAfter() ? back : 0);
         else actions.fail(q.request.id());
         finish(q);
     }
 
     @Override
-    public void onHangUp(long at, long id) {
+    public void onClientDisconnected(long at, long id) {
         clock(at);
         Open q = open.get(id);
         if (q != null && !q.finished) finish(q);
     }
 
     @Override
-    public void onEnd(long at) {
+    public void onShutdown(long at) {
         for (Open q : List.copyOf(open.values())) if (!q.finished) giveUp(clock(at), q);
     }
 
@@ -832,7 +832,8 @@
     }
 
     @Override
-    public void onProbed(long at, String host, AttemptOutcome outcome, long latency, ReplicationStatus report) {
+    public void onHealthCheckEnded(
+            long at, String host, AttemptOutcome outcome, long latency, ReplicationStatus report) {
         long now = clock(at);
         Host h = hosts.get(host);
         if (h == null) return;
@@ -873,7 +874,7 @@
         long at = Math.max(due, now + TICK);
         if (at >= wakeAt) return;
         wakeAt = at;
-        actions.timer("tick", at - now);
+        actions.startTimer("tick", at - now);
     }
 
     @Override
@@ -1039,5 +1040,5 @@
 
     /** Nothing is asked of peers: their messages may be lost, and each router decides on its own. */
     @Override
-    public void onPeer(long now, int from, String text) {}
+    public void onPeerMessage(long now, int from, String text) {}
 }
--- a/src/main/java/mintstair/decision/SplitterApi.java
+++ b/src/main/java/mintstair/decision/SplitterApi.java
@@ -208,22 +208,22 @@
         void onAttemptEnded(long now, AttemptResult result);
 
         /** The client left; no answer is owed any more. */
-        void onHangUp(long now, long id);
+        void onClientDisconnected(long now, long id);
 
         /** This router ends: all requests that are held are given up, each with its final answer. */
-        void onEnd(long now);
+        void onShutdown(long now);
 
         /** A timer is due. */
         void onTimer(long now, String name);
 
         /** A probe ended; {@code report} is null where there is none. */
-        void onProbed(long now, String host, AttemptOutcome outcome, long latency, ReplicationStatus report);
+        void onHealthCheckEnded(long now, String host, AttemptOutcome outcome, long latency, ReplicationStatus report);
 
         /** How many hosts of the list are draining, silent or failing: they get trial requests at most. */
-        int avoided(long now);
+        int unavailableEndpoints(long now);
 
         /** A message of another router. */
-        void onPeer(long now, int from, String text);
+        void onPeerMessage(long now, int from, String text);
     }
 
     /** The actions. */
@@ -237,23 +237,23 @@
         /** Stops waiting for one attempt. */
         void cancel(long id, int attempt);
 
-        /** Final answer: refused, a further try is harmless, best after {@code comeBack} (0: no advice). */
-        void refuse(long id, long comeBack);
+        /** Final answer: refused, a further try is harmless, best after {@code retryAfterMicros} (0: no advice). */
+        void reject(long id, long retryAfterMicros);
 
         /** Final answer: failed, nothing promised. */
         void fail(long id);
 
         /** Asks a host for its report. */
-        void probe(String host);
+        void checkHealth(String host);
 
         /** Asks for {@link Router#onTimer} after this long. */
-        void timer(String name, long after);
+        void startTimer(String name, long delayMicros);
 
         /** Asks the list for changes from here on. */
         void subscribe();
 
         /** Sends a short message to every other router. */
-        void tellPeers(String text);
+        void broadcast(String text);
 
         /** A line for the people on call. */
         void log(String text);
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -90,7 +90,7 @@
 
     /** How many of the listed hosts the module keeps requests away from at this time. */
     public int unavailableEndpoints(long at) {
-        return module.avoided(at);
+        return module.unavailableEndpoints(at);
     }
 
     /** Decides on a new request, whose number is used for it from here on. */
@@ -172,13 +172,13 @@
             ReplicationStatus report = e.report().role() == ReplicationRole.UNKNOWN
                     ? null
                     : new ReplicationStatus(e.report().position(), e.report().role());
-            module.onProbed(at, e.host(), ending(e.end()), e.latency(), report);
+            module.onHealthCheckEnded(at, e.host(), ending(e.end()), e.latency(), report);
         } else if (event instanceof RouterEvent.ClientDisconnected e) {
             Taken t = taken.get(e.request());
             monitor.over(e.request());
             if (t != null) {
                 t.over = true;
-                module.onHangUp(at, e.request());
+                module.onClientDisconnected(at, e.request());
                 forget(e.request(), t);
             }
         } else if (event instanceof RouterEvent.FleetSizeChanged e) {
@@ -225,7 +225,7 @@
     /** Ends all that is held: each request gets its final answer now, whatever time it has left. */
     public List<RouterAction> shutDown(long at) {
         now = at;
-        module.onEnd(at);
+        module.onShutdown(at);
         return takeDue();
     }
 
@@ -284,7 +284,7 @@
         }
 
         @Override
-        public void refuse(long id, long retryAfterMicros) {
+        public void reject(long id, long retryAfterMicros) {
             due.add(new RouterAction.Reject(id, retryAfterMicros));
             over(id);
         }
@@ -302,13 +302,13 @@
         }
 
         @Override
-        public void probe(String host) {
+        public void checkHealth(String host) {
             due.add(new RouterAction.CheckHealth(host));
         }
 
         @Override
-        public void timer(String name, long after) {
-            alarms.add(new Alarm(now + after, alarmsSet++, name));
+        public void startTimer(String name, long delayMicros) {
+            alarms.add(new Alarm(now + delayMicros, alarmsSet++, name));
         }
 
         @Override
@@ -317,7 +317,7 @@
         }
 
         @Override
-        public void tellPeers(String text) {
+        public void broadcast(String text) {
             // Proxies share nothing.
         }
 
--- a/src/test/java/mintstair/decision/Bed.java
+++ b/src/test/java/mintstair/decision/Bed.java
@@ -161,7 +161,7 @@
     }
 
     void poll(String host, long position, ReplicationRole role) {
-        router.onProbed(now, host, AttemptOutcome.SUCCESS, 500, new ReplicationStatus(position, role));
+        router.onHealthCheckEnded(now, host, AttemptOutcome.SUCCESS, 500, new ReplicationStatus(position, role));
     }
 
     /** Answers all polls that are out, and those asked for upon that, with positions so far back. */
@@ -180,7 +180,7 @@
         for (; answered < probes.size(); answered++) {
             String h = probes.get(answered);
             if (h.equals(lost)) {
-                router.onProbed(now, h, AttemptOutcome.TIMEOUT, 250 * MS, null);
+                router.onHealthCheckEnded(now, h, AttemptOutcome.TIMEOUT, 250 * MS, null);
             } else {
                 poll(h, now - 50 * MS, h.equals("p") ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
             }
@@ -242,9 +242,9 @@
     }
 
     @Override
-    public void refuse(long id, long comeBack) {
+    public void reject(long id, long retryAfterMicros) {
         refused.add(id);
-        comeBacks.add(comeBack);
+        comeBacks.add(retryAfterMicros);
         trace.append("refuse ").append(id).append('\n');
     }
 
@@ -255,14 +255,14 @@
     }
 
     @Override
-    public void probe(String host) {
+    public void checkHealth(String host) {
         probes.add(host);
         trace.append("probe ").append(host).append('\n');
     }
 
     @Override
-    public void timer(String name, long after) {
-        trace.append("timer ").append(name).append(' ').append(after).append('\n');
+    public void startTimer(String name, long delayMicros) {
+        trace.append("timer ").append(name).append(' ').append(delayMicros).append('\n');
     }
 
     @Override
@@ -271,7 +271,7 @@
     }
 
     @Override
-    public void tellPeers(String text) {}
+    public void broadcast(String text) {}
 
     @Override
     public void log(String text) {
--- a/src/test/java/mintstair/decision/DecisionSchedule.java
+++ b/src/test/java/mintstair/decision/DecisionSchedule.java
@@ -115,8 +115,8 @@
             event.action().run();
             played++;
         }
-        router.onEnd(now);
-        note("avoided " + router.avoided(now));
+        router.onShutdown(now);
+        note("avoided " + router.unavailableEndpoints(now));
         return record;
     }
 
@@ -190,7 +190,7 @@
         OpenRequest open = requests.get(id);
         if (!open.over) {
             open.over = true;
-            router.onHangUp(now, id);
+            router.onClientDisconnected(now, id);
         }
     }
 
@@ -376,8 +376,8 @@
     }
 
     @Override
-    public void refuse(long id, long comeBack) {
-        note("refuse " + id + " " + comeBack);
+    public void reject(long id, long retryAfterMicros) {
+        note("refuse " + id + " " + retryAfterMicros);
         requests.get(id).over = true;
     }
 
@@ -388,29 +388,29 @@
     }
 
     @Override
-    public void probe(String name) {
+    public void checkHealth(String name) {
         note("probe " + name);
         SimulatedHost host = hosts.get(name);
         if (host == null || host.mode == Mode.DOWN || host.mode == Mode.HUNG && chance(0.5)) {
             AttemptOutcome outcome = chance(0.7)
                     ? AttemptOutcome.UNREACHABLE
                     : chance(0.5) ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECTION_RESET;
-            after(OUT_OF_REACH_AFTER, () -> router.onProbed(now, name, outcome, OUT_OF_REACH_AFTER, null));
+            after(OUT_OF_REACH_AFTER, () -> router.onHealthCheckEnded(now, name, outcome, OUT_OF_REACH_AFTER, null));
         } else if (chance(0.03)) {
             AttemptOutcome outcome = chance(0.5) ? AttemptOutcome.ERROR : AttemptOutcome.NOT_SENT;
-            after(MS, () -> router.onProbed(now, name, outcome, MS, null));
+            after(MS, () -> router.onHealthCheckEnded(now, name, outcome, MS, null));
         } else {
             long latency = MS + random.nextInt(2_000);
             ReplicationStatus report =
                     new ReplicationStatus(chance(0.95) ? position(host) : SplitterApi.UNKNOWN, role(host));
-            after(latency, () -> router.onProbed(now, name, AttemptOutcome.SUCCESS, latency, report));
+            after(latency, () -> router.onHealthCheckEnded(now, name, AttemptOutcome.SUCCESS, latency, report));
         }
     }
 
     @Override
-    public void timer(String name, long wait) {
-        note("timer " + name + " " + wait);
-        after(wait, () -> router.onTimer(now, name));
+    public void startTimer(String name, long delayMicros) {
+        note("timer " + name + " " + delayMicros);
+        after(delayMicros, () -> router.onTimer(now, name));
     }
 
     @Override
@@ -419,7 +419,7 @@
     }
 
     @Override
-    public void tellPeers(String text) {
+    public void broadcast(String text) {
         note("tellPeers " + text);
     }
 
--- a/src/test/java/mintstair/decision/EmbeddingTest.java
+++ b/src/test/java/mintstair/decision/EmbeddingTest.java
@@ -25,7 +25,7 @@
         }
 
         @Override
-        public void refuse(long id, long comeBack) {
+        public void reject(long id, long retryAfterMicros) {
             asked.add("refuse " + id);
         }
 
@@ -35,16 +35,16 @@
         }
 
         @Override
-        public void probe(String host) {}
+        public void checkHealth(String host) {}
 
         @Override
-        public void timer(String name, long after) {}
+        public void startTimer(String name, long delayMicros) {}
 
         @Override
         public void subscribe() {}
 
         @Override
-        public void tellPeers(String text) {}
+        public void broadcast(String text) {}
 
         @Override
         public void log(String text) {}
@@ -100,15 +100,18 @@
                 List.of(
                         new EndpointEntry("db1", false, "here", 0, EndpointState.SERVING, 1, 0),
                         new EndpointEntry("db2", false, "here", 0, EndpointState.SERVING, 1, 0)));
-        router.onProbed(now, "db1", AttemptOutcome.SUCCESS, 300, new ReplicationStatus(now, ReplicationRole.PRIMARY));
-        router.onProbed(now, "db2", AttemptOutcome.SUCCESS, 300, new ReplicationStatus(now, ReplicationRole.REPLICA));
+        router.onHealthCheckEnded(
+                now, "db1", AttemptOutcome.SUCCESS, 300, new ReplicationStatus(now, ReplicationRole.PRIMARY));
+        router.onHealthCheckEnded(
+                now, "db2", AttemptOutcome.SUCCESS, 300, new ReplicationStatus(now, ReplicationRole.REPLICA));
         router.onRequest(now, new RoutingRequest(1, 0, 0, "ann", -1, false, 3_000_000, SplitterApi.UNKNOWN));
         now += 40_000;
         router.onAttemptEnded(
                 now,
                 new AttemptResult(1, 0, "db1", AttemptOutcome.SUCCESS, 40_000, true, ReplicationRole.PRIMARY, now));
         router.onRequest(now, new RoutingRequest(2, 1, 0, "ann", -1, false, 1_200_000, SplitterApi.UNKNOWN));
-        router.onProbed(now, "db2", AttemptOutcome.SUCCESS, 300, new ReplicationStatus(now, ReplicationRole.REPLICA));
+        router.onHealthCheckEnded(
+                now, "db2", AttemptOutcome.SUCCESS, 300, new ReplicationStatus(now, ReplicationRole.REPLICA));
         router.onRequest(now, new RoutingRequest(3, 1, 0, "ann", -1, false, 1_200_000, SplitterApi.UNKNOWN));
         assertEquals(List.of("send 1 to db1", "send 2 to db2", "send 3 to db2"), actions.asked);
     }
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -303,9 +303,9 @@
     @Test
     void drainingAndSilentHostsAreAvoided() {
         Bed bed = new Bed().start().group();
-        assertEquals(0, bed.router.avoided(bed.now));
+        assertEquals(0, bed.router.unavailableEndpoints(bed.now));
         bed.state("r1", EndpointState.DRAINING);
-        assertEquals(1, bed.router.avoided(bed.now));
+        assertEquals(1, bed.router.unavailableEndpoints(bed.now));
         bed.now += 500 * MS;
         for (int i = 0; i < 20; i++) {
             bed.request(1_000 + i, Bed.ANY);
@@ -318,9 +318,9 @@
                         bed.last().host().equals("r2") ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             }
         }
-        assertEquals(2, bed.router.avoided(bed.now));
+        assertEquals(2, bed.router.unavailableEndpoints(bed.now));
         bed.state("r1", EndpointState.REMOVED);
-        assertEquals(1, bed.router.avoided(bed.now), "what is gone is not on the list");
+        assertEquals(1, bed.router.unavailableEndpoints(bed.now), "what is gone is not on the list");
     }
 
     @Test
@@ -384,7 +384,7 @@
             if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
             bed.pass(20 * MS);
             for (; bed.answered < bed.probes.size(); bed.answered++, polls++) {
-                bed.router.onProbed(bed.now, bed.probes.get(bed.answered), AttemptOutcome.ERROR, MS, null);
+                bed.router.onHealthCheckEnded(bed.now, bed.probes.get(bed.answered), AttemptOutcome.ERROR, MS, null);
             }
         }
         assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("silent")), bed.logs.toString());
@@ -490,7 +490,7 @@
         assertTrue(bed.sends.isEmpty());
         assertEquals(List.of("p"), bed.probes);
         bed.now += 20 * MS;
-        bed.router.onProbed(
+        bed.router.onHealthCheckEnded(
                 bed.now, "p", AttemptOutcome.SUCCESS, MS, new ReplicationStatus(bed.now, ReplicationRole.PRIMARY));
         assertEquals("p", bed.last().host());
     }
@@ -542,7 +542,7 @@
     void wordsOfPeersDoNoHarm() {
         Bed bed = new Bed().start().group();
         for (String text : List.of("", "v9 nonsense", "primary nobody -1", "\u0000")) {
-            bed.router.onPeer(bed.now, 77, text);
+            bed.router.onPeerMessage(bed.now, 77, text);
         }
         bed.request(1, Bed.ANY);
         assertEquals(1, bed.sends.size());
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -182,7 +182,7 @@
             // One uses up its share long before; the other has sent nothing yet.
             for (int id = 0; id < 40 && i == 1; id++) {
                 bed.router.onRequest(bed.now, read(id, 0));
-                bed.router.onHangUp(bed.now, id);
+                bed.router.onClientDisconnected(bed.now, id);
                 bed.sendsOf(id).forEach(s -> bed.outcome(s, 0, AttemptOutcome.SUCCESS));
             }
             bed.sends.clear();
@@ -217,8 +217,8 @@
                         bed.sendsOf(1).size(),
                         bed.sendsOf(2).size(),
                         bed.sendsOf(3).size()));
-        bed.router.onEnd(bed.now);
-        bed.router.onEnd(bed.now);
+        bed.router.onShutdown(bed.now);
+        bed.router.onShutdown(bed.now);
         assertEquals(List.of(1L, 3L), bed.refused);
         assertEquals(List.of(2L), bed.failed, "it may have run");
         int sends = bed.sends.size();
--- a/src/test/java/mintstair/decision/RulesTest.java
+++ b/src/test/java/mintstair/decision/RulesTest.java
@@ -186,7 +186,7 @@
         assertTrue(bed.sendsOf(3).isEmpty(), "there is no primary");
         int before = bed.sends.size();
         for (long id = 1; id <= 3; id++) {
-            bed.router.onHangUp(bed.now, id);
+            bed.router.onClientDisconnected(bed.now, id);
         }
         bed.pass(300 * MS);
         bed.outcome(first, 0, AttemptOutcome.ERROR);
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/SplitterTest.java
@@ -147,7 +147,7 @@
         }
         assertTrue(bed.sends.size() >= 195, "sent " + bed.sends.size());
         assertTrue(bed.sends.stream().filter(s -> s.host().equals("r1")).count() < 10);
-        bed.router.onProbed(
+        bed.router.onHealthCheckEnded(
                 bed.now, "r1", AttemptOutcome.SUCCESS, 1 * MS, new ReplicationStatus(bed.now, ReplicationRole.REPLICA));
         assertTrue(bed.logs.contains("cold r1: ramp from its start"), bed.logs.toString());
     }
@@ -163,7 +163,7 @@
                     bed.sendsOf(bed.last().id()).size() - 1,
                     bed.last().host().equals("r2") ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             // A poll that was not even sent is no sign of life.
-            bed.router.onProbed(bed.now, "r2", AttemptOutcome.NOT_SENT, 0, null);
+            bed.router.onHealthCheckEnded(bed.now, "r2", AttemptOutcome.NOT_SENT, 0, null);
         }
         assertTrue(bed.logs.contains("silent r2: out of reach"), bed.logs.toString());
     }
@@ -174,7 +174,7 @@
         Bed bed = new Bed().start().group();
         for (int i = 0; i < 5; i++) {
             bed.now += 100 * MS;
-            bed.router.onProbed(bed.now, "r1", AttemptOutcome.CONNECTION_RESET, MS, null);
+            bed.router.onHealthCheckEnded(bed.now, "r1", AttemptOutcome.CONNECTION_RESET, MS, null);
         }
         bed.poll("r1", bed.now, ReplicationRole.REPLICA);
         assertTrue(bed.logs.stream().noneMatch(line -> line.contains("r1")), bed.logs.toString());
@@ -192,8 +192,8 @@
         bed.now += 11_000 * MS;
         bed.state("r1", EndpointState.SERVING);
         bed.logs.clear();
-        bed.router.onProbed(bed.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
-        bed.router.onProbed(bed.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
+        bed.router.onHealthCheckEnded(bed.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
+        bed.router.onHealthCheckEnded(bed.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
         assertTrue(bed.logs.isEmpty(), "nothing is known of it any more");
     }
 
@@ -364,13 +364,13 @@
     @Test
     void eventsOutOfPlaceDoNoHarm() {
         Bed bed = new Bed().start().group();
-        bed.router.onHangUp(bed.now, 99);
+        bed.router.onClientDisconnected(bed.now, 99);
         bed.router.onTimer(bed.now, "unheard of");
-        bed.router.onProbed(bed.now, "stranger", AttemptOutcome.SUCCESS, 1, null);
+        bed.router.onHealthCheckEnded(bed.now, "stranger", AttemptOutcome.SUCCESS, 1, null);
         bed.router.onAttemptEnded(
                 bed.now, new AttemptResult(99, 0, "p", AttemptOutcome.SUCCESS, 1, true, ReplicationRole.PRIMARY, 0));
         bed.request(1, Bed.ANY);
-        bed.router.onHangUp(bed.now, 1);
+        bed.router.onClientDisconnected(bed.now, 1);
         bed.outcome(bed.last(), 0, AttemptOutcome.TIMEOUT);
         assertEquals(1, bed.sends.size());
         assertTrue(bed.failed.isEmpty() && bed.refused.isEmpty());
