--- a/src/main/java/mintstair/adapter/ActionWriter.java
+++ b/src/main/java/mintstair/adapter/ActionWriter.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
-import mintstair.decision.SplitterApi;
+import mintstair.decision.RouterActions;
 
 /** The actions of one instance, written to the reply shared by its batch. */
-final class ActionWriter implements SplitterApi.Actions {
+final class ActionWriter implements RouterActions {
     private final StringBuilder out;
     private final int who;
 
--- a/src/main/java/mintstair/adapter/Wire.java
+++ b/src/main/java/mintstair/adapter/Wire.java
@@ -14,15 +14,17 @@
 import mintstair.config.ConfigException;
 import mintstair.config.InstanceSettings;
 import mintstair.config.Json;
+import mintstair.decision.AttemptOutcome;
+import mintstair.decision.AttemptResult;
+import mintstair.decision.EndpointEntry;
+import mintstair.decision.EndpointState;
+import mintstair.decision.EndpointUpdateType;
+import mintstair.decision.Positions;
 import mintstair.decision.ReadWriteSplitter;
-import mintstair.decision.SplitterApi;
-import mintstair.decision.SplitterApi.AttemptOutcome;
-import mintstair.decision.SplitterApi.AttemptResult;
-import mintstair.decision.SplitterApi.EndpointEntry;
-import mintstair.decision.SplitterApi.EndpointState;
-import mintstair.decision.SplitterApi.EndpointUpdateType;
-import mintstair.decision.SplitterApi.ReplicationStatus;
-import mintstair.decision.SplitterApi.RoutingRequest;
+import mintstair.decision.ReplicationStatus;
+import mintstair.decision.Router;
+import mintstair.decision.RouterActions;
+import mintstair.decision.RoutingRequest;
 import mintstair.request.ReplicationRole;
 
 /** Reads batches of events, hands each to its instance, and writes one reply a batch. */
@@ -30,7 +32,7 @@
     private static final int SLOTS = 16;
 
     /** One router: its module and what translates for it; nothing is shared between two of them. */
-    private record Instance(SplitterApi.Router router, InstanceSettings env) {}
+    private record Instance(Router router, InstanceSettings env) {}
 
     private final JsonParser in;
     private final OutputStream out;
@@ -123,7 +125,7 @@
         } catch (ConfigException e) {
             throw new WireException(e.getMessage());
         }
-        SplitterApi.Actions actions = new ActionWriter(reply, who);
+        RouterActions actions = new ActionWriter(reply, who);
         instances.put(who, new Instance(new ReadWriteSplitter(now, seed, env.settings, actions), env));
         return true;
     }
@@ -172,7 +174,7 @@
                         tenantIndex == null ? -1 : tenantIndex,
                         (bits & 2) != 0,
                         patience,
-                        tokenMs > 0 ? Math.round(tokenMs * 1e3) : SplitterApi.UNKNOWN));
+                        tokenMs > 0 ? Math.round(tokenMs * 1e3) : Positions.UNKNOWN));
     }
 
     private void result() throws IOException {
@@ -187,7 +189,7 @@
         ReplicationRole role = (mark & 3) == 1
                 ? ReplicationRole.PRIMARY
                 : (mark & 3) == 2 ? ReplicationRole.REPLICA : ReplicationRole.UNKNOWN;
-        long position = mark >> 2 == 0 ? SplitterApi.UNKNOWN : to.env.positionZero + (mark >> 2) * 1000;
+        long position = mark >> 2 == 0 ? Positions.UNKNOWN : to.env.positionZero + (mark >> 2) * 1000;
         to.router.onAttemptEnded(now, new AttemptResult(id, attempt, host, outcome, latency, finished, role, position));
     }
 
@@ -205,7 +207,7 @@
             require(t == JsonToken.VALUE_NULL, "a report must be an array or null");
             return null;
         }
-        long position = SplitterApi.UNKNOWN;
+        long position = Positions.UNKNOWN;
         ReplicationRole role = ReplicationRole.UNKNOWN;
         int i = 0;
         for (t = in.nextToken(); t != JsonToken.END_ARRAY && t != null; t = in.nextToken(), i++) {
--- a/src/main/java/mintstair/config/InstanceSettings.java
+++ b/src/main/java/mintstair/config/InstanceSettings.java
@@ -4,15 +4,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mintstair.decision.SplitterApi.AttemptLimits;
-import mintstair.decision.SplitterApi.Consistency;
-import mintstair.decision.SplitterApi.DeduplicationScope;
-import mintstair.decision.SplitterApi.Idempotency;
-import mintstair.decision.SplitterApi.ProtectionSettings;
-import mintstair.decision.SplitterApi.ReplicaReadCheck;
-import mintstair.decision.SplitterApi.RequestClass;
-import mintstair.decision.SplitterApi.RouterSettings;
-import mintstair.decision.SplitterApi.Tenant;
+import mintstair.decision.AttemptLimits;
+import mintstair.decision.Consistency;
+import mintstair.decision.DeduplicationScope;
+import mintstair.decision.Idempotency;
+import mintstair.decision.ProtectionSettings;
+import mintstair.decision.ReplicaReadCheck;
+import mintstair.decision.RequestClass;
+import mintstair.decision.RouterSettings;
+import mintstair.decision.Tenant;
 
 /** The start-up settings of one instance: from the wire's object to the module's records. */
 public final class InstanceSettings {
--- /dev/null
+++ b/src/main/java/mintstair/decision/DeduplicationScope.java
@@ -0,0 +1,8 @@
+package mintstair.decision;
+
+/** Where the repeats of a keyed request are dropped. */
+public enum DeduplicationScope {
+    ALL,
+    ZONE,
+    GROUP
+}
--- a/src/main/java/mintstair/decision/InvariantMonitor.java
+++ b/src/main/java/mintstair/decision/InvariantMonitor.java
@@ -5,8 +5,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import mintstair.decision.SplitterApi.Idempotency;
-import mintstair.decision.SplitterApi.RequestClass;
 
 /**
  * Checks at run time that what was written to hosts and answered to clients keeps the rules. It decides nothing and shares no state
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -2,7 +2,6 @@
 
 import java.util.*;
 import mintstair.decision.RouterState.*;
-import mintstair.decision.SplitterApi.*;
 import mintstair.request.ReplicationRole;
 
 /**
@@ -13,7 +12,7 @@
  * A router may be one of hundreds with a trickle of traffic each: what acts on hardly any evidence acts with
  * a probability in proportion to this router's own requests, so that the sum over routers comes out right.
  */
-public final class ReadWriteSplitter implements SplitterApi.Router {
+public final class ReadWriteSplitter implements Router {
     // Times are in microseconds, shares and weights without unit.
     static final long TICK = 20_000; // what waits, is stuck or silent is looked at no oftener
     static final long STALL = 100_000; // a tick this late: this router stood still; its span is no evidence
@@ -62,7 +61,7 @@
     static final long FRESH_FOR = 25_000; // less than the rules leave on sockets
 
     private RouterSettings settings;
-    private final SplitterApi.Actions actions;
+    private final RouterActions actions;
     private final Random random;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     private final Map<Integer, Group> groups = new TreeMap<>();
@@ -83,7 +82,7 @@
     private double outThere, trustedThere, usualStretch, weights[] = new double[16];
 
     /** Starts a router that knows nothing yet; refuses settings that make no sense. */
-    public ReadWriteSplitter(long now, long seed, RouterSettings settings, SplitterApi.Actions actions) {
+    public ReadWriteSplitter(long now, long seed, RouterSettings settings, RouterActions actions) {
         this.actions = actions;
         random = new Random(seed);
         adopt(now, settings);
@@ -254,7 +253,7 @@
 
     /** A primary told its position: where that shows the own clock wrong, start times are judged anew. */
     private void primaryAt(long now, Group g, long position) {
-        if (position == SplitterApi.UNKNOWN || !positions.heardPrimary(g.number, now, position)) return;
+        if (position == Positions.UNKNOWN || !positions.heardPrimary(g.number, now, position)) return;
         long millis = positions.wrongBy() / 1000;
         actions.log("clock: hosts' positions are " + millis + " ms ahead of this machine's clock");
         for (Host h : hosts.values()) if (h.listedStart > 0) judgeStart(now, h);
@@ -311,9 +310,9 @@
 
     /** The position that a session's read must see; a carried one counts back from the arrival. */
     private long tokenOf(long now, RoutingRequest r, Kind kind) {
-        if (kind.of.consistency() != Consistency.SESSION) return SplitterApi.UNKNOWN;
+        if (kind.of.consistency() != Consistency.SESSION) return Positions.UNKNOWN;
         if (!settings.remembersSessionTokens()) {
-            return r.tokenAgeMicros() == SplitterApi.UNKNOWN
+            return r.tokenAgeMicros() == Positions.UNKNOWN
                     ? r.tokenAgeMicros()
                     : now - r.tokenAgeMicros() + TOKEN_SLACK;
         }
@@ -719,7 +718,7 @@
         if (o.role() == ReplicationRole.REPLICA) isReplica(h, now);
         long sent = q.sentAt[o.attempt()];
         boolean write = q.kind.of.consistency() == Consistency.WRITE;
-        boolean told = o.position() != SplitterApi.UNKNOWN,
+        boolean told = o.position() != Positions.UNKNOWN,
                 checked = settings.replicaReadCheck() != ReplicaReadCheck.NONE;
         if (told && o.role() == ReplicationRole.PRIMARY) primaryAt(now, h.group, o.position());
         long lag = positions.present(now) - o.position();
@@ -849,11 +848,11 @@
             if (report.role() == ReplicationRole.PRIMARY) {
                 // A primary stands at the present, so its position is the time of its report.
                 h.toldAt = now;
-                if (report.position() != SplitterApi.UNKNOWN) {
+                if (report.position() != Positions.UNKNOWN) {
                     h.group.reportAge = Math.max(age, (long) (h.group.reportAge * 0.95));
                 }
                 claimPrimary(h, reportedAt);
-            } else if (report.role() == ReplicationRole.REPLICA && report.position() != SplitterApi.UNKNOWN) {
+            } else if (report.role() == ReplicationRole.REPLICA && report.position() != Positions.UNKNOWN) {
                 isReplica(h, Math.max(reportedAt, now - latency - h.group.reportAge));
                 rise(now, h, report.position(), age);
             }
--- a/src/main/java/mintstair/decision/RouterState.java
+++ b/src/main/java/mintstair/decision/RouterState.java
@@ -3,10 +3,6 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import mintstair.decision.SplitterApi.Consistency;
-import mintstair.decision.SplitterApi.Idempotency;
-import mintstair.decision.SplitterApi.RequestClass;
-import mintstair.decision.SplitterApi.RoutingRequest;
 
 /** What a router remembers: plain facts, read and written by ReadWriteSplitter, which alone decides. */
 final class RouterState {
@@ -24,7 +20,7 @@
         final SlowStart slowStart = new SlowStart();
         boolean ready, drains, doubted, silent, pollOut;
         long listedStart, pollDue, goneAt;
-        long position = SplitterApi.UNKNOWN;
+        long position = Positions.UNKNOWN;
         long lag = Long.MAX_VALUE;
         long toldAt, replicaAt, answeredAt, accruedAt;
         long heardAt = NEVER, polledAt = NEVER, missAt = NEVER, fullAt = NEVER, silentAt = NEVER;
@@ -47,7 +43,7 @@
         final ArrayDeque<Open> waiting = new ArrayDeque<>();
         final ConcurrencyLimit eachReplica;
         Host primary;
-        long primaryAt = SplitterApi.UNKNOWN;
+        long primaryAt = Positions.UNKNOWN;
         long head, soughtAt = NEVER, reportAge;
         int seeks;
         double fallen;
--- /dev/null
+++ b/src/main/java/mintstair/decision/RoutingRequest.java
@@ -0,0 +1,28 @@
+package mintstair.decision;
+
+/**
+ * A request; {@code timeoutMicros} is the time until its client gives up, {@code tenant} -1 where none.
+ * One that is {@code stickyHost} goes on with what its host holds: no other host can serve it, nor it twice.
+ */
+public record RoutingRequest(
+        long id,
+        int classIndex,
+        int group,
+        String session,
+        int tenant,
+        boolean clientRetry,
+        long timeoutMicros,
+        long tokenAgeMicros,
+        String stickyHost) {
+    public RoutingRequest(
+            long id,
+            int classIndex,
+            int group,
+            String session,
+            int tenant,
+            boolean clientRetry,
+            long timeoutMicros,
+            long tokenAgeMicros) {
+        this(id, classIndex, group, session, tenant, clientRetry, timeoutMicros, tokenAgeMicros, null);
+    }
+}
--- a/src/main/java/mintstair/decision/SessionTokens.java
+++ b/src/main/java/mintstair/decision/SessionTokens.java
@@ -26,9 +26,9 @@
         }
     }
 
-    /** The position that the session's reads must see, or {@link SplitterApi#UNKNOWN}; {@code session} may be null. */
+    /** The position that the session's reads must see, or {@link Positions#UNKNOWN}; {@code session} may be null. */
     long positionOf(String session) {
         Token token = session == null ? null : tokens.get(session);
-        return token == null ? SplitterApi.UNKNOWN : token.position();
+        return token == null ? Positions.UNKNOWN : token.position();
     }
 }
--- a/src/main/java/mintstair/decision/SlowStart.java
+++ b/src/main/java/mintstair/decision/SlowStart.java
@@ -1,7 +1,5 @@
 package mintstair.decision;
 
-import mintstair.decision.SplitterApi.ProtectionSettings;
-
 /**
  * The slow start of one host: since when it has been warming up, and what share of its capacity it can be trusted with. Times are
  * microseconds on the router's own clock. Not safe for use by several threads.
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -9,19 +9,22 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import mintstair.config.InstanceSettings;
+import mintstair.decision.AttemptOutcome;
+import mintstair.decision.AttemptResult;
 import mintstair.decision.AttemptRules;
+import mintstair.decision.Consistency;
+import mintstair.decision.EndpointEntry;
+import mintstair.decision.EndpointState;
+import mintstair.decision.EndpointUpdateType;
+import mintstair.decision.FleetSize;
 import mintstair.decision.InvariantMonitor;
+import mintstair.decision.Positions;
 import mintstair.decision.ReadWriteSplitter;
-import mintstair.decision.SplitterApi;
-import mintstair.decision.SplitterApi.AttemptOutcome;
-import mintstair.decision.SplitterApi.AttemptResult;
-import mintstair.decision.SplitterApi.Consistency;
-import mintstair.decision.SplitterApi.EndpointEntry;
-import mintstair.decision.SplitterApi.EndpointState;
-import mintstair.decision.SplitterApi.EndpointUpdateType;
-import mintstair.decision.SplitterApi.ReplicationStatus;
-import mintstair.decision.SplitterApi.RequestClass;
-import mintstair.decision.SplitterApi.RoutingRequest;
+import mintstair.decision.ReplicationStatus;
+import mintstair.decision.RequestClass;
+import mintstair.decision.Router;
+import mintstair.decision.RouterActions;
+import mintstair.decision.RoutingRequest;
 import mintstair.request.AttemptVerdict;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.EndpointList;
@@ -45,7 +48,7 @@
     }
 
     private InstanceSettings env;
-    private final SplitterApi.Router module;
+    private final Router module;
     private final Map<Long, Taken> taken = new HashMap<>();
     private final Set<String> draining = new HashSet<>();
     private final InvariantMonitor monitor = new InvariantMonitor();
@@ -100,8 +103,8 @@
         monitor.taken(number, classOf(r.requestClass()), at + r.timeoutMicros());
         long age = at - r.minimumPositionMicros();
         if (r.minimumPositionMicros() == HostReport.UNKNOWN) {
-            age = SplitterApi.UNKNOWN;
-        } else if (age == SplitterApi.UNKNOWN) {
+            age = Positions.UNKNOWN;
+        } else if (age == Positions.UNKNOWN) {
             // A commit that a hasty clock puts into the future is a token all the same, not a missing one.
             age--;
         }
@@ -182,7 +185,7 @@
                 forget(e.request(), t);
             }
         } else if (event instanceof RouterEvent.FleetSizeChanged e) {
-            module.onFleetSize(at, new SplitterApi.FleetSize(e.largest(), e.counted(), e.settled()));
+            module.onFleetSize(at, new FleetSize(e.largest(), e.counted(), e.settled()));
         } else if (event instanceof RouterEvent.EndpointsUpdated e) {
             noteDraining(at, e.list());
             List<EndpointEntry> rows = new ArrayList<>();
@@ -270,7 +273,7 @@
     }
 
     /** Notes the module's actions until the call that caused them returns them. */
-    private final class Recorder implements SplitterApi.Actions {
+    private final class Recorder implements RouterActions {
         @Override
         public void send(long id, String host, long abandonAt, long beginBy) {
             Taken t = taken.get(id);
--- a/src/test/java/mintstair/decision/Bed.java
+++ b/src/test/java/mintstair/decision/Bed.java
@@ -2,11 +2,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mintstair.decision.SplitterApi.*;
 import mintstair.request.ReplicationRole;
 
 /** A router under test: settings that a test may alter, a clock, and the actions it took. */
-final class Bed implements SplitterApi.Actions {
+final class Bed implements RouterActions {
     static final int BOUNDED = 0;
     static final int SESSION = 1;
     static final int UNSAFE_WRITE = 2;
@@ -40,7 +39,7 @@
 
     long window;
     long now = 1_000_000_000L;
-    SplitterApi.Router router;
+    Router router;
 
     Bed start() {
         router = new ReadWriteSplitter(now, seed, settings(), this);
@@ -188,7 +187,7 @@
     }
 
     void request(long id, int kind) {
-        request(id, kind, 2500 * MS, SplitterApi.UNKNOWN);
+        request(id, kind, 2500 * MS, Positions.UNKNOWN);
     }
 
     void request(long id, int kind, long patience, long tokenAge) {
@@ -211,7 +210,7 @@
         boolean tells = outcome == AttemptOutcome.SUCCESS
                 || outcome == AttemptOutcome.ERROR
                 || outcome == AttemptOutcome.OVERLOADED;
-        outcome(s, attempt, outcome, tells ? role : ReplicationRole.UNKNOWN, SplitterApi.UNKNOWN);
+        outcome(s, attempt, outcome, tells ? role : ReplicationRole.UNKNOWN, Positions.UNKNOWN);
     }
 
     /** Lets time go on in ticks, without any event but the timers. */
--- a/src/test/java/mintstair/decision/ColdRampTest.java
+++ b/src/test/java/mintstair/decision/ColdRampTest.java
@@ -8,7 +8,6 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.TreeMap;
-import mintstair.decision.SplitterApi.*;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/mintstair/decision/DecisionSchedule.java
+++ b/src/test/java/mintstair/decision/DecisionSchedule.java
@@ -8,16 +8,6 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
-import mintstair.decision.SplitterApi.AttemptOutcome;
-import mintstair.decision.SplitterApi.AttemptResult;
-import mintstair.decision.SplitterApi.EndpointEntry;
-import mintstair.decision.SplitterApi.EndpointState;
-import mintstair.decision.SplitterApi.EndpointUpdateType;
-import mintstair.decision.SplitterApi.FleetSize;
-import mintstair.decision.SplitterApi.ReplicaReadCheck;
-import mintstair.decision.SplitterApi.ReplicationStatus;
-import mintstair.decision.SplitterApi.RouterSettings;
-import mintstair.decision.SplitterApi.RoutingRequest;
 import mintstair.request.ReplicationRole;
 
 /**
@@ -25,7 +15,7 @@
  * that the module takes. The same seed and settings always give the same events as long as the module's actions are the
  * same, so the record of a changed module differs from the first action on that was decided otherwise.
  */
-final class DecisionSchedule implements SplitterApi.Actions {
+final class DecisionSchedule implements RouterActions {
     private static final long MS = Bed.MS;
     private static final long START = 1_000_000_000L;
     private static final long LENGTH = 30_000 * MS;
@@ -83,7 +73,7 @@
     private final Map<Long, OpenRequest> requests = new LinkedHashMap<>();
     private final Map<AttemptKey, SimulatedHost> attemptsOut = new HashMap<>();
     private final List<String> record = new ArrayList<>();
-    private final SplitterApi.Router router;
+    private final Router router;
     private long now = START;
     private long nextEvent;
     private long nextRequest;
@@ -174,7 +164,7 @@
                 : settings.classes().get(classIndex).deadlineMicros();
         String session = chance(0.8) ? "session" + random.nextInt(SESSIONS) : null;
         int tenant = random.nextInt(settings.tenants().size() + 1) - 1;
-        long tokenAge = chance(0.5) ? random.nextInt(400_000) : SplitterApi.UNKNOWN;
+        long tokenAge = chance(0.5) ? random.nextInt(400_000) : Positions.UNKNOWN;
         String pinned = chance(0.02) ? anyHost().name : null;
         RoutingRequest request = new RoutingRequest(
                 id, classIndex, random.nextInt(GROUPS), session, tenant, chance(0.05), patience, tokenAge, pinned);
@@ -353,7 +343,7 @@
                 || outcome == AttemptOutcome.MISDIRECTED;
         open.over |= outcome == AttemptOutcome.SUCCESS;
         ReplicationRole role = answered && chance(0.9) ? role(host) : ReplicationRole.UNKNOWN;
-        long position = answered && chance(0.7) ? position(host) : SplitterApi.UNKNOWN;
+        long position = answered && chance(0.7) ? position(host) : Positions.UNKNOWN;
         router.onAttemptEnded(
                 now,
                 new AttemptResult(
@@ -402,7 +392,7 @@
         } else {
             long latency = MS + random.nextInt(2_000);
             ReplicationStatus report =
-                    new ReplicationStatus(chance(0.95) ? position(host) : SplitterApi.UNKNOWN, role(host));
+                    new ReplicationStatus(chance(0.95) ? position(host) : Positions.UNKNOWN, role(host));
             after(latency, () -> router.onHealthCheckEnded(now, name, AttemptOutcome.SUCCESS, latency, report));
         }
     }
--- a/src/test/java/mintstair/decision/DecisionSettings.java
+++ b/src/test/java/mintstair/decision/DecisionSettings.java
@@ -1,11 +1,6 @@
 package mintstair.decision;
 
 import java.util.List;
-import mintstair.decision.SplitterApi.AttemptLimits;
-import mintstair.decision.SplitterApi.ProtectionSettings;
-import mintstair.decision.SplitterApi.ReplicaReadCheck;
-import mintstair.decision.SplitterApi.RouterSettings;
-import mintstair.decision.SplitterApi.Tenant;
 
 /** The settings under which {@link DecisionSchedule} plays: each one switches on other parts of the decision module. */
 enum DecisionSettings {
--- a/src/test/java/mintstair/decision/EmbeddingTest.java
+++ b/src/test/java/mintstair/decision/EmbeddingTest.java
@@ -4,14 +4,13 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mintstair.decision.SplitterApi.*;
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
 /** The README's example of embedding the module in a router. */
 class EmbeddingTest {
     /** A router's side: it would send, answer, probe and set timers; here it notes what was asked. */
-    static final class MyActions implements SplitterApi.Actions {
+    static final class MyActions implements RouterActions {
         final List<String> asked = new ArrayList<>();
 
         @Override
@@ -93,7 +92,7 @@
                 new AttemptLimits(6, true, true, false, true, true, 500_000));
         MyActions actions = new MyActions();
         long now = 5_000_000;
-        SplitterApi.Router router = new ReadWriteSplitter(now, 42, settings, actions);
+        Router router = new ReadWriteSplitter(now, 42, settings, actions);
         router.onEndpoints(
                 now,
                 EndpointUpdateType.SNAPSHOT,
@@ -104,15 +103,15 @@
                 now, "db1", AttemptOutcome.SUCCESS, 300, new ReplicationStatus(now, ReplicationRole.PRIMARY));
         router.onHealthCheckEnded(
                 now, "db2", AttemptOutcome.SUCCESS, 300, new ReplicationStatus(now, ReplicationRole.REPLICA));
-        router.onRequest(now, new RoutingRequest(1, 0, 0, "ann", -1, false, 3_000_000, SplitterApi.UNKNOWN));
+        router.onRequest(now, new RoutingRequest(1, 0, 0, "ann", -1, false, 3_000_000, Positions.UNKNOWN));
         now += 40_000;
         router.onAttemptEnded(
                 now,
                 new AttemptResult(1, 0, "db1", AttemptOutcome.SUCCESS, 40_000, true, ReplicationRole.PRIMARY, now));
-        router.onRequest(now, new RoutingRequest(2, 1, 0, "ann", -1, false, 1_200_000, SplitterApi.UNKNOWN));
+        router.onRequest(now, new RoutingRequest(2, 1, 0, "ann", -1, false, 1_200_000, Positions.UNKNOWN));
         router.onHealthCheckEnded(
                 now, "db2", AttemptOutcome.SUCCESS, 300, new ReplicationStatus(now, ReplicationRole.REPLICA));
-        router.onRequest(now, new RoutingRequest(3, 1, 0, "ann", -1, false, 1_200_000, SplitterApi.UNKNOWN));
+        router.onRequest(now, new RoutingRequest(3, 1, 0, "ann", -1, false, 1_200_000, Positions.UNKNOWN));
         assertEquals(List.of("send 1 to db1", "send 2 to db2", "send 3 to db2"), actions.asked);
     }
 }
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -6,8 +6,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import mintstair.decision.SplitterApi.EndpointState;
-import mintstair.decision.SplitterApi.FleetSize;
 import mintstair.membership.FleetPlay;
 import mintstair.membership.swim.ClusterSizeEstimate.Standing;
 import mintstair.request.ReplicationRole;
@@ -145,10 +143,10 @@
                             up ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
                 }
                 if (i % 20 == 0) {
-                    bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, SplitterApi.UNKNOWN);
+                    bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, Positions.UNKNOWN);
                 }
                 for (Bed.Sent sent : List.copyOf(bed.sendsOf(i - i % 20))) {
-                    bed.outcome(sent, 0, SplitterApi.AttemptOutcome.SUCCESS);
+                    bed.outcome(sent, 0, AttemptOutcome.SUCCESS);
                 }
                 bed.pass(20_000);
             }
@@ -171,8 +169,8 @@
             long cold = 0;
             for (Bed bed : fleet) {
                 bed.list(
-                        SplitterApi.EndpointUpdateType.DELTA,
-                        new SplitterApi.EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now));
+                        EndpointUpdateType.DELTA,
+                        new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now));
                 bed.request(1, Bed.ANY);
                 cold += bed.sendsOf(1).stream()
                         .filter(s -> s.host().equals("r1"))
@@ -193,7 +191,7 @@
                     bed.poll(bed.probes.get(bed.answered), bed.now - 5 * S, ReplicationRole.REPLICA);
                 }
                 if (i % 20 == 0) {
-                    bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, SplitterApi.UNKNOWN);
+                    bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, Positions.UNKNOWN);
                 }
                 bed.pass(20_000);
                 polls += i < 1200
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -4,7 +4,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mintstair.decision.SplitterApi.*;
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
@@ -82,7 +81,7 @@
                         bed.poll(bed.probes.get(bed.answered), bed.now - 5_000 * MS, ReplicationRole.REPLICA);
                     }
                     if (i % 20 == 0) {
-                        bed.request(i, Bed.UNSAFE_WRITE, 1200 * MS, SplitterApi.UNKNOWN);
+                        bed.request(i, Bed.UNSAFE_WRITE, 1200 * MS, Positions.UNKNOWN);
                     }
                     bed.pass(20 * MS);
                     polls[i < 800 ? 0 : 1] += bed.probes.subList(bed.answered, bed.probes.size()).stream()
@@ -398,7 +397,7 @@
         Bed bed = new Bed().start().group();
         int inTime = 0;
         for (int i = 0; i < 400; i++) {
-            bed.request(i, Bed.BOUNDED, 2_500 * MS, SplitterApi.UNKNOWN);
+            bed.request(i, Bed.BOUNDED, 2_500 * MS, Positions.UNKNOWN);
             int good = -1;
             for (int wait = 0; wait < 29 && good < 0; wait++) {
                 bed.answerPolls(20 * MS);
@@ -452,7 +451,7 @@
                             time,
                             true,
                             ReplicationRole.REPLICA,
-                            SplitterApi.UNKNOWN));
+                            Positions.UNKNOWN));
             if (i == 300) bed.sends.clear();
         }
         long slow = bed.sends.stream().filter(s -> s.host().equals("r1")).count();
@@ -477,7 +476,7 @@
     void requestWithoutTimeIsAnsweredAtOnce() {
         Bed bed = new Bed().start();
         bed.list(EndpointUpdateType.CACHED, Bed.ready("p"), Bed.ready("r1"));
-        bed.request(1, Bed.KEYED_WRITE, 0, SplitterApi.UNKNOWN);
+        bed.request(1, Bed.KEYED_WRITE, 0, Positions.UNKNOWN);
         assertEquals(1, bed.refused.size() + bed.failed.size());
     }
 
--- a/src/test/java/mintstair/decision/InvariantMonitorTest.java
+++ b/src/test/java/mintstair/decision/InvariantMonitorTest.java
@@ -5,10 +5,6 @@
 import java.util.List;
 import mintstair.decision.InvariantMonitor.Finding;
 import mintstair.decision.InvariantMonitor.Violation;
-import mintstair.decision.SplitterApi.Consistency;
-import mintstair.decision.SplitterApi.DeduplicationScope;
-import mintstair.decision.SplitterApi.Idempotency;
-import mintstair.decision.SplitterApi.RequestClass;
 import org.junit.jupiter.api.Test;
 
 /** The monitor finds each broken rule, and nothing where the rules are kept to their last moment. */
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import mintstair.decision.SplitterApi.*;
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
@@ -198,7 +197,7 @@
     }
 
     private static RoutingRequest read(long id, int tenant) {
-        return new RoutingRequest(id, Bed.ANY, 0, "s" + id, tenant, false, 2_500 * MS, SplitterApi.UNKNOWN);
+        return new RoutingRequest(id, Bed.ANY, 0, "s" + id, tenant, false, 2_500 * MS, Positions.UNKNOWN);
     }
 
     /** The end of a router: each request that it holds, in whatever state, gets one final answer, refused only where that is harmless. */
--- a/src/test/java/mintstair/decision/RulesTest.java
+++ b/src/test/java/mintstair/decision/RulesTest.java
@@ -4,7 +4,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mintstair.decision.SplitterApi.*;
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
@@ -17,8 +16,8 @@
         Bed bed = new Bed().start();
         bed.list(EndpointUpdateType.SNAPSHOT, Bed.ready("r1"));
         bed.poll("r1", bed.now - 5_000 * MS, ReplicationRole.REPLICA);
-        bed.request(1, Bed.UNSAFE_WRITE, 800 * MS, SplitterApi.UNKNOWN);
-        bed.request(2, Bed.BOUNDED, 800 * MS, SplitterApi.UNKNOWN);
+        bed.request(1, Bed.UNSAFE_WRITE, 800 * MS, Positions.UNKNOWN);
+        bed.request(2, Bed.BOUNDED, 800 * MS, Positions.UNKNOWN);
         bed.pass(800 * MS);
         assertEquals(2, bed.refused.size() + bed.failed.size());
         assertTrue(bed.sends.isEmpty());
@@ -43,7 +42,7 @@
     @Test
     void timeOutAtTheDeadlineIsAnsweredAtOnce() {
         Bed bed = new Bed().start().group();
-        bed.request(1, Bed.UNSAFE_WRITE, 500 * MS, SplitterApi.UNKNOWN);
+        bed.request(1, Bed.UNSAFE_WRITE, 500 * MS, Positions.UNKNOWN);
         bed.now += 500 * MS;
         bed.outcome(bed.last(), 0, AttemptOutcome.TIMEOUT);
         assertEquals(1, bed.failed.size());
@@ -81,7 +80,7 @@
         Bed bed = new Bed().start().group();
         bed.request(1, Bed.UNSAFE_WRITE);
         bed.now += 20 * MS;
-        bed.outcome(bed.last(), 0, AttemptOutcome.MISDIRECTED, ReplicationRole.REPLICA, SplitterApi.UNKNOWN);
+        bed.outcome(bed.last(), 0, AttemptOutcome.MISDIRECTED, ReplicationRole.REPLICA, Positions.UNKNOWN);
         assertEquals(1, bed.sends.size());
         bed.now += 500 * MS;
         bed.poll("r2", bed.now, ReplicationRole.PRIMARY);
@@ -106,10 +105,10 @@
     @Test
     void keyedRepeatThatWaitedPastItsWindowIsNotSent() {
         Bed bed = new Bed().start().group();
-        bed.request(1, Bed.KEYED_WRITE, 4_000 * MS, SplitterApi.UNKNOWN);
+        bed.request(1, Bed.KEYED_WRITE, 4_000 * MS, Positions.UNKNOWN);
         Bed.Sent first = bed.last();
         bed.now += 100 * MS;
-        bed.outcome(first, 0, AttemptOutcome.ERROR, ReplicationRole.REPLICA, SplitterApi.UNKNOWN);
+        bed.outcome(first, 0, AttemptOutcome.ERROR, ReplicationRole.REPLICA, Positions.UNKNOWN);
         assertEquals(1, bed.sends.size());
         bed.now += 2_000 * MS;
         bed.poll("r2", bed.now, ReplicationRole.PRIMARY);
@@ -143,7 +142,7 @@
         String what = deadline / MS + " ms, window " + window / MS + " ms, " + end;
         long began = bed.now;
         for (int kind = 0; kind < 5; kind++) {
-            bed.request(kind, kind, deadline, SplitterApi.UNKNOWN);
+            bed.request(kind, kind, deadline, Positions.UNKNOWN);
         }
         int[] told = new int[5];
         for (int ended = 0; bed.now <= began + deadline + 5 * MS; ) {
@@ -270,7 +269,7 @@
         Bed.Sent first = bed.last();
         assertNotEquals("p", first.host());
         bed.now += 300 * MS;
-        bed.outcome(first, 0, AttemptOutcome.OVERLOADED, ReplicationRole.UNKNOWN, SplitterApi.UNKNOWN);
+        bed.outcome(first, 0, AttemptOutcome.OVERLOADED, ReplicationRole.UNKNOWN, Positions.UNKNOWN);
         bed.answerPolls(250 * MS);
         assertEquals(2, bed.sends.size());
         assertEquals("p", bed.last().host(), "no replica is known within the bound of the second send");
@@ -320,7 +319,7 @@
     void pinnedReadGoesToItsHostOnceOrNowhere() {
         Bed bed = new Bed().start().group();
         bed.router.onRequest(
-                bed.now, new RoutingRequest(1, Bed.ANY, 0, "s", -1, false, 1000 * Bed.MS, SplitterApi.UNKNOWN, "r2"));
+                bed.now, new RoutingRequest(1, Bed.ANY, 0, "s", -1, false, 1000 * Bed.MS, Positions.UNKNOWN, "r2"));
         assertEquals("r2", bed.last().host());
         bed.outcome(bed.last(), 0, AttemptOutcome.CONNECTION_RESET);
         assertEquals(List.of(1L), bed.failed);
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/SplitterTest.java
@@ -8,7 +8,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import mintstair.decision.SplitterApi.*;
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
@@ -76,7 +75,7 @@
         bed.now += 250 * MS;
         bed.request(1, Bed.BOUNDED);
         assertNotEquals("p", bed.last().host());
-        bed.outcome(bed.last(), 0, AttemptOutcome.MISDIRECTED, ReplicationRole.REPLICA, SplitterApi.UNKNOWN);
+        bed.outcome(bed.last(), 0, AttemptOutcome.MISDIRECTED, ReplicationRole.REPLICA, Positions.UNKNOWN);
         assertEquals(2, bed.sends.size());
         assertNotEquals(bed.sends.get(0).host(), bed.sends.get(1).host());
     }
@@ -202,7 +201,7 @@
     void whatWasNeverSentIsGivenUpInTheFirstHalfOfItsTime() {
         Bed bed = new Bed().start();
         bed.list(EndpointUpdateType.SNAPSHOT, Bed.ready("r1"));
-        bed.request(1, Bed.UNSAFE_WRITE, 1000 * MS, SplitterApi.UNKNOWN);
+        bed.request(1, Bed.UNSAFE_WRITE, 1000 * MS, Positions.UNKNOWN);
         bed.pass(500 * MS);
         assertEquals(List.of(1L), bed.refused);
     }
@@ -217,7 +216,7 @@
         Bed late = new Bed().start().group();
         late.request(1, Bed.ANY);
         late.now += 250 * MS;
-        late.outcome(late.last(), 0, AttemptOutcome.TIMEOUT, ReplicationRole.UNKNOWN, SplitterApi.UNKNOWN);
+        late.outcome(late.last(), 0, AttemptOutcome.TIMEOUT, ReplicationRole.UNKNOWN, Positions.UNKNOWN);
         assertEquals(List.of(500 * MS), late.comeBacks);
     }
 
--- a/src/test/java/mintstair/decision/WrongClockTest.java
+++ b/src/test/java/mintstair/decision/WrongClockTest.java
@@ -7,7 +7,6 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import mintstair.decision.SplitterApi.*;
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
@@ -142,7 +141,7 @@
     void newPrimaryThatAPollTellsOfIsFoundWhereTheClockIsAhead() {
         start(-HOUR, 10 * MS);
         bed.request(1, Bed.UNSAFE_WRITE);
-        bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS, ReplicationRole.PRIMARY, SplitterApi.UNKNOWN);
+        bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS, ReplicationRole.PRIMARY, Positions.UNKNOWN);
         bed.now += 10 * SECOND;
         bed.poll("r1", bed.now - HOUR, ReplicationRole.PRIMARY);
         bed.request(2, Bed.UNSAFE_WRITE);
