--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -1,8 +1,36 @@
 package mintstair.decision;
 
-import java.util.*;
-import mintstair.decision.RouterState.*;
-import mintstair.decision.SplitterApi.*;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeMap;
+import mintstair.decision.RouterState.Group;
+import mintstair.decision.RouterState.Host;
+import mintstair.decision.RouterState.Kind;
+import mintstair.decision.RouterState.Open;
+import mintstair.decision.RouterState.Share;
+import mintstair.decision.SplitterApi.Ending;
+import mintstair.decision.SplitterApi.Fleet;
+import mintstair.decision.SplitterApi.Freshness;
+import mintstair.decision.SplitterApi.HostEntry;
+import mintstair.decision.SplitterApi.HostState;
+import mintstair.decision.SplitterApi.ListKind;
+import mintstair.decision.SplitterApi.Outcome;
+import mintstair.decision.SplitterApi.ReadCheck;
+import mintstair.decision.SplitterApi.Repeat;
+import mintstair.decision.SplitterApi.RepeatScope;
+import mintstair.decision.SplitterApi.Report;
+import mintstair.decision.SplitterApi.Request;
+import mintstair.decision.SplitterApi.RequestClass;
+import mintstair.decision.SplitterApi.Role;
+import mintstair.decision.SplitterApi.Settings;
+import mintstair.decision.SplitterApi.Tenant;
 
 /**
  * All decisions of one router; its types, events and actions are in SplitterApi, its state in RouterState.
--- a/src/test/java/mintstair/adapter/WireTest.java
+++ b/src/test/java/mintstair/adapter/WireTest.java
@@ -1,6 +1,8 @@
 package mintstair.adapter;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import java.io.ByteArrayInputStream;
--- a/src/test/java/mintstair/decision/Bed.java
+++ b/src/test/java/mintstair/decision/Bed.java
@@ -2,7 +2,23 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mintstair.decision.SplitterApi.*;
+import mintstair.decision.SplitterApi.Ending;
+import mintstair.decision.SplitterApi.Freshness;
+import mintstair.decision.SplitterApi.Guards;
+import mintstair.decision.SplitterApi.HostEntry;
+import mintstair.decision.SplitterApi.HostState;
+import mintstair.decision.SplitterApi.Limits;
+import mintstair.decision.SplitterApi.ListKind;
+import mintstair.decision.SplitterApi.Outcome;
+import mintstair.decision.SplitterApi.ReadCheck;
+import mintstair.decision.SplitterApi.Repeat;
+import mintstair.decision.SplitterApi.RepeatScope;
+import mintstair.decision.SplitterApi.Report;
+import mintstair.decision.SplitterApi.Request;
+import mintstair.decision.SplitterApi.RequestClass;
+import mintstair.decision.SplitterApi.Role;
+import mintstair.decision.SplitterApi.Settings;
+import mintstair.decision.SplitterApi.Tenant;
 
 /** A router under test: settings that a test may alter, a clock, and the actions it took. */
 final class Bed implements SplitterApi.Actions {
--- a/src/test/java/mintstair/decision/ColdRampTest.java
+++ b/src/test/java/mintstair/decision/ColdRampTest.java
@@ -8,7 +8,10 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.TreeMap;
-import mintstair.decision.SplitterApi.*;
+import mintstair.decision.SplitterApi.Ending;
+import mintstair.decision.SplitterApi.HostEntry;
+import mintstair.decision.SplitterApi.HostState;
+import mintstair.decision.SplitterApi.ListKind;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/mintstair/decision/EmbeddingTest.java
+++ b/src/test/java/mintstair/decision/EmbeddingTest.java
@@ -4,7 +4,22 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mintstair.decision.SplitterApi.*;
+import mintstair.decision.SplitterApi.Ending;
+import mintstair.decision.SplitterApi.Freshness;
+import mintstair.decision.SplitterApi.Guards;
+import mintstair.decision.SplitterApi.HostEntry;
+import mintstair.decision.SplitterApi.HostState;
+import mintstair.decision.SplitterApi.Limits;
+import mintstair.decision.SplitterApi.ListKind;
+import mintstair.decision.SplitterApi.Outcome;
+import mintstair.decision.SplitterApi.ReadCheck;
+import mintstair.decision.SplitterApi.Repeat;
+import mintstair.decision.SplitterApi.RepeatScope;
+import mintstair.decision.SplitterApi.Report;
+import mintstair.decision.SplitterApi.Request;
+import mintstair.decision.SplitterApi.RequestClass;
+import mintstair.decision.SplitterApi.Role;
+import mintstair.decision.SplitterApi.Settings;
 import org.junit.jupiter.api.Test;
 
 /** The README's example of embedding the module in a router. */
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -1,10 +1,23 @@
 package mintstair.decision;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
-import mintstair.decision.SplitterApi.*;
+import mintstair.decision.SplitterApi.Ending;
+import mintstair.decision.SplitterApi.HostEntry;
+import mintstair.decision.SplitterApi.HostState;
+import mintstair.decision.SplitterApi.Limits;
+import mintstair.decision.SplitterApi.ListKind;
+import mintstair.decision.SplitterApi.Outcome;
+import mintstair.decision.SplitterApi.Repeat;
+import mintstair.decision.SplitterApi.Report;
+import mintstair.decision.SplitterApi.RequestClass;
+import mintstair.decision.SplitterApi.Role;
+import mintstair.decision.SplitterApi.Settings;
 import org.junit.jupiter.api.Test;
 
 /** Many routers with a trickle of traffic each, and routers that are told what is not so. */
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -4,7 +4,16 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import mintstair.decision.SplitterApi.*;
+import mintstair.decision.SplitterApi.Ending;
+import mintstair.decision.SplitterApi.Guards;
+import mintstair.decision.SplitterApi.HostEntry;
+import mintstair.decision.SplitterApi.HostState;
+import mintstair.decision.SplitterApi.ListKind;
+import mintstair.decision.SplitterApi.Request;
+import mintstair.decision.SplitterApi.RequestClass;
+import mintstair.decision.SplitterApi.Role;
+import mintstair.decision.SplitterApi.Settings;
+import mintstair.decision.SplitterApi.Tenant;
 import org.junit.jupiter.api.Test;
 
 /** Nothing of one customer's settings shows up for another's: neither of two side by side, nor of those before a change. */
--- a/src/test/java/mintstair/decision/RulesTest.java
+++ b/src/test/java/mintstair/decision/RulesTest.java
@@ -1,10 +1,18 @@
 package mintstair.decision;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
-import mintstair.decision.SplitterApi.*;
+import mintstair.decision.SplitterApi.Ending;
+import mintstair.decision.SplitterApi.HostEntry;
+import mintstair.decision.SplitterApi.HostState;
+import mintstair.decision.SplitterApi.ListKind;
+import mintstair.decision.SplitterApi.Request;
+import mintstair.decision.SplitterApi.Role;
 import org.junit.jupiter.api.Test;
 
 /** The five rules, each able to fail without the bench. */
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/SplitterTest.java
@@ -1,13 +1,25 @@
 package mintstair.decision;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import mintstair.decision.SplitterApi.*;
+import mintstair.decision.SplitterApi.Ending;
+import mintstair.decision.SplitterApi.HostEntry;
+import mintstair.decision.SplitterApi.HostState;
+import mintstair.decision.SplitterApi.ListKind;
+import mintstair.decision.SplitterApi.Outcome;
+import mintstair.decision.SplitterApi.ReadCheck;
+import mintstair.decision.SplitterApi.Report;
+import mintstair.decision.SplitterApi.Request;
+import mintstair.decision.SplitterApi.Role;
 import org.junit.jupiter.api.Test;
 
 /** The departures from the ordinary path, and the module's own limits. */
@@ -372,7 +384,10 @@
     @Test
     void moduleStaysShortEnoughToReadAloud() throws IOException {
         List<String> lines = Files.readAllLines(Path.of("src/main/java/mintstair/decision/ReadWriteSplitter.java"));
-        assertTrue(lines.stream().filter(l -> !l.isBlank()).count() <= 940);
+        assertTrue(lines.stream()
+                        .filter(line -> !line.isBlank() && !line.startsWith("import "))
+                        .count()
+                <= 937);
         for (Path file : List.of(
                 Path.of("src/main/java/mintstair/decision/ReadWriteSplitter.java"),
                 Path.of("src/main/java/mintstair/decision/SplitterApi.java"))) {
--- a/src/test/java/mintstair/decision/WrongClockTest.java
+++ b/src/test/java/mintstair/decision/WrongClockTest.java
@@ -7,7 +7,11 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import mintstair.decision.SplitterApi.*;
+import mintstair.decision.SplitterApi.Ending;
+import mintstair.decision.SplitterApi.HostEntry;
+import mintstair.decision.SplitterApi.HostState;
+import mintstair.decision.SplitterApi.ListKind;
+import mintstair.decision.SplitterApi.Role;
 import org.junit.jupiter.api.Test;
 
 /**
