--- a/src/test/java/mintstair/pins/SettingNamesTest.java
+++ b/src/test/java/mintstair/pins/SettingNamesTest.java
@@ -68,7 +68,7 @@
                 list.forEach(one -> each.add(told(one, json)));
                 return each.toString();
             } else if (value instanceof Map<?, ?> map) {
-                return map.entrySet().stream().map(e -> e.getKey() + "=" + told(e.getValue(), json)).toList().toString();
+                return map.entrySet().stream().map(entry -> entry.getKey() + "=" + told(entry.getValue(), json)).toList().toString();
             } else if (value.getClass().isRecord() || value.getClass().getName().startsWith("mintstair.") && !(value instanceof Enum<?>)) {
                 return parts(value).stream().map(part -> told(part, json)).toList().toString();
             }
--- a/src/test/java/mintstair/pins/StoredData.java
+++ b/src/test/java/mintstair/pins/StoredData.java
@@ -13,6 +13,7 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Stream;
 import mintstair.registry.view.Item;
@@ -86,10 +87,10 @@
     }
 
     /** What is known of an exchange but its digest and message, one line each. */
-    static String line(RecordedExchange e) {
-        return String.join(" ", e.connection() + "", e.asked() + "", e.answered() + "", e.id(), e.requestClass(), e.cluster() + "",
-            e.session() + "", e.write() + "", e.retry() + "", e.deadlineMillis() + "", e.afterMillis() + "",
-            e.result().name().toLowerCase(java.util.Locale.ROOT), e.comeBackMillis() + "");
+    static String line(RecordedExchange exchange) {
+        return String.join(" ", exchange.connection() + "", exchange.asked() + "", exchange.answered() + "", exchange.id(), exchange.requestClass(), exchange.cluster() + "",
+            exchange.session() + "", exchange.write() + "", exchange.retry() + "", exchange.deadlineMillis() + "", exchange.afterMillis() + "",
+            exchange.result().name().toLowerCase(Locale.ROOT), exchange.comeBackMillis() + "");
     }
 
     static Map<String, InetSocketAddress> freeMember() throws IOException {
--- a/src/test/java/mintstair/pins/StoredDataTest.java
+++ b/src/test/java/mintstair/pins/StoredDataTest.java
@@ -103,8 +103,8 @@
         assertEquals(List.of(written.cluster(), written.revision(), written.term(), written.heard()),
             List.of(read.cluster(), read.revision(), read.term(), read.heard()));
         assertEquals(written.items().size(), read.items().size());
-        for (int i = 0; i < written.items().size(); i++) {
-            assertItem(written.items().get(i), read.items().get(i));
+        for (int item = 0; item < written.items().size(); item++) {
+            assertItem(written.items().get(item), read.items().get(item));
         }
         new SnapshotFile(kept).write(read);
         assertArrayEquals(before, Files.readAllBytes(kept), "written again it is the same");
