--- a/src/test/java/mintstair/pins/CommandNamesTest.java
+++ b/src/test/java/mintstair/pins/CommandNamesTest.java
@@ -34,14 +34,17 @@
 class CommandNamesTest {
     private static final long AHEAD = System.currentTimeMillis() + 3_600_000;
     private static final String KEY = "reg/postgresql/hosts/p";
-    private static final String HOST = "{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:6001\",\"az\":\"a\",\"pod_group\":1,\"state\":\"SERVING\"}";
+    private static final String HOST =
+            "{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:6001\",\"az\":\"a\",\"pod_group\":1,\"state\":\"SERVING\"}";
     private static final String MONGO_HOSTS = "{\"rev\":1,\"all\":true,\"targets\":[" + HOST + "]}";
     /** So many programs run at once. */
     private static final int AT_ONCE = 8;
+
     private static final Pattern OPTION = Pattern.compile("(?<![\\w-])(--[a-z][a-z-]*|-[a-zA-Z](?![\\w-]))");
     private final RegistryModel model = new RegistryModel();
     private PgHost host;
     private EtcdMember registry;
+
     @TempDir
     Path folder;
 
@@ -70,8 +73,8 @@
 
     private String config() {
         return "{\"name\":\"n1\",\"control\":\"127.0.0.1:0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
-            + "\"known\":{\"rev\":0,\"all\":true,\"targets\":[" + host.listed("SERVING") + "]},\"settings\":"
-            + Program.SETTINGS.replace("PROBING", "false") + "}";
+                + "\"known\":{\"rev\":0,\"all\":true,\"targets\":[" + host.listed("SERVING") + "]},\"settings\":"
+                + Program.SETTINGS.replace("PROBING", "false") + "}";
     }
 
     private static String registry(String address) {
@@ -85,7 +88,10 @@
         write("text", "no recording");
         write("down.json", registry("127.0.0.1:1"));
         write("etcd.json", registry("127.0.0.1:" + registry.port()));
-        write("store.json", "{\"store\":{\"member\":\"n1\",\"members\":{\"n1\":\"127.0.0.1:1\"},\"folder\":\"" + folder.resolve("s") + "\"}}");
+        write(
+                "store.json",
+                "{\"store\":{\"member\":\"n1\",\"members\":{\"n1\":\"127.0.0.1:1\"},\"folder\":\"" + folder.resolve("s")
+                        + "\"}}");
         List<Path> recorded = StoredData.files(StoredData.copy(StoredData.ROTATED, folder), "traffic-");
         Files.copy(recorded.get(0), folder.resolve("a.pcap"));
         Files.copy(StoredData.copy(StoredData.SINGLE, folder), folder.resolve("b.pcap"));
@@ -95,8 +101,10 @@
     private List<String> arguments(String words) {
         List<String> arguments = new ArrayList<>();
         for (String word : words.strip().split(" ")) {
-            arguments.add(word.replace("$F", folder.toString()).replace("$R", "2").replace("$HOST", HOST)
-                .replace("$OTHER_HOST", HOST.replace("\"p\"", "\"q\"")));
+            arguments.add(word.replace("$F", folder.toString())
+                    .replace("$R", "2")
+                    .replace("$HOST", HOST)
+                    .replace("$OTHER_HOST", HOST.replace("\"p\"", "\"q\"")));
         }
         arguments.remove("");
         return arguments;
@@ -108,8 +116,13 @@
         try (ProgramRun run = new ProgramRun("", arguments(words))) {
             int status = run.exit();
             String err = run.err();
-            String kind = err.isEmpty() ? "-" : err.lines().count() > 1 || !err.startsWith("mintstair: ") ? "more: " + err
-                : err.startsWith("mintstair: usage: ") || err.startsWith("mintstair: registry: show | ") ? "usage" : "error";
+            String kind = err.isEmpty()
+                    ? "-"
+                    : err.lines().count() > 1 || !err.startsWith("mintstair: ")
+                            ? "more: " + err
+                            : err.startsWith("mintstair: usage: ") || err.startsWith("mintstair: registry: show | ")
+                                    ? "usage"
+                                    : "error";
             return status + " | " + kind + " |" + words;
         }
     }
@@ -134,7 +147,8 @@
         List<String> expected = Names.expected("/pins/exit-statuses.txt");
         ExecutorService threads = Executors.newFixedThreadPool(AT_ONCE);
         try {
-            Future<List<String>> inTurn = threads.submit(() -> outcomes(expected.stream().filter(CommandNamesTest::changes).toList()));
+            Future<List<String>> inTurn = threads.submit(() ->
+                    outcomes(expected.stream().filter(CommandNamesTest::changes).toList()));
             List<Future<String>> beside = new ArrayList<>();
             for (String line : expected) {
                 beside.add(changes(line) ? null : threads.submit((Callable<String>) () -> outcome(line)));
@@ -152,7 +166,7 @@
 
     private static Set<String> options(String text) {
         Set<String> options = new TreeSet<>();
-        for (Matcher each = OPTION.matcher(text); each.find();) {
+        for (Matcher each = OPTION.matcher(text); each.find(); ) {
             options.add(each.group());
         }
         return options;
@@ -172,16 +186,21 @@
         List<String> found = new ArrayList<>();
         try (ProgramRun run = new ProgramRun()) {
             run.exit();
-            found.addAll(Arrays.asList(run.err().strip().replace("mintstair: usage: java -jar mintstair.jar ", "").split(" \\| ")));
+            found.addAll(Arrays.asList(run.err()
+                    .strip()
+                    .replace("mintstair: usage: java -jar mintstair.jar ", "")
+                    .split(" \\| ")));
         }
-        try (ProgramRun run = new ProgramRun("registry", "other", folder.resolve("etcd.json").toString())) {
+        try (ProgramRun run =
+                new ProgramRun("registry", "other", folder.resolve("etcd.json").toString())) {
             run.exit();
-            Arrays.asList(run.err().strip().replace("mintstair: registry: ", "").split(" \\| ")).forEach(each -> found.add("registry " + each));
+            Arrays.asList(run.err().strip().replace("mintstair: registry: ", "").split(" \\| "))
+                    .forEach(each -> found.add("registry " + each));
         }
         String all = help("traffic", "--help");
         found.add("traffic " + options(all));
         String commands = all.substring(all.indexOf("Commands:") + "Commands:".length());
-        for (Matcher each = Pattern.compile("(?m)^  (\\w[\\w-]*) ").matcher(commands); each.find();) {
+        for (Matcher each = Pattern.compile("(?m)^  (\\w[\\w-]*) ").matcher(commands); each.find(); ) {
             found.add("traffic " + each.group(1) + " " + options(help("traffic", each.group(1), "--help")));
         }
         Names.assertSame("/pins/commands.txt", found);
@@ -192,33 +211,49 @@
     void serveTellsItsAddressesOnStandardOutput() throws Exception {
         Path config = Files.writeString(folder.resolve("config.json"), config());
         String member = free();
-        Path operator = Files.writeString(folder.resolve("operator.json"), "{\"mongodb\":{\"listen\":\"127.0.0.1:0\",\"hosts\":" + MONGO_HOSTS
-            + "},\"store\":{\"member\":\"n1\",\"members\":{\"n1\":\"" + member + "\"},\"folder\":\"" + folder.resolve("store") + "\"},"
-            + "\"membership\":{\"fleet\":\"test\",\"listen\":\"127.0.0.1:0\",\"seeds\":[]}}");
+        Path operator = Files.writeString(
+                folder.resolve("operator.json"),
+                "{\"mongodb\":{\"listen\":\"127.0.0.1:0\",\"hosts\":" + MONGO_HOSTS
+                        + "},\"store\":{\"member\":\"n1\",\"members\":{\"n1\":\"" + member + "\"},\"folder\":\""
+                        + folder.resolve("store") + "\"},"
+                        + "\"membership\":{\"fleet\":\"test\",\"listen\":\"127.0.0.1:0\",\"seeds\":[]}}");
         try (ProgramRun run = new ProgramRun("serve", "--operator", operator.toString(), config.toString())) {
             String control = run.awaitLine("control on ");
             assertTrue(control.matches("127\\.0\\.0\\.1:\\d+"), control);
             Program.await(() -> serving(run).size() == 2, "both fronts");
-            assertTrue(serving(run).stream().allMatch(line -> line.matches("serving on 127\\.0\\.0\\.1:\\d+")), serving(run).toString());
+            assertTrue(
+                    serving(run).stream().allMatch(line -> line.matches("serving on 127\\.0\\.0\\.1:\\d+")),
+                    serving(run).toString());
             assertStoreAndMembersAnswer(operator.toString(), control);
             run.terminate();
             assertEquals(0, run.exit(), run.err());
             run.awaitLine("ending: ");
-            assertEquals(2, run.out().lines().filter(line -> line.startsWith("counters: taken=")).count(), run.out());
+            assertEquals(
+                    2,
+                    run.out()
+                            .lines()
+                            .filter(line -> line.startsWith("counters: taken="))
+                            .count(),
+                    run.out());
         }
     }
 
     private static List<String> serving(ProgramRun run) {
         try {
-            return run.out().lines().filter(line -> line.startsWith("serving on ")).toList();
+            return run.out()
+                    .lines()
+                    .filter(line -> line.startsWith("serving on "))
+                    .toList();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    private static void assertStoreAndMembersAnswer(String operator, String control) throws IOException, InterruptedException {
+    private static void assertStoreAndMembersAnswer(String operator, String control)
+            throws IOException, InterruptedException {
         try (ProgramRun one = new ProgramRun("store", operator, "put", "config/a", "one");
-                ProgramRun two = new ProgramRun(" from standard input\n", List.of("store", operator, "put", "config/b", "-"))) {
+                ProgramRun two =
+                        new ProgramRun(" from standard input\n", List.of("store", operator, "put", "config/b", "-"))) {
             assertEquals(0, one.exit(), one.err());
             assertEquals(0, two.exit(), two.err());
             assertEquals("", one.out() + two.out());
@@ -231,7 +266,9 @@
             assertEquals("mintstair: no entry config/none\n", none.err());
         }
         String members = help("members", control);
-        assertTrue(members.matches("member n1 alive 127\\.0\\.0\\.1:\\d+ incarnation=\\d+ self\nview version=\\d+ .*\n"), members);
+        assertTrue(
+                members.matches("member n1 alive 127\\.0\\.0\\.1:\\d+ incarnation=\\d+ self\nview version=\\d+ .*\n"),
+                members);
     }
 
     /** A proxy that is no member of a fleet: status 1. */
--- a/src/test/java/mintstair/pins/FigureNamesTest.java
+++ b/src/test/java/mintstair/pins/MetricNamesTest.java
@@ -13,7 +13,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import mintstair.decision.InvariantMonitor;
-import mintstair.front.ClientEnd;
+import mintstair.front.ClientCloseReason;
 import mintstair.program.Program;
 import mintstair.registry.etcd.EtcdMember;
 import mintstair.registry.view.Event;
@@ -27,21 +27,24 @@
 import mintstair.standin.PgHost;
 import mintstair.standin.RegistryModel;
 import mintstair.stats.Counters;
-import mintstair.stats.Figures;
+import mintstair.stats.MetricsSnapshot;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** The names of all figures and counters, as those who collect them read them. */
-class FigureNamesTest {
+class MetricNamesTest {
     private static final long AHEAD = System.currentTimeMillis() + 3_600_000;
-    /** Figures that are there only once there was something to count. */
+    /** MetricsSnapshot that are there only once there was something to count. */
     private static final String COUNTED = "/pins/telemetry-counted.txt";
+
     private static final Pattern COUNTER = Pattern.compile("([a-z_]+)=(\\{[^}]*\\}|-?\\d+)");
     private final RegistryModel model = new RegistryModel();
+
     @TempDir
     Path folder;
+
     private PgHost primary;
     private MongoHost document;
     private EtcdMember registry;
@@ -54,10 +57,16 @@
         document = new MongoHost("m", true, AHEAD);
         registry = new EtcdMember(model);
         model.change(new TreeMap<>(Map.of("reg/postgresql/hosts/p", primary.listed("SERVING"))));
-        program = Program.serve(1, "", false, "{\"mongodb\":{\"listen\":\"127.0.0.1:0\",\"hosts\":{\"rev\":1,\"all\":true,\"targets\":["
-            + document.listed("SERVING") + "]}},\"record\":{\"folder\":\"" + folder + "\"},\"registry\":{\"kind\":\"etcd\",\"endpoints\":["
-            + "\"127.0.0.1:" + registry.port() + "\"],\"prefix\":\"reg/\"},\"membership\":{\"fleet\":\"test\",\"listen\":\"127.0.0.1:0\","
-            + "\"seeds\":[]}}");
+        program = Program.serve(
+                1,
+                "",
+                false,
+                "{\"mongodb\":{\"listen\":\"127.0.0.1:0\",\"hosts\":{\"rev\":1,\"all\":true,\"targets\":["
+                        + document.listed("SERVING") + "]}},\"record\":{\"folder\":\"" + folder
+                        + "\"},\"registry\":{\"kind\":\"etcd\",\"endpoints\":["
+                        + "\"127.0.0.1:" + registry.port()
+                        + "\"],\"prefix\":\"reg/\"},\"membership\":{\"fleet\":\"test\",\"listen\":\"127.0.0.1:0\","
+                        + "\"seeds\":[]}}");
     }
 
     @AfterEach
@@ -73,10 +82,12 @@
             List<String> lines = program.call("telemetry\n").lines().toList();
             assertEquals("ok", lines.get(0));
             assertEquals("eof", lines.get(lines.size() - 1));
-            return lines.subList(1, lines.size() - 1).stream().map(line -> {
-                assertTrue(line.matches("svc\\.[^=]+=-?\\d+"), line);
-                return line.substring(0, line.indexOf('='));
-            }).toList();
+            return lines.subList(1, lines.size() - 1).stream()
+                    .map(line -> {
+                        assertTrue(line.matches("svc\\.[^=]+=-?\\d+"), line);
+                        return line.substring(0, line.indexOf('='));
+                    })
+                    .toList();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -89,14 +100,16 @@
         model.put("reg/postgresql/hosts/p", primary.listed("SERVING"));
         Program.await(() -> telemetry().contains("svc.registry_batches"), "a change that the registry tells");
         List<String> counted = Names.expected(COUNTED);
-        Names.assertSame("/pins/telemetry.txt", telemetry().stream().filter(name -> !counted.contains(name)).toList());
+        Names.assertSame(
+                "/pins/telemetry.txt",
+                telemetry().stream().filter(name -> !counted.contains(name)).toList());
     }
 
     /** What the figures are called that count by reasons, for each reason that there is. */
     @Test
     void figuresThatCountByReasonsHaveTheseNames() throws IOException {
         Counters counters = new Counters();
-        for (ClientEnd why : ClientEnd.values()) {
+        for (ClientCloseReason why : ClientCloseReason.values()) {
             counters.clientEnded(why);
         }
         for (ConnectionEnd end : ConnectionEnd.values()) {
@@ -106,9 +119,13 @@
         for (InvariantMonitor.Violation rule : InvariantMonitor.Violation.values()) {
             counters.ruleBroken(rule.name().toLowerCase(java.util.Locale.ROOT));
         }
-        Figures.Sum sum = new Figures.Sum();
+        MetricsSnapshot.Builder sum = new MetricsSnapshot.Builder();
         counters.addTo(sum);
-        List<String> names = new ArrayList<>(sum.figures().toString().lines().map(line -> line.substring(0, line.indexOf('='))).toList());
+        List<String> names = new ArrayList<>(sum.build()
+                .toString()
+                .lines()
+                .map(line -> line.substring(0, line.indexOf('=')))
+                .toList());
         names.removeAll(Names.expected("/pins/telemetry.txt"));
         breaks().forEach(name -> names.add("svc.registry_" + name));
         Names.assertSame(COUNTED, names);
@@ -116,19 +133,29 @@
 
     /** The counts of a registry's view all of whose calls break, for each reason once. */
     private static List<String> breaks() {
-        RegistryView view = new WatchView(new mintstair.registry.view.Names("reg/", List.of("postgresql")),
-            new Limits(60, 200, 300, 5, 10_000, 2_000), Times.USUAL, 3, 1);
+        RegistryView view = new WatchView(
+                new mintstair.registry.view.Names("reg/", List.of("postgresql")),
+                new Limits(60, 200, 300, 5, 10_000, 2_000),
+                Times.USUAL,
+                3,
+                1);
         long now = 1_000_000_000;
         view.start(now, null);
         for (Event.Reason reason : Event.Reason.values()) {
-            for (long call = 0; !view.figures(now).counts().containsKey("breaks_" + reason.name().toLowerCase(java.util.Locale.ROOT)); call++) {
+            for (long call = 0;
+                    !view.figures(now)
+                            .counts()
+                            .containsKey("breaks_" + reason.name().toLowerCase(java.util.Locale.ROOT));
+                    call++) {
                 assertTrue(call < 1_000, "no call that " + reason + " ends");
                 view.on(now, new Event.Ended(call, reason, "for the test"));
             }
             now = Math.max(now, view.wakeAt());
             view.tick(now);
         }
-        return view.figures(now).counts().keySet().stream().filter(name -> name.startsWith("breaks_")).toList();
+        return view.figures(now).counts().keySet().stream()
+                .filter(name -> name.startsWith("breaks_"))
+                .toList();
     }
 
     private static TreeSet<String> counters(String line) {
@@ -156,16 +183,20 @@
     @Test
     void secondAddressKnowsTheseCalls() throws IOException {
         program.port(1);
-        Program.await(() -> {
-            try {
-                return program.call("readyz\n").equals("ok\n");
-            } catch (IOException e) {
-                return false;
-            }
-        }, "the program to take clients");
+        Program.await(
+                () -> {
+                    try {
+                        return program.call("readyz\n").equals("ok\n");
+                    } catch (IOException e) {
+                        return false;
+                    }
+                },
+                "the program to take clients");
         String members = program.call("members\n");
-        assertTrue(members.matches("ok\nmember n1 alive 127\\.0\\.0\\.1:\\d+ incarnation=\\d+ self\n"
-            + "view version=\\d+ settled=(true|false) quorum=(true|false) counted=1 largest=\\d+\neof\n"), members);
+        assertTrue(
+                members.matches("ok\nmember n1 alive 127\\.0\\.0\\.1:\\d+ incarnation=\\d+ self\n"
+                        + "view version=\\d+ settled=(true|false) quorum=(true|false) counted=1 largest=\\d+\neof\n"),
+                members);
         assertEquals("fail\n", program.call("other\n"));
     }
 }
--- a/src/test/java/mintstair/pins/Names.java
+++ b/src/test/java/mintstair/pins/Names.java
@@ -13,10 +13,13 @@
 
 /** Names that others read, one a line in a resource; lines that begin with # tell what they are. */
 final class Names {
-    private Names() { }
+    private Names() {}
 
     static List<String> expected(String resource) throws IOException {
-        return text(resource).lines().filter(line -> !line.isBlank() && !line.startsWith("#")).toList();
+        return text(resource)
+                .lines()
+                .filter(line -> !line.isBlank() && !line.startsWith("#"))
+                .toList();
     }
 
     static String text(String resource) throws IOException {
@@ -33,8 +36,12 @@
 
     private static String difference(Set<String> expected, Set<String> actual) {
         StringBuilder text = new StringBuilder();
-        expected.stream().filter(name -> !actual.contains(name)).forEach(name -> text.append("missing: ").append(name).append('\n'));
-        actual.stream().filter(name -> !expected.contains(name)).forEach(name -> text.append("new: ").append(name).append('\n'));
+        expected.stream()
+                .filter(name -> !actual.contains(name))
+                .forEach(name -> text.append("missing: ").append(name).append('\n'));
+        actual.stream()
+                .filter(name -> !expected.contains(name))
+                .forEach(name -> text.append("new: ").append(name).append('\n'));
         return text.toString();
     }
 }
--- a/src/test/java/mintstair/pins/ProgramRun.java
+++ b/src/test/java/mintstair/pins/ProgramRun.java
@@ -23,10 +23,19 @@
         out = folder.resolve("out");
         err = folder.resolve("err");
         File input = Files.writeString(folder.resolve("in"), in).toFile();
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp", System.getProperty("java.class.path"), MAIN));
+        List<String> command = new ArrayList<>(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Xmx64m",
+                "-cp",
+                System.getProperty("java.class.path"),
+                MAIN));
         command.addAll(arguments);
-        ProcessBuilder builder = new ProcessBuilder(command).redirectInput(input).redirectOutput(out.toFile()).redirectError(err.toFile());
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .redirectInput(input)
+                .redirectOutput(out.toFile())
+                .redirectError(err.toFile());
         builder.environment().keySet().removeIf(name -> name.startsWith("NODE_"));
         process = builder.start();
     }
@@ -60,7 +69,10 @@
     private List<String> lines(String beginning) {
         try {
             String whole = out();
-            return whole.substring(0, whole.lastIndexOf('\n') + 1).lines().filter(line -> line.startsWith(beginning)).toList();
+            return whole.substring(0, whole.lastIndexOf('\n') + 1)
+                    .lines()
+                    .filter(line -> line.startsWith(beginning))
+                    .toList();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/mintstair/pins/SettingNamesTest.java
+++ b/src/test/java/mintstair/pins/SettingNamesTest.java
@@ -32,6 +32,7 @@
     private static final List<String> OPERATOR = List.of("/pins/operator-etcd.json", "/pins/operator-consul.json");
     /** Without it the reader takes the part for its other form, whose key it then misses. */
     private static final String OTHER_FORM = "record.folder";
+
     @TempDir
     Path folder;
 
@@ -45,7 +46,8 @@
     }
 
     private Object json(String resource) throws IOException {
-        return Json.read(Names.text(resource).replace("$FOLDER", folder.toString()).getBytes(StandardCharsets.UTF_8));
+        return Json.read(
+                Names.text(resource).replace("$FOLDER", folder.toString()).getBytes(StandardCharsets.UTF_8));
     }
 
     /** What is read of this, as a text that tells all values; or "error: " and what is wrong. */
@@ -68,9 +70,16 @@
                 list.forEach(one -> each.add(told(one, json)));
                 return each.toString();
             } else if (value instanceof Map<?, ?> map) {
-                return map.entrySet().stream().map(entry -> entry.getKey() + "=" + told(entry.getValue(), json)).toList().toString();
-            } else if (value.getClass().isRecord() || value.getClass().getName().startsWith("mintstair.") && !(value instanceof Enum<?>)) {
-                return parts(value).stream().map(part -> told(part, json)).toList().toString();
+                return map.entrySet().stream()
+                        .map(entry -> entry.getKey() + "=" + told(entry.getValue(), json))
+                        .toList()
+                        .toString();
+            } else if (value.getClass().isRecord()
+                    || value.getClass().getName().startsWith("mintstair.") && !(value instanceof Enum<?>)) {
+                return parts(value).stream()
+                        .map(part -> told(part, json))
+                        .toList()
+                        .toString();
             }
             return value.toString();
         } catch (ReflectiveOperationException e) {
@@ -116,7 +125,8 @@
         String whole = read(reader, json(resource));
         assertTrue(!whole.startsWith("error: "), whole);
         Set<String> known = new TreeSet<>();
-        for (Map.Entry<String, Map<Object, Object>> object : objects(json(resource)).entrySet()) {
+        for (Map.Entry<String, Map<Object, Object>> object :
+                objects(json(resource)).entrySet()) {
             for (Object key : object.getValue().keySet()) {
                 Object json = json(resource);
                 Object removed = objects(json).get(object.getKey()).remove(key);
@@ -134,8 +144,9 @@
 
     /** Whether the error names the key, or one that was in what is missing. */
     private static boolean names(String error, Object key, Object removed) {
-        return error.contains(key.toString()) || removed instanceof Map<?, ?> map
-            && map.keySet().stream().anyMatch(inner -> error.contains(inner.toString()));
+        return error.contains(key.toString())
+                || removed instanceof Map<?, ?> map
+                        && map.keySet().stream().anyMatch(inner -> error.contains(inner.toString()));
     }
 
     /** Each object's path, and what becomes of a key in it that nobody knows. */
@@ -211,15 +222,23 @@
     @Test
     void deployFileHasTheseKeysAndCommands() throws IOException {
         List<String> lines = Files.readAllLines(Path.of("deploy", "balancer.toml"));
-        Names.assertSame("/pins/deploy.txt", lines.stream().map(line -> line.startsWith("policy") || line.startsWith("node")
-            ? line.replaceAll("=.*", "=") : line).toList());
+        Names.assertSame(
+                "/pins/deploy.txt",
+                lines.stream()
+                        .map(line -> line.startsWith("policy") || line.startsWith("node")
+                                ? line.replaceAll("=.*", "=")
+                                : line)
+                        .toList());
         for (String line : lines) {
-            for (String path : line.startsWith("policy") || line.startsWith("node") ? line.replaceAll(".*\\[|\\].*", "").split(",") : new String[0]) {
+            for (String path : line.startsWith("policy") || line.startsWith("node")
+                    ? line.replaceAll(".*\\[|\\].*", "").split(",")
+                    : new String[0]) {
                 assertTrue(Files.exists(Path.of(path.strip().replace("\"", ""))), path);
             }
         }
-        assertEquals(Set.of("build", "run", "sim", "policy", "node", "packages"), lines.stream()
-            .map(line -> line.replaceAll(" *=.*", "")).collect(Collectors.toSet()));
+        assertEquals(
+                Set.of("build", "run", "sim", "policy", "node", "packages"),
+                lines.stream().map(line -> line.replaceAll(" *=.*", "")).collect(Collectors.toSet()));
     }
 
     /** The files in the repository that show settings have no key that is not pinned. */
@@ -229,13 +248,16 @@
         known.addAll(Names.expected("/pins/config-keys-of-others.txt"));
         known.addAll(Names.expected("/pins/operator-keys.txt"));
         try (Stream<Path> files = Files.list(Path.of("deploy"))) {
-            List<Path> shown = new ArrayList<>(files.filter(file -> file.toString().endsWith(".json")).toList());
+            List<Path> shown = new ArrayList<>(
+                    files.filter(file -> file.toString().endsWith(".json")).toList());
             shown.add(Path.of("example", "config.json"));
             for (Path file : shown) {
-                objects(Json.read(Files.readAllBytes(file))).forEach((path, object) -> object.keySet().forEach(key -> {
-                    String whole = path.isEmpty() ? key.toString() : path + "." + key;
-                    assertTrue(known.contains(whole) || whole.startsWith("store.members."), file + ": " + whole);
-                }));
+                objects(Json.read(Files.readAllBytes(file)))
+                        .forEach((path, object) -> object.keySet().forEach(key -> {
+                            String whole = path.isEmpty() ? key.toString() : path + "." + key;
+                            assertTrue(
+                                    known.contains(whole) || whole.startsWith("store.members."), file + ": " + whole);
+                        }));
             }
         }
     }
--- a/src/test/java/mintstair/pins/StoredData.java
+++ b/src/test/java/mintstair/pins/StoredData.java
@@ -28,6 +28,7 @@
     static final String STORE = "store-n1";
     /** One that has a log alone. */
     static final String YOUNG_STORE = "store-young";
+
     static final String REGISTRY = "registry.snapshot";
     static final String ROTATED = "traffic";
     static final String DIGESTED = "traffic-digested";
@@ -36,12 +37,14 @@
 
     /** Ports that clients connected to. */
     static final int POSTGRESQL_PORT = 5433;
+
     static final int MONGODB_PORT = 27017;
 
     static final String MEMBER = "n1";
     static final String HOSTS_KEY = "config/mongodb/hosts";
-    static final String HOSTS = "{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"mdb-1\",\"endpoint\":\"127.0.0.1:7001\",\"az\":\"a\","
-        + "\"pod_group\":1,\"state\":\"SERVING\",\"rank\":\"source\"}]}";
+    static final String HOSTS =
+            "{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"mdb-1\",\"endpoint\":\"127.0.0.1:7001\",\"az\":\"a\","
+                    + "\"pod_group\":1,\"state\":\"SERVING\",\"rank\":\"source\"}]}";
     static final String STATE_KEY = "state/n1";
     private static final int KEYS = 16;
     /** So many rounds over all keys are more changes than the store keeps in its log before it takes a snapshot. */
@@ -53,7 +56,7 @@
     static final long TERM = 12;
     static final long HEARD = 1_796_168_000_123_456L;
 
-    private StoredData() { }
+    private StoredData() {}
 
     /** The store's key of this number, and its value after a round. */
     static Map<String, String> round(int round) {
@@ -77,9 +80,14 @@
     static Snapshot registry() {
         List<Item> items = new ArrayList<>();
         for (int host = 0; host < 3; host++) {
-            String value = "{\"uid\":\"p" + host + "\",\"endpoint\":\"127.0.0.1:" + (6001 + host) + "\",\"az\":\"a\",\"pod_group\":1,"
-                + "\"state\":\"SERVING\",\"rank\":\"" + (host == 0 ? "source" : "copy") + "\"}";
-            items.add(new Item(PREFIX + "postgresql/hosts/p" + host, value.getBytes(StandardCharsets.UTF_8), 2 + host, REVISION - host));
+            String value = "{\"uid\":\"p" + host + "\",\"endpoint\":\"127.0.0.1:" + (6001 + host)
+                    + "\",\"az\":\"a\",\"pod_group\":1," + "\"state\":\"SERVING\",\"rank\":\""
+                    + (host == 0 ? "source" : "copy") + "\"}";
+            items.add(new Item(
+                    PREFIX + "postgresql/hosts/p" + host,
+                    value.getBytes(StandardCharsets.UTF_8),
+                    2 + host,
+                    REVISION - host));
         }
         items.add(new Item(PREFIX + "postgresql/hosts/\u00e9\u00ff", new byte[] {0, -1, 10, 13, 127, -128}, 9, 10));
         items.add(new Item(PREFIX + "settings", new byte[0], 11, 12));
@@ -88,9 +96,21 @@
 
     /** What is known of an exchange but its digest and message, one line each. */
     static String line(RecordedExchange exchange) {
-        return String.join(" ", exchange.connection() + "", exchange.asked() + "", exchange.answered() + "", exchange.id(), exchange.requestClass(), exchange.cluster() + "",
-            exchange.session() + "", exchange.write() + "", exchange.retry() + "", exchange.deadlineMillis() + "", exchange.afterMillis() + "",
-            exchange.result().name().toLowerCase(Locale.ROOT), exchange.comeBackMillis() + "");
+        return String.join(
+                " ",
+                exchange.connection() + "",
+                exchange.asked() + "",
+                exchange.answered() + "",
+                exchange.id(),
+                exchange.requestClass(),
+                exchange.cluster() + "",
+                exchange.session() + "",
+                exchange.write() + "",
+                exchange.retry() + "",
+                exchange.deadlineMillis() + "",
+                exchange.afterMillis() + "",
+                exchange.result().name().toLowerCase(Locale.ROOT),
+                exchange.retryAfterMillis() + "");
     }
 
     static Map<String, InetSocketAddress> freeMember() throws IOException {
@@ -133,6 +153,9 @@
 
     /** The files under a folder whose names begin so, in the order of their names. */
     static List<Path> files(Path top, String beginning) throws IOException {
-        return tree(top).stream().filter(Files::isRegularFile).filter(file -> file.getFileName().toString().startsWith(beginning)).toList();
+        return tree(top).stream()
+                .filter(Files::isRegularFile)
+                .filter(file -> file.getFileName().toString().startsWith(beginning))
+                .toList();
     }
 }
--- a/src/test/java/mintstair/pins/StoredDataTest.java
+++ b/src/test/java/mintstair/pins/StoredDataTest.java
@@ -33,8 +33,12 @@
 
 /** Files that the version before has written are read whole, and gone on with. {@link StoredDataWriter} says how they came to be. */
 class StoredDataTest {
-    private static final Map<Integer, Recording.Protocol> PORTS = Map.of(StoredData.POSTGRESQL_PORT, Recording.Protocol.POSTGRESQL,
-        StoredData.MONGODB_PORT, Recording.Protocol.MONGODB);
+    private static final Map<Integer, Recording.Protocol> PORTS = Map.of(
+            StoredData.POSTGRESQL_PORT,
+            Recording.Protocol.POSTGRESQL,
+            StoredData.MONGODB_PORT,
+            Recording.Protocol.MONGODB);
+
     @TempDir
     Path folder;
 
@@ -100,8 +104,9 @@
         assertEquals(List.of(), lines);
         Snapshot written = StoredData.registry();
         assertEquals(written.prefix(), read.prefix());
-        assertEquals(List.of(written.cluster(), written.revision(), written.term(), written.heard()),
-            List.of(read.cluster(), read.revision(), read.term(), read.heard()));
+        assertEquals(
+                List.of(written.cluster(), written.revision(), written.term(), written.heard()),
+                List.of(read.cluster(), read.revision(), read.term(), read.heard()));
         assertEquals(written.items().size(), read.items().size());
         for (int item = 0; item < written.items().size(); item++) {
             assertItem(written.items().get(item), read.items().get(item));
@@ -113,7 +118,10 @@
     private static void assertItem(Item written, Item read) {
         assertEquals(written.key(), read.key());
         assertArrayEquals(written.value(), read.value(), written.key());
-        assertEquals(List.of(written.created(), written.modified()), List.of(read.created(), read.modified()), written.key());
+        assertEquals(
+                List.of(written.created(), written.modified()),
+                List.of(read.created(), read.modified()),
+                written.key());
     }
 
     private static List<RecordedExchange> exchanges(List<Path> files) throws IOException {
@@ -125,8 +133,9 @@
     }
 
     private static void assertExchanges(String name, List<Path> files) throws IOException {
-        assertEquals(Names.expected("/" + StoredData.FOLDER + "/" + name),
-            exchanges(files).stream().map(StoredData::line).toList());
+        assertEquals(
+                Names.expected("/" + StoredData.FOLDER + "/" + name),
+                exchanges(files).stream().map(StoredData::line).toList());
     }
 
     @Test
@@ -138,7 +147,8 @@
 
     @Test
     void rotatedRecordingWithDigestsIsReadAsOne() throws IOException {
-        assertExchanges("traffic-digested.txt", StoredData.files(StoredData.copy(StoredData.DIGESTED, folder), "traffic-"));
+        assertExchanges(
+                "traffic-digested.txt", StoredData.files(StoredData.copy(StoredData.DIGESTED, folder), "traffic-"));
     }
 
     @Test
@@ -152,9 +162,15 @@
         Path kept = StoredData.copy(StoredData.ROTATED, folder);
         List<Path> before = StoredData.files(kept, "traffic-");
         long newest = Files.size(before.get(before.size() - 1));
-        try (TrafficLog log = new TrafficLog(kept, new Rotation(1_500, 1L << 40, 1_500 + newest), 1 << 20, () -> 1_800_000_000_000_000L)) {
-            log.begin(new InetSocketAddress("127.0.0.1", 40_003), new InetSocketAddress("127.0.0.1", StoredData.POSTGRESQL_PORT),
-                UnaryOperator::identity, UnaryOperator::identity, false).said(true, new byte[100]);
+        try (TrafficLog log = new TrafficLog(
+                kept, new Rotation(1_500, 1L << 40, 1_500 + newest), 1 << 20, () -> 1_800_000_000_000_000L)) {
+            log.begin(
+                            new InetSocketAddress("127.0.0.1", 40_003),
+                            new InetSocketAddress("127.0.0.1", StoredData.POSTGRESQL_PORT),
+                            UnaryOperator::identity,
+                            UnaryOperator::identity,
+                            false)
+                    .said(true, new byte[100]);
         }
         List<Path> after = StoredData.files(kept, "traffic-");
         assertEquals(List.of(before.get(before.size() - 1), kept.resolve("traffic-20270115-080000-000.pcap")), after);
@@ -162,10 +178,14 @@
 
     @Test
     void exchangeLinesAreTheSame() throws IOException {
-        List<String> words = new ArrayList<>(List.of("convert", "--mongodb-port", "" + StoredData.MONGODB_PORT, "--to", "-"));
-        StoredData.files(StoredData.copy(StoredData.ROTATED, folder), "traffic-").forEach(file -> words.add(file.toString()));
+        List<String> words =
+                new ArrayList<>(List.of("convert", "--mongodb-port", "" + StoredData.MONGODB_PORT, "--to", "-"));
+        StoredData.files(StoredData.copy(StoredData.ROTATED, folder), "traffic-")
+                .forEach(file -> words.add(file.toString()));
         StringWriter lines = new StringWriter();
         assertEquals(0, TrafficCommand.run(words, new PrintWriter(lines)));
-        assertEquals(Files.readAllLines(StoredData.copy(StoredData.EXCHANGES, folder)), lines.toString().lines().toList());
+        assertEquals(
+                Files.readAllLines(StoredData.copy(StoredData.EXCHANGES, folder)),
+                lines.toString().lines().toList());
     }
 }
--- a/src/test/java/mintstair/pins/StoredDataWriter.java
+++ b/src/test/java/mintstair/pins/StoredDataWriter.java
@@ -124,7 +124,8 @@
         byte[] key = new byte[32];
         Supplier<UnaryOperator<byte[]>> ofClient = digests ? () -> Redactor.ofClient(key) : UnaryOperator::identity;
         Supplier<UnaryOperator<byte[]>> ofServer = digests ? () -> Redactor.ofServer(key) : UnaryOperator::identity;
-        try (TrafficLog log = new TrafficLog(folder.resolve(name), new Rotation(1_500, 1L << 40, 1 << 20), QUEUE, now::get)) {
+        try (TrafficLog log =
+                new TrafficLog(folder.resolve(name), new Rotation(1_500, 1L << 40, 1 << 20), QUEUE, now::get)) {
             TrafficLog.Conversation postgresql = log.begin(client(40_001), POSTGRESQL, ofClient, ofServer, digests);
             speakPostgresql((byClient, bytes) -> {
                 now.addAndGet(1_000);
@@ -143,23 +144,39 @@
     }
 
     private static void speakPostgresql(Said said) throws IOException {
-        said.asks(Client.Pg.startup()).answers(new PgWriter().message('R', 0).ready().bytes());
-        said.asks(query(false, "id=a,c=basket,cluster=2,after=1767225600123,r=1")).answers(row("first"));
-        said.asks(query(true, "id=b,c=order,cluster=2")).answers(new PgWriter().error("ERROR", "53300", "no room", "250").ready().bytes());
-        said.asks(query(true, "id=c,c=order,cluster=2")).answers(new PgWriter().error("ERROR", "XX000", "lost", null).ready().bytes());
+        said.asks(Client.Pg.startup())
+                .answers(new PgWriter().message('R', 0).ready().bytes());
+        said.asks(query(false, "id=a,c=basket,cluster=2,after=1767225600123,r=1"))
+                .answers(row("first"));
+        said.asks(query(true, "id=b,c=order,cluster=2"))
+                .answers(new PgWriter()
+                        .error("ERROR", "53300", "no room", "250")
+                        .ready()
+                        .bytes());
+        said.asks(query(true, "id=c,c=order,cluster=2"))
+                .answers(new PgWriter()
+                        .error("ERROR", "XX000", "lost", null)
+                        .ready()
+                        .bytes());
         for (int request = 0; request < 8; request++) {
-            said.asks(query(request % 2 == 0, "id=d" + request + ",c=any,cluster=1")).answers(row("value " + request % 3));
+            said.asks(query(request % 2 == 0, "id=d" + request + ",c=any,cluster=1"))
+                    .answers(row("value " + request % 3));
         }
         said.asks(query(false, "id=open,c=any,cluster=1"));
     }
 
     private static void speakMongodb(Said said) throws IOException {
-        BsonDocument value = new BsonDocument("cursor", new BsonDocument("firstBatch", new BsonArray())).append("ok", new BsonDouble(1));
+        BsonDocument value = new BsonDocument("cursor", new BsonDocument("firstBatch", new BsonArray()))
+                .append("ok", new BsonDouble(1));
         said.asks(find("ma", 11)).asks(find("mb", 12)).asks(find("mc", 13));
-        said.answers(MongoMessage.opMsg(new BsonDocument("ok", new BsonDouble(0)).append("code", new BsonInt32(462))
-            .append("retryAfterMS", new BsonInt64(90)), 12));
+        said.answers(MongoMessage.opMsg(
+                new BsonDocument("ok", new BsonDouble(0))
+                        .append("code", new BsonInt32(462))
+                        .append("retryAfterMS", new BsonInt64(90)),
+                12));
         said.answers(MongoMessage.opMsg(value, 11));
-        said.answers(MongoMessage.opMsg(new BsonDocument("ok", new BsonDouble(0)).append("code", new BsonInt32(6)), 13));
+        said.answers(
+                MongoMessage.opMsg(new BsonDocument("ok", new BsonDouble(0)).append("code", new BsonInt32(6)), 13));
     }
 
     private static byte[] query(boolean write, String comment) {
@@ -168,21 +185,35 @@
 
     private static byte[] row(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-        return new PgWriter().message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
-            .message('D', '\0', '\1', bytes.length, bytes).message('C', "SELECT 1").ready().bytes();
+        return new PgWriter()
+                .message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
+                .message('D', '\0', '\1', bytes.length, bytes)
+                .message('C', "SELECT 1")
+                .ready()
+                .bytes();
     }
 
     private static byte[] find(String id, int number) {
-        byte[] message = MongoMessage.opMsg(new BsonDocument("find", new BsonString("e")).append("filter", new BsonDocument())
-            .append("comment", new BsonString("id=" + id + ",c=any,cluster=1,session=s7")).append("maxTimeMS", new BsonInt32(300))
-            .append("$db", new BsonString("orders")), 0);
-        java.nio.ByteBuffer.wrap(message).order(java.nio.ByteOrder.LITTLE_ENDIAN).putInt(4, number);
+        byte[] message = MongoMessage.opMsg(
+                new BsonDocument("find", new BsonString("e"))
+                        .append("filter", new BsonDocument())
+                        .append("comment", new BsonString("id=" + id + ",c=any,cluster=1,session=s7"))
+                        .append("maxTimeMS", new BsonInt32(300))
+                        .append("$db", new BsonString("orders")),
+                0);
+        java.nio.ByteBuffer.wrap(message)
+                .order(java.nio.ByteOrder.LITTLE_ENDIAN)
+                .putInt(4, number);
         return message;
     }
 
     private void exchanges() throws IOException {
-        List<String> words = new ArrayList<>(List.of("convert", "--mongodb-port", "" + StoredData.MONGODB_PORT, "--to",
-            folder.resolve(StoredData.EXCHANGES).toString()));
+        List<String> words = new ArrayList<>(List.of(
+                "convert",
+                "--mongodb-port",
+                "" + StoredData.MONGODB_PORT,
+                "--to",
+                folder.resolve(StoredData.EXCHANGES).toString()));
         try (Stream<Path> files = Files.list(folder.resolve(StoredData.ROTATED))) {
             files.sorted().forEach(file -> words.add(file.toString()));
         }
