--- a/src/main/java/mintstair/decision/RouterSettings.java
+++ b/src/main/java/mintstair/decision/RouterSettings.java
@@ -19,4 +19,20 @@
         double healthCheckCost,
         double crossZoneCost,
         ProtectionSettings protection,
-        AttemptLimits limits) {}
+        AttemptLimits limits) {
+    /** Throws {@link InvalidSettingsException} where no router can work with these settings. */
+    void validate() {
+        require(fleetSize > 0, "routers must be at least 1");
+        require(limits.maxAttempts() > 0, "limits.maxAttempts must be at least 1");
+        require(protection.slowStartInitialShare() > 0, "guards.coldShare must be above 0");
+        for (RequestClass requestClass : classes) {
+            require(requestClass.latencyObjectiveMicros() > 0, "classes.aim must be above 0");
+        }
+    }
+
+    private static void require(boolean holds, String message) {
+        if (!holds) {
+            throw new InvalidSettingsException(message);
+        }
+    }
+}
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -36,7 +36,7 @@
             Standing s = node.swim.standing();
             ReadWriteSplitter router = (ReadWriteSplitter) beds[node.number].router;
             router.onFleetSize(play.now, new FleetSize(s.largest(), s.counted(), s.settled()));
-            sum += node.isStill() ? 0 : 1 / router.routers();
+            sum += node.isStill() ? 0 : 1 / router.effectiveFleetSize();
         }
         return sum;
     }
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -104,7 +104,7 @@
     void silentHostGetsAShareOfTrialsFromAllRoutersTogether() {
         List<Bed> fleet = fleet(200);
         for (Bed bed : fleet) {
-            for (int i = 0; i < 60 && bed.logs.stream().noneMatch(l -> l.startsWith("silent r1")); i++) {
+            for (int i = 0; i < 60 && bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive r1")); i++) {
                 bed.request(1_000 + i, Bed.ANY);
                 if (bed.sendsOf(1_000 + i).isEmpty()) bed.answerPolls(10 * MS);
                 if (bed.sendsOf(1_000 + i).isEmpty()) continue;
@@ -389,7 +389,7 @@
                 bed.router.onHealthCheckEnded(bed.now, bed.probes.get(bed.answered), AttemptOutcome.ERROR, MS, null);
             }
         }
-        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("silent")), bed.logs.toString());
+        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")), bed.logs.toString());
         assertEquals(400, bed.sends.size());
         assertTrue(polls < 400, polls + " polls for 400 requests");
     }
@@ -431,7 +431,7 @@
         int before = bed.sends.size();
         bed.now += 2_000 * MS;
         bed.router.onTimer(bed.now, "tick");
-        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("silent")), bed.logs.toString());
+        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")), bed.logs.toString());
         assertEquals(before, bed.sends.size());
     }
 
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/SplitterTest.java
@@ -18,7 +18,7 @@
 /** The departures from the ordinary path, and the module's own limits. */
 class SplitterTest {
     private static final long MS = Bed.MS;
-    private static final int MAX_LINES = 1_150;
+    private static final int MAX_LINES = 400;
     private static final int MAX_COLUMNS = 140;
 
     @Test
@@ -55,7 +55,7 @@
         bed.pass(2_000 * MS);
         bed.request(50, Bed.UNSAFE_WRITE);
         assertEquals(before, bed.sends.size());
-        assertTrue(bed.logs.stream().anyMatch(l -> l.startsWith("silent p (primary)")), bed.logs.toString());
+        assertTrue(bed.logs.stream().anyMatch(l -> l.startsWith("unresponsive p (primary)")), bed.logs.toString());
         bed.poll("r1", bed.now, ReplicationRole.PRIMARY);
         assertEquals(50, bed.last().id());
         assertEquals("r1", bed.last().host());
@@ -127,7 +127,7 @@
     void hostsOutOfReachGetNoTrialTraffic() {
         Bed bed = new Bed().start().group();
         bed.now += 500 * MS;
-        for (int i = 0; i < 20 && bed.logs.stream().noneMatch(l -> l.startsWith("silent")); i++) {
+        for (int i = 0; i < 20 && bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")); i++) {
             bed.request(1_000 + i, Bed.ANY);
             bed.loseOrAnswerPolls("r1");
             bed.now += 100 * MS;
@@ -138,7 +138,7 @@
                         bed.last().host().equals("r1") ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             }
         }
-        assertTrue(bed.logs.contains("silent r1: out of reach"), bed.logs.toString());
+        assertTrue(bed.logs.contains("unresponsive r1: unreachable"), bed.logs.toString());
         bed.sends.clear();
         for (int i = 0; i < 200; i++) {
             bed.request(i, Bed.ANY);
@@ -152,13 +152,13 @@
         assertTrue(bed.sends.stream().filter(s -> s.host().equals("r1")).count() < 10);
         bed.router.onHealthCheckEnded(
                 bed.now, "r1", AttemptOutcome.SUCCESS, 1 * MS, new ReplicationStatus(bed.now, ReplicationRole.REPLICA));
-        assertTrue(bed.logs.contains("cold r1: ramp from its start"), bed.logs.toString());
+        assertTrue(bed.logs.contains("slow start r1: capacity grows from its start on"), bed.logs.toString());
     }
 
     @Test
     void connectionsNotMadeShowALostHostBeforeItsPollsDo() {
         Bed bed = new Bed().start().group();
-        for (int i = 0; i < 40 && bed.logs.stream().noneMatch(l -> l.startsWith("silent")); i++) {
+        for (int i = 0; i < 40 && bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")); i++) {
             bed.request(i, Bed.ANY);
             bed.now += 10 * MS;
             bed.outcome(
@@ -168,7 +168,7 @@
             // A poll that was not even sent is no sign of life.
             bed.router.onHealthCheckEnded(bed.now, "r2", AttemptOutcome.NOT_SENT, 0, null);
         }
-        assertTrue(bed.logs.contains("silent r2: out of reach"), bed.logs.toString());
+        assertTrue(bed.logs.contains("unresponsive r2: unreachable"), bed.logs.toString());
     }
 
     /** Guards against hosts that are taken for restarted, and fed as cold ones, as connections to them break. */
@@ -337,7 +337,7 @@
             bed.pass(100 * MS);
             bed.poll("r1", bed.now - 10 * MS, ReplicationRole.REPLICA);
         }
-        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("silent p")), bed.logs.toString());
+        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive p")), bed.logs.toString());
         bed.request(50, Bed.UNSAFE_WRITE);
         assertEquals("p", bed.last().host());
     }
@@ -347,7 +347,7 @@
         Bed bed = new Bed().start().group();
         bed.request(1, Bed.UNSAFE_WRITE);
         bed.pass(2_500 * MS);
-        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("silent")), bed.logs.toString());
+        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")), bed.logs.toString());
     }
 
     @Test
--- a/src/test/java/mintstair/decision/WrongClockTest.java
+++ b/src/test/java/mintstair/decision/WrongClockTest.java
@@ -89,7 +89,7 @@
                     EndpointUpdateType.DELTA,
                     new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, started));
         }
-        assertFalse(bed.logs.stream().anyMatch(line -> line.startsWith("cold ")), bed.logs.toString());
+        assertFalse(bed.logs.stream().anyMatch(line -> line.startsWith("slow start ")), bed.logs.toString());
     }
 
     /** The list comes before the first poll: a slow start that rests on the wrong clock alone is over when positions show it wrong. */
@@ -119,7 +119,7 @@
         bed.list(
                 EndpointUpdateType.DELTA,
                 new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now - HOUR - SECOND));
-        assertTrue(bed.logs.contains("cold r1: ramp from its start"), bed.logs.toString());
+        assertTrue(bed.logs.contains("slow start r1: capacity grows from its start on"), bed.logs.toString());
     }
 
     /** Listed as started a second ago before any position is known; the first positions show that the clock is an hour ahead. */
@@ -133,7 +133,7 @@
                 new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now - HOUR - SECOND));
         bed.poll("p", bed.now - HOUR, ReplicationRole.PRIMARY);
         bed.poll("r1", bed.now - HOUR, ReplicationRole.REPLICA);
-        assertTrue(bed.logs.contains("cold r1: ramp from its start"), bed.logs.toString());
+        assertTrue(bed.logs.contains("slow start r1: capacity grows from its start on"), bed.logs.toString());
     }
 
     /** An answer of the old primary stands at this clock's time, a poll of the new one at the right clock's, an hour before. */
