--- /dev/null
+++ b/src/test/java/mintstair/decision/FailureDetectorTest.java
@@ -0,0 +1,128 @@
+package mintstair.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** When an endpoint counts as unresponsive, and when no longer. */
+class FailureDetectorTest {
+    private static final long MS = Bed.MS;
+    private static final long SECOND = 1_000 * MS;
+
+    private final Bed bed = new Bed();
+    private final RouterSettings settings = bed.settings();
+    private final RequestClassTable classes = new RequestClassTable();
+    private final RouterClock clock = new RouterClock(0);
+    private final PositionClock positions = new PositionClock();
+    private final PooledLimits pooled = PooledLimits.create(1);
+    private final ReplicaSet replicaSet = new ReplicaSet(0, pooled.newReplicaLimit(1));
+    private final Endpoint endpoint = new Endpoint("a", replicaSet, pooled.newPrimaryLimit(1), 0);
+    private final List<String> unresponsive = new ArrayList<>();
+    private final FailureDetector detector = new FailureDetector(
+            () -> settings,
+            classes,
+            clock,
+            positions,
+            new SlowStartController(() -> settings, positions, bed),
+            bed,
+            (now, failed) -> unresponsive.add(failed.name));
+
+    FailureDetectorTest() {
+        classes.apply(settings);
+        replicaSet.members.add(endpoint);
+        endpoint.listed(0, EndpointState.SERVING, false);
+    }
+
+    @Test
+    void endpointThatIsUnreachableTwiceInARowIsUnresponsive() {
+        detector.unreachable(SECOND, endpoint);
+        assertFalse(endpoint.liveness.isUnresponsive());
+        detector.unreachable(SECOND, endpoint);
+        assertTrue(endpoint.liveness.isUnresponsive());
+        assertEquals(List.of("a"), unresponsive);
+    }
+
+    @Test
+    void answerBetweenTwoFailuresKeepsTheEndpointInUse() {
+        detector.unreachable(SECOND, endpoint);
+        detector.heard(SECOND, endpoint, false);
+        detector.unreachable(SECOND, endpoint);
+        assertFalse(endpoint.liveness.isUnresponsive());
+    }
+
+    @Test
+    void unreachableEndpointComesBackInSlowStart() {
+        detector.unreachable(SECOND, endpoint);
+        detector.unreachable(SECOND, endpoint);
+        detector.heard(2 * SECOND, endpoint, false);
+        assertFalse(endpoint.liveness.isUnresponsive());
+        assertTrue(endpoint.slowStart.isActive());
+    }
+
+    private void missAnswers(int inFlight) {
+        endpoint.inFlight = inFlight;
+        detector.accrue(0, endpoint);
+        endpoint.inFlight = inFlight;
+        detector.checkForMissedAnswers(5 * SECOND, endpoint, classes.patience());
+    }
+
+    @Test
+    void endpointThatAnswersNoneOfSeveralRequestsIsUnresponsive() {
+        missAnswers(3);
+        assertTrue(endpoint.liveness.isUnresponsive());
+    }
+
+    @Test
+    void oneLongRequestProvesNothing() {
+        missAnswers(1);
+        assertFalse(endpoint.liveness.isUnresponsive());
+    }
+
+    @Test
+    void primaryWhoseReplicasAdvanceIsSlowButNotLost() {
+        replicaSet.primary = endpoint;
+        replicaSet.newestPosition = 5 * SECOND;
+        missAnswers(3);
+        assertFalse(endpoint.liveness.isUnresponsive());
+    }
+
+    @Test
+    void answersMissedWhileTheProcessWasPausedCountForNothing() {
+        clock.timerFired(5 * SECOND, SECOND);
+        missAnswers(3);
+        assertFalse(endpoint.liveness.isUnresponsive());
+    }
+
+    @Test
+    void hungEndpointThatAnswersHealthChecksStaysOutForAWhile() {
+        missAnswers(3);
+        detector.heard(6 * SECOND, endpoint, false);
+        assertTrue(endpoint.liveness.isUnresponsive());
+        detector.heard(11 * SECOND, endpoint, false);
+        assertFalse(endpoint.liveness.isUnresponsive());
+    }
+
+    @Test
+    void afterSignsOfLossOnlyEndpointsHeardOfLatelyAreTrusted() {
+        assertTrue(detector.isTrusted(SECOND, endpoint));
+        detector.unreachable(SECOND, endpoint);
+        assertFalse(detector.isTrusted(SECOND, endpoint));
+        detector.heard(2 * SECOND, endpoint, false);
+        assertTrue(detector.isTrusted(2 * SECOND, endpoint));
+    }
+
+    @Test
+    void lostHealthCheckProvesNothingAgainstAnEndpointThatAnsweredSince() {
+        endpoint.healthCheck.sentAt = SECOND;
+        endpoint.liveness.settle(SECOND);
+        detector.healthCheckLost(2 * SECOND, endpoint);
+        assertEquals(0, endpoint.liveness.unreachableInARow);
+        endpoint.healthCheck.sentAt = SECOND + 1;
+        detector.healthCheckLost(2 * SECOND, endpoint);
+        assertEquals(1, endpoint.liveness.unreachableInARow);
+    }
+}
