--- a/example/Ask.java
+++ b/example/Ask.java
@@ -6,6 +6,9 @@
 
 /** Asks the proxy on 127.0.0.1:5433 (or another port, as the one argument) a few things and prints the answers. */
 public final class Ask {
+    private Ask() {}
+
+    /** Asks its few things. */
     public static void main(String[] args) throws IOException {
         int port = args.length > 0 ? Integer.parseInt(args[0]) : 5433;
         try (Socket socket = new Socket("127.0.0.1", port)) {
--- a/example/ToyHosts.java
+++ b/example/ToyHosts.java
@@ -25,6 +25,9 @@
             "INSERT INTO entries \\(ref, payload\\) VALUES \\('([^']*)', '([^']*)'\\) RETURNING payload.*");
     private static final Map<String, String> TABLE = new ConcurrentHashMap<>();
 
+    private ToyHosts() {}
+
+    /** Serves until it is ended. */
     public static void main(String[] args) throws IOException {
         for (int i = 1; i <= 3; i++) {
             int number = i;
--- a/src/test/java/mintstair/soak/SoakPlay.java
+++ b/src/test/java/mintstair/soak/SoakPlay.java
@@ -210,6 +210,7 @@
             case WATCH_MUTE -> listTrouble(agent::mute, () -> {}, 0);
             case WATCH_CUT -> listTrouble(agent::cut, () -> {}, 0);
             case LIST_SILENT -> listTrouble(() -> agent.silence(true), () -> agent.silence(false), millis);
+            default -> throw new IllegalStateException("no play of " + trouble);
         }
     }
 
