--- a/src/main/java/mintstair/Main.java
+++ b/src/main/java/mintstair/Main.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
+import java.nio.charset.Charset;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
@@ -50,8 +51,9 @@
             } else if (args.length >= 4 && args[0].equals("store")) {
                 store(args);
             } else if (args.length >= 1 && args[0].equals("traffic")) {
-                System.exit(
-                        TrafficCommand.run(Arrays.asList(args).subList(1, args.length), new PrintWriter(System.out)));
+                System.exit(TrafficCommand.run(
+                        Arrays.asList(args).subList(1, args.length),
+                        new PrintWriter(System.out, false, Charset.defaultCharset())));
             } else if (args.length == 2 && args[0].equals("members")) {
                 System.exit(MembersCommand.run(NodeConfig.address(args[1]), System.out));
             } else if (args.length >= 3 && args[0].equals("registry")) {
--- a/src/test/java/mintstair/bench/BreakPlay.java
+++ b/src/test/java/mintstair/bench/BreakPlay.java
@@ -1,5 +1,7 @@
 package mintstair.bench;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -207,7 +209,7 @@
             parts.clear();
             digest = 0;
             model.now().forEach((key, item) -> {
-                String value = new String(item.value());
+                String value = new String(item.value(), UTF_8);
                 parts.put(
                         key,
                         part(
--- a/src/test/java/mintstair/discovery/WatchTest.java
+++ b/src/test/java/mintstair/discovery/WatchTest.java
@@ -1,5 +1,6 @@
 package mintstair.discovery;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -44,7 +45,7 @@
             String answer = script.apply(asked.size(), query);
             exchange.sendResponseHeaders(answer == null ? 503 : 200, answer == null ? -1 : answer.length());
             if (answer != null) {
-                exchange.getResponseBody().write(answer.getBytes());
+                exchange.getResponseBody().write(answer.getBytes(UTF_8));
             }
             exchange.close();
         });
--- a/src/test/java/mintstair/front/DrainTest.java
+++ b/src/test/java/mintstair/front/DrainTest.java
@@ -1,5 +1,6 @@
 package mintstair.front;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.IOException;
@@ -53,7 +54,7 @@
                 TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
         transport.start();
         Env env = new Env((Map<?, ?>)
-                Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
+                Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes(UTF_8)));
         Counters counters = new Counters();
         try (Loop loop = new Loop()) {
             Dispatcher dispatcher =
--- a/src/test/java/mintstair/pcap/CaptureTest.java
+++ b/src/test/java/mintstair/pcap/CaptureTest.java
@@ -1,5 +1,6 @@
 package mintstair.pcap;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -148,7 +149,7 @@
                     for (byte[] file : files) {
                         Heard heard = hear(file);
                         String what = "link " + link + " six " + six + " pieces of " + piece + ": " + heard.losses;
-                        assertEquals(new String(ASKED), heard.asked(0), what);
+                        assertEquals(new String(ASKED, UTF_8), heard.asked(0), what);
                         assertArrayEquals(GIVEN, heard.server.get(0).toByteArray(), what);
                         assertEquals("", heard.losses.toString(), what);
                         assertTrue(Math.abs(heard.opened.get(0) - times[0]) < 60_000_000, what);
@@ -161,7 +162,7 @@
     /** All orders of the segments of a small stream, of which one overlaps two others and one comes twice. */
     @Example
     void everyOrderOfASmallStreamGivesTheSame() throws IOException {
-        byte[] said = "0123456789".getBytes();
+        byte[] said = "0123456789".getBytes(UTF_8);
         List<byte[]> segments = List.of(
                 tcp(100, 0, Arrays.copyOfRange(said, 0, 3)),
                 tcp(103, 0, Arrays.copyOfRange(said, 3, 5)),
@@ -196,10 +197,10 @@
     void whatWasFirstStandsWhereBytesComeAgainAsOthers() throws IOException {
         Heard heard = hearSegments(List.of(
                 tcp(99, Segment.SYN, new byte[0]),
-                tcp(103, 0, "DEF".getBytes()),
-                tcp(101, 0, "bcXXX".getBytes()),
-                tcp(100, 0, "a".getBytes()),
-                tcp(100, 0, "Z".getBytes())));
+                tcp(103, 0, "DEF".getBytes(UTF_8)),
+                tcp(101, 0, "bcXXX".getBytes(UTF_8)),
+                tcp(100, 0, "a".getBytes(UTF_8)),
+                tcp(100, 0, "Z".getBytes(UTF_8))));
         assertEquals("abcDEF", heard.asked(0));
         assertEquals(2, heard.losses.of(Losses.Reason.OTHER_BYTES));
     }
@@ -211,13 +212,13 @@
             segments.add(tcp(-30 + at, 0, Arrays.copyOfRange(ASKED, at, Math.min(ASKED.length, at + 7))));
         }
         Collections.swap(segments, 1, segments.size() - 1);
-        assertEquals(new String(ASKED), hearSegments(segments).asked(0));
+        assertEquals(new String(ASKED, UTF_8), hearSegments(segments).asked(0));
     }
 
     @Example
     void aStreamBegunInTheMiddleStartsWithItsFirstData() throws IOException {
         Heard heard = hearSegments(Frames.segments(true, 40000, 7_000, ASKED, new Random(1)));
-        assertEquals(new String(ASKED), heard.asked(0));
+        assertEquals(new String(ASKED, UTF_8), heard.asked(0));
     }
 
     @Example
@@ -225,13 +226,13 @@
         Heard heard = hearSegments(List.of(
                 tcp(99, Segment.SYN, new byte[0]),
                 Frames.tcp(false, 40000, 499, 0, Segment.SYN, new byte[0]),
-                tcp(100, 0, "ab".getBytes()),
-                tcp(104, 0, "ef".getBytes()),
-                Frames.tcp(false, 40000, 500, 106, Segment.ACK, "x".getBytes()),
-                tcp(106, 0, "gh".getBytes()),
-                Frames.tcp(false, 40000, 501, 106, Segment.ACK, "y".getBytes())));
+                tcp(100, 0, "ab".getBytes(UTF_8)),
+                tcp(104, 0, "ef".getBytes(UTF_8)),
+                Frames.tcp(false, 40000, 500, 106, Segment.ACK, "x".getBytes(UTF_8)),
+                tcp(106, 0, "gh".getBytes(UTF_8)),
+                Frames.tcp(false, 40000, 501, 106, Segment.ACK, "y".getBytes(UTF_8))));
         assertEquals("ab", heard.asked(0));
-        assertEquals("xy", heard.server.get(0).toString(), "the other direction goes on");
+        assertEquals("xy", heard.server.get(0).toString(UTF_8), "the other direction goes on");
         assertEquals("missing=1", heard.losses.toString());
         assertEquals(1, heard.lost);
     }
@@ -241,9 +242,9 @@
         List<byte[]> frames = new ArrayList<>();
         frames.addAll(Frames.ip4(true, 1, tcp(99, Segment.SYN, new byte[0]), 0));
         frames.addAll(Frames.ip4(true, 2, tcp(100, 0, ASKED), 0));
-        frames.addAll(Frames.ip4(true, 3, tcp(100 + ASKED.length, 0, "more".getBytes()), 0));
+        frames.addAll(Frames.ip4(true, 3, tcp(100 + ASKED.length, 0, "more".getBytes(UTF_8)), 0));
         Heard heard = hear(Frames.classic(ByteOrder.BIG_ENDIAN, false, Link.RAW, 50, frames, Frames.times(3)));
-        assertEquals(new String(ASKED, 0, 10), heard.asked(0));
+        assertEquals(new String(ASKED, 0, 10, UTF_8), heard.asked(0));
         assertEquals("snapped=1", heard.losses.toString());
     }
 
@@ -259,12 +260,12 @@
                 frames.addAll(Frames.ip4(
                         true,
                         c,
-                        Frames.tcp(true, 1_000 + 10 * c + proxy, 100, 0, 0, ("p" + proxy + "c" + c).getBytes()),
+                        Frames.tcp(true, 1_000 + 10 * c + proxy, 100, 0, 0, ("p" + proxy + "c" + c).getBytes(UTF_8)),
                         0));
             }
             long[] times = Frames.times(frames.size());
             for (int i = 0; i < times.length; i++) {
-                times[i] += proxy * 500_000;
+                times[i] += proxy * 500_000L;
             }
             files.add(Files.write(
                     Files.createTempFile("mintstair", ".pcap"),
@@ -286,12 +287,12 @@
     void portsUsedAgainAreAnotherConnection() throws IOException {
         Heard heard = hearSegments(List.of(
                 tcp(99, Segment.SYN, new byte[0]),
-                tcp(100, 0, "one".getBytes()),
+                tcp(100, 0, "one".getBytes(UTF_8)),
                 tcp(99_000, Segment.SYN, new byte[0]),
-                tcp(99_001, 0, "two".getBytes()),
+                tcp(99_001, 0, "two".getBytes(UTF_8)),
                 tcp(99_004, Segment.RST, new byte[0]),
                 tcp(5_000, Segment.SYN, new byte[0]),
-                tcp(5_001, 0, "three".getBytes()),
+                tcp(5_001, 0, "three".getBytes(UTF_8)),
                 tcp(5_006, Segment.FIN, new byte[0])));
         assertEquals("one two three", heard.asked(0) + " " + heard.asked(1) + " " + heard.asked(2));
         assertEquals(3, heard.ended);
@@ -334,7 +335,7 @@
             for (int n = 24; n <= file.length; n++) {
                 Heard heard = hear(Arrays.copyOf(file, n));
                 String asked = heard.asked(0);
-                assertTrue(new String(ASKED).startsWith(asked) && asked.length() >= before, n + ": " + asked);
+                assertTrue(new String(ASKED, UTF_8).startsWith(asked) && asked.length() >= before, n + ": " + asked);
                 before = asked.length();
             }
             assertEquals(ASKED.length, before);
--- a/src/test/java/mintstair/pcap/TrafficLogTest.java
+++ b/src/test/java/mintstair/pcap/TrafficLogTest.java
@@ -1,5 +1,6 @@
 package mintstair.pcap;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -70,7 +71,7 @@
                     public void ended(long nanos) {}
                 },
                 losses);
-        return new String[] {client.toString(), server.toString(), losses.toString()};
+        return new String[] {client.toString(UTF_8), server.toString(UTF_8), losses.toString()};
     }
 
     @Test
@@ -80,7 +81,7 @@
             TrafficLog.Conversation c = begin(log);
             for (int i = 0; i < 200; i++) {
                 now.addAndGet(10_000);
-                c.said(i % 2 == 0, ("word " + i + ",").getBytes());
+                c.said(i % 2 == 0, ("word " + i + ",").getBytes(UTF_8));
                 said.append(i % 2 == 0 ? "word " + i + "," : "");
             }
             c.ended();
@@ -132,7 +133,7 @@
             released.countDown();
             Program.await(
                     () -> {
-                        c.said(true, "after".getBytes());
+                        c.said(true, "after".getBytes(UTF_8));
                         return log.writtenBytes() > 9_000;
                     },
                     "the disk to go on");
@@ -146,7 +147,7 @@
         try (TrafficLog log = new TrafficLog(folder, new Rotation(1 << 20, 1L << 40, 1 << 24), 1 << 20, now::get)) {
             TrafficLog.Conversation c = begin(log);
             for (int i = 0; i < 20; i++) {
-                c.said(true, ("w" + i % 10).getBytes());
+                c.said(true, ("w" + i % 10).getBytes(UTF_8));
             }
         }
         Path file = files().get(0);
@@ -243,20 +244,20 @@
                     server.substring(server.length() - 2 * row.length, server.length() - row.length));
         }
         assertNotEquals(
-                new String(Redactor.ofClient(new byte[] {1}).apply(asked)),
-                new String(Redactor.ofClient(key).apply(asked)));
+                new String(Redactor.ofClient(new byte[] {1}).apply(asked), UTF_8),
+                new String(Redactor.ofClient(key).apply(asked), UTF_8));
         byte[] large = row("x".repeat(200_000));
         byte[] redacted = pieces(
                 Redactor.ofServer(key),
                 join(new PgWriter().message('R', 0).ready().bytes(), large),
                 3);
-        assertFalse(new String(redacted).contains("xxxxxxxx"));
+        assertFalse(new String(redacted, UTF_8).contains("xxxxxxxx"));
     }
 
     private static byte[] row(String value) {
         return new PgWriter()
                 .message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
-                .message('D', '\0', '\1', value.length(), value.getBytes())
+                .message('D', '\0', '\1', value.length(), value.getBytes(UTF_8))
                 .message('C', "SELECT 1")
                 .ready()
                 .bytes();
--- a/src/test/java/mintstair/program/DayToDayTest.java
+++ b/src/test/java/mintstair/program/DayToDayTest.java
@@ -1,5 +1,6 @@
 package mintstair.program;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -51,7 +52,7 @@
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             Socket caller = new Socket("127.0.0.1", program.control());
-            caller.getOutputStream().write("rea".getBytes());
+            caller.getOutputStream().write("rea".getBytes(UTF_8));
             silent.add(caller);
         }
         assertEquals("ok\n", program.call("readyz\r\n"));
--- a/src/test/java/mintstair/program/MembershipProgramTest.java
+++ b/src/test/java/mintstair/program/MembershipProgramTest.java
@@ -1,5 +1,6 @@
 package mintstair.program;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -96,10 +97,10 @@
         int status = MembersCommand.run(
                 new InetSocketAddress("127.0.0.1", programs.get(0).control()), new PrintStream(shown));
         assertEquals(0, status);
-        List<String> lines = shown.toString().lines().toList();
-        assertEquals(6, lines.size(), shown.toString());
+        List<String> lines = shown.toString(UTF_8).lines().toList();
+        assertEquals(6, lines.size(), shown.toString(UTF_8));
         assertTrue(lines.get(0).startsWith("member m0 alive ") && lines.get(0).endsWith(" self"), lines.get(0));
-        assertTrue(lines.stream().anyMatch(l -> l.startsWith("member m4 left ")), shown.toString());
+        assertTrue(lines.stream().anyMatch(l -> l.startsWith("member m4 left ")), shown.toString(UTF_8));
         assertTrue(
                 lines.get(5).startsWith("view version=") && lines.get(5).contains(" counted=4 largest=5"),
                 lines.get(5));
--- a/src/test/java/mintstair/program/MongoFrontTest.java
+++ b/src/test/java/mintstair/program/MongoFrontTest.java
@@ -1,5 +1,6 @@
 package mintstair.program;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -70,7 +71,7 @@
                 1,
                 client.command(BsonDocument.parse("{ping: 1}")).getNumber("ok").intValue());
         byte[] query = MongoMessage.bytes(BsonDocument.parse("{isMaster: 1}"));
-        byte[] name = "admin.$cmd\0".getBytes();
+        byte[] name = "admin.$cmd\0".getBytes(UTF_8);
         client.raw(ByteBuffer.allocate(28 + name.length + query.length)
                 .order(ByteOrder.LITTLE_ENDIAN)
                 .putInt(28 + name.length + query.length)
--- a/src/test/java/mintstair/registry/ScheduleTest.java
+++ b/src/test/java/mintstair/registry/ScheduleTest.java
@@ -1,5 +1,6 @@
 package mintstair.registry;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -339,7 +340,8 @@
         private static String words(Map<String, Item> held) {
             Map<String, String> words = new TreeMap<>();
             held.forEach((key, item) -> words.put(
-                    key.substring(key.lastIndexOf('/') + 1), new String(item.value()).replaceAll(".*boot_ms", "")));
+                    key.substring(key.lastIndexOf('/') + 1),
+                    new String(item.value(), UTF_8).replaceAll(".*boot_ms", "")));
             return words.toString();
         }
 
@@ -350,7 +352,7 @@
                 return false;
             }
             for (Map.Entry<String, Item> each : hosts.entrySet()) {
-                String value = new String(each.getValue().value());
+                String value = new String(each.getValue().value(), UTF_8);
                 HostList.Entry shown = mirror.get(each.getKey());
                 if (value.startsWith("{")
                         && (shown == null || !value.contains(":" + Math.round(shown.started() / 1000.0) + "}"))) {
--- a/src/test/java/mintstair/registry/SnapshotFileTest.java
+++ b/src/test/java/mintstair/registry/SnapshotFileTest.java
@@ -1,5 +1,6 @@
 package mintstair.registry;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -25,7 +26,7 @@
     private static Snapshot snapshot(long revision, int hosts) {
         List<Item> items = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
-            items.add(new Item("reg/h" + i, ("value " + revision).getBytes(), i, revision));
+            items.add(new Item("reg/h" + i, ("value " + revision).getBytes(UTF_8), i, revision));
         }
         return new Snapshot("reg/", 7, revision, 3, 1234, items);
     }
@@ -48,7 +49,7 @@
         assertEquals(3, read.term());
         assertEquals(1234, read.heard());
         assertEquals("reg/h2", read.items().get(2).key());
-        assertArrayEquals("value 5".getBytes(), read.items().get(2).value());
+        assertArrayEquals("value 5".getBytes(UTF_8), read.items().get(2).value());
     }
 
     /** Torn after any byte, changed in any byte, longer, of another format, or of another prefix: set aside with one line. */
@@ -110,7 +111,7 @@
             Snapshot read = new SnapshotFile(path).read("reg/", lines::add);
             assertNotNull(read, lines.toString());
             assertEquals(2_000, read.items().size());
-            read.items().forEach(item -> assertArrayEquals(("value " + read.revision()).getBytes(), item.value()));
+            read.items().forEach(item -> assertArrayEquals(("value " + read.revision()).getBytes(UTF_8), item.value()));
         }
     }
 
--- a/src/test/java/mintstair/registry/WiresTest.java
+++ b/src/test/java/mintstair/registry/WiresTest.java
@@ -1,5 +1,6 @@
 package mintstair.registry;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static mintstair.program.Program.await;
 import static mintstair.registry.Registries.config;
 import static mintstair.registry.Registries.host;
@@ -221,9 +222,9 @@
                     config(Kind.CONSUL, null, null, null, null, 1, consul.port()))) {
                 assertEquals("0: a is added\n", run(at, "put-host", host("a", 1)));
                 assertEquals("0: a drains\n", run(at, "drain", "a"));
-                assertTrue(new String(model.now().get(key("a")).value()).contains("\"state\":\"DRAINING\""));
+                assertTrue(new String(model.now().get(key("a")).value(), UTF_8).contains("\"state\":\"DRAINING\""));
                 assertTrue(
-                        new String(model.now().get(key("a")).value()).contains("\"boot_ms\":1"),
+                        new String(model.now().get(key("a")).value(), UTF_8).contains("\"boot_ms\":1"),
                         "what else there was stays");
                 long stale = model.revision - 1;
                 assertEquals(
@@ -250,12 +251,12 @@
                     config(Kind.ETCD, null, null, null, null, member.port()),
                     config(Kind.CONSUL, null, null, null, null, consul.port()))) {
                 try (RegistryEditor editor = RegistryClient.editor(at)) {
-                    assertTrue(editor.put(key("a"), host("a", 1).getBytes(), 0));
+                    assertTrue(editor.put(key("a"), host("a", 1).getBytes(UTF_8), 0));
                     long read = editor.get(key("a")).modified();
                     model.put(key("a"), host("a", 2));
-                    assertFalse(editor.put(key("a"), host("a", 3).getBytes(), read));
+                    assertFalse(editor.put(key("a"), host("a", 3).getBytes(UTF_8), read));
                     assertFalse(editor.delete(key("a"), read));
-                    assertEquals(host("a", 2), new String(editor.get(key("a")).value()));
+                    assertEquals(host("a", 2), new String(editor.get(key("a")).value(), UTF_8));
                     assertTrue(editor.delete(key("a"), editor.get(key("a")).modified()));
                     assertNull(editor.get(key("a")));
                 }
--- a/src/test/java/mintstair/serve/BothFrontsTest.java
+++ b/src/test/java/mintstair/serve/BothFrontsTest.java
@@ -1,5 +1,6 @@
 package mintstair.serve;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -89,9 +90,9 @@
         boolean pg = protocol instanceof PgProtocol;
         String listed = hosts.stream().map(h -> h.listed("SERVING")).collect(Collectors.joining(","));
         HostList list =
-                ListReader.read(Json.read(("{\"rev\":1,\"all\":true,\"targets\":[" + listed + "]}").getBytes()));
+                ListReader.read(Json.read(("{\"rev\":1,\"all\":true,\"targets\":[" + listed + "]}").getBytes(UTF_8)));
         Env env = new Env((Map<?, ?>)
-                Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
+                Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes(UTF_8)));
         try (Loop loop = new Loop(clock::get)) {
             Service service = new Service(
                     loop,
--- a/src/test/java/mintstair/serve/LimitsTest.java
+++ b/src/test/java/mintstair/serve/LimitsTest.java
@@ -1,5 +1,6 @@
 package mintstair.serve;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -155,7 +156,7 @@
 
     private static Env env() throws IOException {
         return new Env((Map<?, ?>)
-                Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
+                Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes(UTF_8)));
     }
 
     private void assertServes() throws IOException {
--- a/src/test/java/mintstair/standin/Keys.java
+++ b/src/test/java/mintstair/standin/Keys.java
@@ -1,5 +1,7 @@
 package mintstair.standin;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.file.Files;
@@ -61,7 +63,7 @@
         return Files.writeString(
                 file,
                 "-----BEGIN " + what + "-----\n"
-                        + Base64.getMimeEncoder(64, "\n".getBytes()).encodeToString(bytes) + "\n-----END " + what
+                        + Base64.getMimeEncoder(64, "\n".getBytes(UTF_8)).encodeToString(bytes) + "\n-----END " + what
                         + "-----\n");
     }
 }
--- a/src/test/java/mintstair/traffic/RecordingTest.java
+++ b/src/test/java/mintstair/traffic/RecordingTest.java
@@ -1,5 +1,6 @@
 package mintstair.traffic;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -212,7 +213,7 @@
                     .answers(new PgWriter().message('R', 0).ready().bytes());
             c.asks(query(false, "id=a,c=any,cluster=1")).answers(row("x"));
             c.asks(query(false, "id=b,c=any,cluster=1"))
-                    .answers("q?%%%%%%%".getBytes())
+                    .answers("q?%%%%%%%".getBytes(UTF_8))
                     .answers(row("x"));
         });
         assertEquals(
--- a/src/test/java/mintstair/wire/ParsersTest.java
+++ b/src/test/java/mintstair/wire/ParsersTest.java
@@ -1,5 +1,6 @@
 package mintstair.wire;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -227,7 +228,7 @@
     /** Guards against reading on past the row: what followed the report ran into its last number. */
     @Example
     void reportIsReadFromTheRowAlone() {
-        byte[] vitals = "inflight=7,util=0.61,x0=1700000000.25,x1=1".getBytes();
+        byte[] vitals = "inflight=7,util=0.61,x0=1700000000.25,x1=1".getBytes(UTF_8);
         byte[] reply = new PgWriter()
                 .message('T', '\0', '\1', "vitals", new byte[18])
                 .message('D', '\0', '\1', vitals.length, vitals)
@@ -247,7 +248,7 @@
         whole.put(plain)
                 .put((byte) 1)
                 .putInt(14 + one.length)
-                .put("documents\0".getBytes())
+                .put("documents\0".getBytes(UTF_8))
                 .put(one);
         whole.putInt(0, whole.capacity()).putInt(16, MongoMessage.CHECKSUM_PRESENT);
         CRC32C sum = new CRC32C();
