--- a/src/main/java/mintstair/adapter/Wire.java
+++ b/src/main/java/mintstair/adapter/Wire.java
@@ -276,7 +276,7 @@
 
     private String string() throws IOException {
         JsonToken t = in.nextToken();
-        if (t == JsonToken.VALUE_NULL || t != null && t.isNumeric()) {
+        if (t == JsonToken.VALUE_NULL || (t != null && t.isNumeric())) {
             return null;
         }
         require(t == JsonToken.VALUE_STRING, "expected a text");
--- a/src/main/java/mintstair/backend/IdleTrust.java
+++ b/src/main/java/mintstair/backend/IdleTrust.java
@@ -50,7 +50,7 @@
         for (int i = 0; i < SPANS; i++) {
             double share = broken[i] / Math.max(1, used[i]);
             if (i >= FIRST_DOUBTED && broken[i] >= EVIDENCE && share > OFTENER * brokenBefore / usedBefore + MARGIN) {
-                return SHORTEST << i - 1;
+                return SHORTEST << (i - 1);
             }
             usedBefore += used[i];
             brokenBefore += broken[i];
--- a/src/main/java/mintstair/backend/pg/PgProtocol.java
+++ b/src/main/java/mintstair/backend/pg/PgProtocol.java
@@ -236,7 +236,7 @@
         }
 
         private static int int16(byte[] m, int at) {
-            return (m[at] & 255) << 8 | m[at + 1] & 255;
+            return (m[at] & 255) << 8 | (m[at + 1] & 255);
         }
 
         private static int int32(byte[] m, int at) {
--- a/src/main/java/mintstair/config/Json.java
+++ b/src/main/java/mintstair/config/Json.java
@@ -55,9 +55,9 @@
             case VALUE_STRING:
                 return in.getText();
             case VALUE_TRUE:
-                return Boolean.TRUE;
+                return true;
             case VALUE_FALSE:
-                return Boolean.FALSE;
+                return false;
             case VALUE_NULL:
                 return null;
             default:
--- a/src/main/java/mintstair/config/OperatorConfig.java
+++ b/src/main/java/mintstair/config/OperatorConfig.java
@@ -93,7 +93,7 @@
                 Path.of(NodeConfig.text(m, "folder")),
                 fileBytes,
                 (long) (number(m, "file_s", 600, 1) * 1e6),
-                (long) number(m, "total_bytes", 16 * fileBytes, fileBytes),
+                (long) number(m, "total_bytes", (double) (16 * fileBytes), (double) fileBytes),
                 (long) number(m, "queue_bytes", 8 << 20, 1 << 16),
                 Boolean.TRUE.equals(m.get("hosts")),
                 number(m, "share", 1, 0),
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -252,7 +252,7 @@
             g.members.add(h);
         }
         // Drains: nothing new goes to a host told draining or gone, from this moment on.
-        h.drains = e.state() == HostState.DRAINING || h.drains && e.state() == HostState.GONE;
+        h.drains = e.state() == HostState.DRAINING || (h.drains && e.state() == HostState.GONE);
         h.ready = !h.drains;
         h.doubted = false;
         h.goneAt = 0;
@@ -434,7 +434,7 @@
     private Host pinned(long now, Group g, Open q) {
         Host h = hosts.get(q.request.pinned());
         if (h == null || h.group != g || !h.ready || h.silent || q.attempts > 0) return null;
-        if (h == g.primary || !q.needsPrimary() && h.position >= need(now, q)) return h;
+        if (h == g.primary || (!q.needsPrimary() && h.position >= need(now, q))) return h;
         if (settings.limits().probing() && !h.pollOut && now - h.polledAt >= DEMAND_WAIT) ask(now, h);
         return null;
     }
@@ -482,7 +482,7 @@
         }
         // A cold or silent host gets no more than its part when its warm peers are away: what all routers
         // together would send it in their stead pushes it over, or is lost.
-        boolean weak = last.silent || last.slowStart.isActive() && warmth(last, now) < 1;
+        boolean weak = last.silent || (last.slowStart.isActive() && warmth(last, now) < 1);
         return weak && q.luck >= sum / Math.max(1, ready) ? null : last;
     }
 
@@ -500,7 +500,7 @@
 
     /** After signs of lost hosts, or against the list, only a host that was heard from is used unasked. */
     private boolean trusted(long now, Host h) {
-        boolean wary = h.doubted || settings.limits().probing() && now - alarmAt < WARY;
+        boolean wary = h.doubted || (settings.limits().probing() && now - alarmAt < WARY);
         return !wary || now - h.heardAt < WARY;
     }
 
@@ -522,7 +522,7 @@
             candidates += canProve(now, h, q, need) ? 1 : 0;
         }
         if (now - q.askedAt < DEMAND_WAIT && out) return true;
-        if (candidates == 0 || q.asked >= DEMAND_ROUNDS && now - q.askedAt < SEEK_EVERY) return false;
+        if (candidates == 0 || (q.asked >= DEMAND_ROUNDS && now - q.askedAt < SEEK_EVERY)) return false;
         q.asked++;
         q.askedAt = now;
         boolean sent = demandedPolls.isEnough();
@@ -544,7 +544,7 @@
         if (!h.ready
                 || h == h.group.primary
                 || h.pollOut
-                || h.silent && h.lost > 0
+                || (h.silent && h.lost > 0)
                 || now - h.polledAt < DEMAND_WAIT
                 || q.isAt(h, q.attempts < 3)) return false;
         long present = positions.present(now);
@@ -700,8 +700,8 @@
     /** The final answer at once: refused where that is true and harmless, else failed. */
     private void giveUp(long now, Open q) {
         boolean harmless = q.repeatable()
-                || !q.mayHaveRun && q.out == 0
-                || q.kind.of.repeat() == Repeat.KEYED && q.kind.of.scope() == RepeatScope.ALL;
+                || (!q.mayHaveRun && q.out == 0)
+                || (q.kind.of.repeat() == Repeat.KEYED && q.kind.of.scope() == RepeatScope.ALL);
         long longest = settings.limits().maxRetryAfter();
         long soon = (long) (COME_BACK * q.kind.of.aim());
         long back = now + soon < q.arrived + q.kind.of.aim() ? Math.min(longest, soon) : longest;
@@ -749,7 +749,7 @@
             tokens.written(now, q.request.session(), position);
         }
         // What came while this router stood still tells nothing of the hosts.
-        if (sent >= awakeSince || e != Ending.TIMEOUT && e != Ending.OK) measure(now, h, q, o, answered);
+        if (sent >= awakeSince || (e != Ending.TIMEOUT && e != Ending.OK)) measure(now, h, q, o, answered);
     }
 
     private void measure(long now, Host h, Open q, Outcome o, boolean answered) {
@@ -767,12 +767,12 @@
         if (e != Ending.MISS && e != Ending.MOOT && e != Ending.CANCELLED) {
             h.health.ended(bad);
             boolean late = o.latency() > k.mean + STUCK * k.deviation;
-            boolean lost = e == Ending.RESET || e == Ending.TIMEOUT && late;
+            boolean lost = e == Ending.RESET || (e == Ending.TIMEOUT && late);
             if (lost || e == Ending.OK) lossy += 0.5 * NEWEST * ((lost ? 1 : 0) - lossy);
         }
         // What was given up when hardly begun, as its request's time ran out, tells nothing of a host.
-        boolean givenUp = e == Ending.TIMEOUT || e == Ending.CANCELLED && !q.finished;
-        if (e == Ending.OK || e == Ending.FULL || givenUp && o.latency() >= OVERDUE * k.of.aim()) {
+        boolean givenUp = e == Ending.TIMEOUT || (e == Ending.CANCELLED && !q.finished);
+        if (e == Ending.OK || e == Ending.FULL || (givenUp && o.latency() >= OVERDUE * k.of.aim())) {
             double ofAim = e == Ending.OK ? (double) o.latency() / k.of.aim() : ConcurrencyLimit.NOT_IN_TIME;
             strain(now, h, Math.min(ConcurrencyLimit.NOT_IN_TIME, ofAim), answered, e == Ending.FULL);
         }
@@ -792,7 +792,7 @@
         h.heardAt = now;
         if (h.silent && h.lost > 0) startCold(h, now);
         // A hung host may answer polls: that ends its silence only after a while, or a hang would be fed.
-        if (served || h.lost > 0 || h.silent && now - h.silentAt > WARY) {
+        if (served || h.lost > 0 || (h.silent && now - h.silentAt > WARY)) {
             if (h.silent) actions.log("back " + h.name);
             h.silent = false;
             rested(now, h);
--- a/src/main/java/mintstair/front/pg/PgStatement.java
+++ b/src/main/java/mintstair/front/pg/PgStatement.java
@@ -33,7 +33,7 @@
         for (int i = 0; i < query.length(); i++) {
             char c = query.charAt(i);
             // A host ends its connection on what it cannot read, whoever else's requests are on it.
-            if (c < ' ' && c != '\n' && c != '\r' && c != '\t' || c >= 127) {
+            if ((c < ' ' && c != '\n' && c != '\r' && c != '\t') || c >= 127) {
                 throw new ProtocolException("a statement is plain text, with values in hexadecimal");
             }
         }
--- a/src/main/java/mintstair/membership/swim/Rumour.java
+++ b/src/main/java/mintstair/membership/swim/Rumour.java
@@ -31,6 +31,6 @@
     public boolean overrides(Rumour known) {
         return known == null
                 || incarnation > known.incarnation
-                || incarnation == known.incarnation && state.compareTo(known.state) > 0;
+                || (incarnation == known.incarnation && state.compareTo(known.state) > 0);
     }
 }
--- a/src/main/java/mintstair/membership/swim/Swim.java
+++ b/src/main/java/mintstair/membership/swim/Swim.java
@@ -274,8 +274,8 @@
     public void received(long now, Message message) {
         long before = version();
         if (left
-                || message.sender().name().equals(self.name())
-                        && message.sender().address().equals(self.address())) {
+                || (message.sender().name().equals(self.name())
+                        && message.sender().address().equals(self.address()))) {
             return;
         }
         heard++;
@@ -360,7 +360,7 @@
      */
     private void ofSelf(long now, Rumour r) {
         boolean mine = r.state() == MemberState.ALIVE && r.address().equals(self.address());
-        if (r.incarnation() < self.incarnation() || mine && r.incarnation() == self.incarnation()) {
+        if (r.incarnation() < self.incarnation() || (mine && r.incarnation() == self.incarnation())) {
             return;
         }
         if (!r.address().equals(self.address())) {
--- a/src/main/java/mintstair/membership/swim/SwimSettings.java
+++ b/src/main/java/mintstair/membership/swim/SwimSettings.java
@@ -94,7 +94,8 @@
 
     /** News reach all members within this, with much to spare. */
     long spread(int members) {
-        return (long) (SPREAD * Math.ceil(Math.log(members + 1) / Math.log(2))) * period;
+        long rounds = (long) (SPREAD * Math.ceil(Math.log(members + 1) / Math.log(2)));
+        return rounds * period;
     }
 
     int tellings(int members) {
--- a/src/main/java/mintstair/pcap/Connections.java
+++ b/src/main/java/mintstair/pcap/Connections.java
@@ -168,7 +168,7 @@
             t = null;
         }
         if (t == null) {
-            if (s.has(Segment.RST) || s.payload().length == 0 && !s.has(Segment.SYN)) {
+            if (s.has(Segment.RST) || (s.payload().length == 0 && !s.has(Segment.SYN))) {
                 return;
             }
             t = new Tracked(ports);
@@ -189,7 +189,7 @@
         t.tellLost(s.nanos());
         t.clientDone |= byClient && s.has(Segment.FIN);
         t.serverDone |= !byClient && s.has(Segment.FIN);
-        if (s.has(Segment.RST) || t.clientDone && t.serverDone && t.held() == 0) {
+        if (s.has(Segment.RST) || (t.clientDone && t.serverDone && t.held() == 0)) {
             close(t, s.nanos());
         }
     }
--- a/src/main/java/mintstair/pcap/PcapNg.java
+++ b/src/main/java/mintstair/pcap/PcapNg.java
@@ -132,7 +132,7 @@
             }
             case ENHANCED_PACKET, OLD_PACKET -> {
                 Interface at = interfaces.get(type == ENHANCED_PACKET ? b.getInt(0) : b.getShort(0) & 0xffff);
-                long units = (b.getInt(4) & 0xffffffffL) << 32 | b.getInt(8) & 0xffffffffL;
+                long units = (b.getInt(4) & 0xffffffffL) << 32 | (b.getInt(8) & 0xffffffffL);
                 return new Frame(at.nanos(units), at.linkType, b.slice(20, b.getInt(12)), b.getInt(16));
             }
             default -> {
--- a/src/main/java/mintstair/pcap/Rotation.java
+++ b/src/main/java/mintstair/pcap/Rotation.java
@@ -40,7 +40,7 @@
 
     /** Whether a record of so many bytes goes to a new file. One that is larger than a file may be has a file of its own. */
     public boolean isDue(long now, int next) {
-        return current == null || now - since >= fileMicros || bytes + next > fileBytes && bytes > 0;
+        return current == null || now - since >= fileMicros || (bytes + next > fileBytes && bytes > 0);
     }
 
     /** A new file was begun. */
--- a/src/main/java/mintstair/pcap/StreamHalf.java
+++ b/src/main/java/mintstair/pcap/StreamHalf.java
@@ -60,7 +60,7 @@
 
     void take(Segment s) {
         boolean syn = s.has(Segment.SYN);
-        if (over || !started && !syn && s.payload().length == 0) {
+        if (over || (!started && !syn && s.payload().length == 0)) {
             return;
         }
         if (!started) {
@@ -117,7 +117,7 @@
             long until = after == null ? to : Math.min(to, after.getKey());
             if (until > from) {
                 early.put(from, Arrays.copyOfRange(payload, (int) (from - at), (int) (until - at)));
-                held += until - from;
+                held += (int) (until - from);
             }
             if (after == null || after.getKey() >= to) {
                 break;
--- a/src/main/java/mintstair/registry/RegistryClient.java
+++ b/src/main/java/mintstair/registry/RegistryClient.java
@@ -154,7 +154,7 @@
 
     private void keep() {
         Snapshot now = view.snapshot();
-        if (now == null || now.revision() == keptRevision && now.heard() < keptHeard + SAME_KEPT_FOR && !cannotKeep) {
+        if (now == null || (now.revision() == keptRevision && now.heard() < keptHeard + SAME_KEPT_FOR && !cannotKeep)) {
             return;
         }
         try {
--- a/src/main/java/mintstair/registry/view/HostTable.java
+++ b/src/main/java/mintstair/registry/view/HostTable.java
@@ -168,7 +168,7 @@
         if (row == null) {
             return;
         }
-        bytes += times * (key.length() + (row.value == null ? 0 : row.value.length));
+        bytes += (long) times * (key.length() + (row.value == null ? 0 : row.value.length));
         if (row.entry != null) {
             hosts += times;
             HostList.Entry e = row.entry;
--- a/src/main/java/mintstair/traffic/ReplayOptions.java
+++ b/src/main/java/mintstair/traffic/ReplayOptions.java
@@ -46,7 +46,7 @@
         return at >= from
                 && at < to
                 && (classes.isEmpty() || classes.contains(e.requestClass()))
-                && (sessions.isEmpty() || e.session() != null && sessions.contains(e.session()))
+                && (sessions.isEmpty() || (e.session() != null && sessions.contains(e.session())))
                 && !(liveRetries && e.retry());
     }
 }
--- a/src/main/java/mintstair/traffic/Talk.java
+++ b/src/main/java/mintstair/traffic/Talk.java
@@ -188,7 +188,7 @@
     protected static long digest(long before, byte[] bytes, int from, int to) {
         long hash = before == 0 ? 0xcbf29ce484222325L : before;
         for (int i = from; i < to; i++) {
-            hash = (hash ^ bytes[i] & 255) * 0x100000001b3L;
+            hash = (hash ^ (bytes[i] & 255)) * 0x100000001b3L;
         }
         return hash;
     }
--- a/src/main/java/mintstair/wire/Framer.java
+++ b/src/main/java/mintstair/wire/Framer.java
@@ -78,6 +78,6 @@
     protected abstract int length(byte[] bytes, int at, int n);
 
     protected static int int32(byte[] b, int at) {
-        return (b[at] & 255) << 24 | (b[at + 1] & 255) << 16 | (b[at + 2] & 255) << 8 | b[at + 3] & 255;
+        return (b[at] & 255) << 24 | (b[at + 1] & 255) << 16 | (b[at + 2] & 255) << 8 | (b[at + 3] & 255);
     }
 }
--- a/src/main/java/mintstair/wire/MongoMessage.java
+++ b/src/main/java/mintstair/wire/MongoMessage.java
@@ -124,7 +124,7 @@
     private static String cString(ByteBuffer in) {
         int start = in.position();
         while (in.get() != 0) {
-            continue;
+            // read on to its end
         }
         return new String(in.array(), start, in.position() - start - 1, StandardCharsets.UTF_8);
     }
--- a/src/test/java/mintstair/bench/RegistryBench.java
+++ b/src/test/java/mintstair/bench/RegistryBench.java
@@ -27,16 +27,16 @@
         boolean full = Arrays.asList(args).contains("--full");
         breaks(full);
         long[] bytes = BreakBytes.measure(KEYS);
-        figure("bytes_per_break", bytes[0]);
-        figure("bytes_per_break_plain", bytes[1]);
+        figure("bytes_per_break", (double) bytes[0]);
+        figure("bytes_per_break_plain", (double) bytes[1]);
         aim("bytes_per_break", bytes[0] < bytes[1]);
         int jittered = HerdCalls.peak(true);
         int inStep = HerdCalls.peak(false);
         figure("herd_48_peak_calls_per_s", jittered);
         figure("herd_48_peak_calls_per_s_without_jitter", inStep);
         aim("herd_48_peak_calls_per_s", jittered < inStep);
-        figure("heap_bytes_60_hosts", ViewHeap.bytes(60));
-        figure("heap_bytes_5000_hosts", ViewHeap.bytes(KEYS));
+        figure("heap_bytes_60_hosts", (double) ViewHeap.bytes(60));
+        figure("heap_bytes_5000_hosts", (double) ViewHeap.bytes(KEYS));
         System.exit(missed ? 1 : 0);
     }
 
--- a/src/test/java/mintstair/bench/TrafficBench.java
+++ b/src/test/java/mintstair/bench/TrafficBench.java
@@ -224,12 +224,11 @@
         System.out.println("lateness in us: p50 " + lateness.getValueAtPercentile(50) + ", p90 "
                 + lateness.getValueAtPercentile(90) + ", p99 " + lateness.getValueAtPercentile(99) + ", p99.9 "
                 + lateness.getValueAtPercentile(99.9) + ", most " + lateness.getMaxValue());
-        figure("replayed_pairs", comparison.pairs());
+        figure("replayed_pairs", (double) comparison.pairs());
         figure("replay_not_sent", notSent);
-        figure(
-                "replay_other_answers",
-                comparison.count(Comparison.Divergence.ANSWER) + comparison.count(Comparison.Divergence.VALUE));
-        figure("replay_lateness_us_p99", lateness.getValueAtPercentile(99));
+        figure("replay_other_answers", (double)
+                (comparison.count(Comparison.Divergence.ANSWER) + comparison.count(Comparison.Divergence.VALUE)));
+        figure("replay_lateness_us_p99", (double) lateness.getValueAtPercentile(99));
         aim("replay_other_answers", comparison.isSame() && notSent == 0);
         aim("replay_lateness_us_p99", lateness.getValueAtPercentile(99) <= 1_000);
     }
@@ -264,8 +263,8 @@
         for (Run run : runs) {
             all.add(run.latency);
         }
-        figure(name + "_latency_us_p50", all.getValueAtPercentile(50));
-        figure(name + "_latency_us_p99", all.getValueAtPercentile(99));
+        figure(name + "_latency_us_p50", (double) all.getValueAtPercentile(50));
+        figure(name + "_latency_us_p99", (double) all.getValueAtPercentile(99));
     }
 
     /** A file of 1 GB, read by the program with 64 MB of heap. */
--- a/src/test/java/mintstair/membership/SwimTest.java
+++ b/src/test/java/mintstair/membership/SwimTest.java
@@ -166,7 +166,7 @@
     @Test
     void linksThatFailOneWayAreGoneRound() {
         FleetPlay play = agreed(9, 0);
-        play.network = (from, to, chance) -> from == 2 && to == 5 || from == 7 && to == 1 ? -1 : 500;
+        play.network = (from, to, chance) -> (from == 2 && to == 5) || (from == 7 && to == 1) ? -1 : 500;
         play.pass(40 * S);
         assertEquals(0, play.falseSuspicions);
         play.network = (from, to, chance) -> from == 2 || to == 2 ? 300_000 : 500;
--- a/src/test/java/mintstair/soak/Ledger.java
+++ b/src/test/java/mintstair/soak/Ledger.java
@@ -172,7 +172,7 @@
         if (each.answer.startsWith("served ") && !each.answer.equals("served " + each.id)) {
             tell(each, "served another's value: " + each.answer);
         } else if (each.answer.isEmpty()
-                && (seen || each.firstOnConnection && !touches(ending, each.proxy, each.sentAt - 10, each.endedAt))) {
+                && (seen || (each.firstOnConnection && !touches(ending, each.proxy, each.sentAt - 10, each.endedAt)))) {
             tell(each, "has no answer, " + (seen ? "and was sent on" : "on a new connection"));
         } else if (!each.answer.isEmpty() && each.endedAt > due + excused) {
             tell(each, "was answered " + (each.endedAt - each.sentAt) + " ms after it was sent");
--- a/src/test/java/mintstair/soak/SoakProxy.java
+++ b/src/test/java/mintstair/soak/SoakProxy.java
@@ -194,7 +194,7 @@
         try (var lines = Files.lines(log, StandardCharsets.UTF_8)) {
             return lines.filter(line -> line.startsWith("unexpected")
                             || line.startsWith("rule broken")
-                            || line.startsWith("counters: ") && !line.contains(" rules_broken={}"))
+                            || (line.startsWith("counters: ") && !line.contains(" rules_broken={}")))
                     .map(line -> "proxy " + number + ": " + line)
                     .toList();
         }
--- a/src/test/java/mintstair/standin/FaultShim.java
+++ b/src/test/java/mintstair/standin/FaultShim.java
@@ -72,7 +72,7 @@
         controlFile = Files.createTempFile("fault-shim", ".control");
         controlFile.toFile().deleteOnExit();
         try (FileChannel file = FileChannel.open(controlFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            control = file.map(FileChannel.MapMode.READ_WRITE, 0, FIELDS * Long.BYTES);
+            control = file.map(FileChannel.MapMode.READ_WRITE, 0, (long) FIELDS * Long.BYTES);
         }
         control.order(ByteOrder.nativeOrder());
     }
--- a/src/test/java/mintstair/standin/MongoHost.java
+++ b/src/test/java/mintstair/standin/MongoHost.java
@@ -86,7 +86,7 @@
         }
         long cursor = 0;
         if (c.containsKey("find") && id.startsWith("cursor")) {
-            cursor = 1000 + cursors.size();
+            cursor = 1000L + cursors.size();
             cursors.add(cursor);
         }
         BsonArray batch = new BsonArray(List.of(new BsonDocument("id", new BsonString(id))));
--- a/src/test/java/mintstair/traffic/ReplayScheduleTest.java
+++ b/src/test/java/mintstair/traffic/ReplayScheduleTest.java
@@ -217,7 +217,8 @@
         }
         for (Planned p : s.all()) {
             assertTrue(
-                    p.fate == Fate.ANSWERED || p.fate == Fate.TOO_LATE && p.follows != null, p.fate + ", seed " + seed);
+                    p.fate == Fate.ANSWERED || (p.fate == Fate.TOO_LATE && p.follows != null),
+                    p.fate + ", seed " + seed);
             assertEquals(sent.contains(p), p.fate == Fate.ANSWERED);
         }
     }
