--- a/src/main/java/mintstair/backend/HostConnection.java
+++ b/src/main/java/mintstair/backend/HostConnection.java
@@ -172,6 +172,7 @@
     }
 
     @Override
+    @SuppressWarnings("NonAtomicVolatileUpdate") // only the thread that reads this connection writes it
     public void read(ByteBuffer bytes) {
         readCount++;
         int n = bytes.remaining();
--- a/src/main/java/mintstair/front/ClientSession.java
+++ b/src/main/java/mintstair/front/ClientSession.java
@@ -118,6 +118,7 @@
     }
 
     @Override
+    @SuppressWarnings("NonAtomicVolatileUpdate") // only the thread that reads this connection writes them
     public final void read(ByteBuffer bytes) {
         if (deaf) {
             dropped += bytes.remaining();
--- a/src/main/java/mintstair/membership/FleetMember.java
+++ b/src/main/java/mintstair/membership/FleetMember.java
@@ -188,6 +188,7 @@
         }
     }
 
+    @SuppressWarnings("NonAtomicVolatileUpdate") // only the member's own thread writes it
     private void receive() throws IOException {
         for (int i = 0; i < DATAGRAMS_A_TURN; i++) {
             in.clear();
@@ -234,6 +235,7 @@
     /** What the machine asks for, done at once on its thread. */
     private final class Out implements Swim.Actions {
         @Override
+        @SuppressWarnings("NonAtomicVolatileUpdate") // only the member's own thread writes it
         public void send(String to, Message message) {
             try {
                 InetSocketAddress where = resolved(to);
--- a/src/main/java/mintstair/membership/swim/FleetStanding.java
+++ b/src/main/java/mintstair/membership/swim/FleetStanding.java
@@ -10,6 +10,8 @@
     private static final int DROP = 3;
 
     /**
+     * What follows from the members that are seen.
+     *
      * @param largest the largest size that was seen or told
      * @param counted those who may run and may themselves be settled, this one included
      * @param settled whether this one may take a part of what is shared among those
--- a/src/main/java/mintstair/membership/swim/View.java
+++ b/src/main/java/mintstair/membership/swim/View.java
@@ -11,7 +11,12 @@
  * @param standing what follows from it
  */
 public record View(long version, Rumour self, List<Seen> members, FleetStanding.Standing standing) {
-    /** @param since when its state became what it is; {@code dropped}: a dead one that no longer counts as one that may run */
+    /**
+     * A member as it is known here.
+     *
+     * @param since when its state became what it is
+     * @param dropped a dead one that no longer counts as one that may run
+     */
     public record Seen(Rumour known, long since, boolean dropped) {}
 
     /**
--- a/src/main/java/mintstair/pcap/TrafficLog.java
+++ b/src/main/java/mintstair/pcap/TrafficLog.java
@@ -293,6 +293,7 @@
         put(record);
     }
 
+    @SuppressWarnings("NonAtomicVolatileUpdate") // only the thread that writes the files writes it
     private void put(byte[] bytes) throws IOException {
         out.write(bytes);
         rotation.wrote(bytes.length);
--- a/src/main/java/mintstair/registry/view/PollView.java
+++ b/src/main/java/mintstair/registry/view/PollView.java
@@ -39,7 +39,7 @@
     protected void handle(Event event) {
         if (event instanceof Event.Whole e) {
             onWhole(e);
-        } else if (event instanceof Event.Progress e) {
+        } else if (event instanceof Event.Progress) {
             askedProgress = false;
             fresh();
             waitUntil(Math.min(endsAt, now + times.silence()));
--- a/src/main/java/mintstair/stats/HeapFloor.java
+++ b/src/main/java/mintstair/stats/HeapFloor.java
@@ -8,7 +8,11 @@
 public final class HeapFloor {
     private long least = Long.MAX_VALUE;
 
-    /** @param used bytes in use now, garbage included */
+    /**
+     * Takes a sample in.
+     *
+     * @param used bytes in use now, garbage included
+     */
     public void sample(long used) {
         least = Math.min(least, used);
     }
--- a/src/main/java/mintstair/traffic/ReplaySchedule.java
+++ b/src/main/java/mintstair/traffic/ReplaySchedule.java
@@ -67,7 +67,6 @@
     public static final class Lane {
         public final int number;
         private final Family family;
-        private Planned busy;
 
         Lane(int number, Family family) {
             this.number = number;
@@ -191,7 +190,6 @@
             lane = new Lane(lanes++, family);
             family.lanes.add(lane);
         }
-        lane.busy = p;
         p.lane = lane;
         p.sent = now;
         p.fate = Fate.SENT;
@@ -213,7 +211,6 @@
         p.result = result;
         p.answeredAt = now;
         open--;
-        p.lane.busy = null;
         if (result != RecordedExchange.Result.NONE) {
             p.lane.family.idle.push(p.lane);
         }
--- a/src/main/java/mintstair/traffic/Summary.java
+++ b/src/main/java/mintstair/traffic/Summary.java
@@ -17,7 +17,6 @@
     private static final class OfClass {
         final Map<RecordedExchange.Result, Long> results = new EnumMap<>(RecordedExchange.Result.class);
         final Histogram latency = new Histogram(LONGEST, 2);
-        long writes;
         long retries;
     }
 
@@ -32,7 +31,6 @@
                 classes.containsKey(e.requestClass()) || classes.size() < MOST_CLASSES ? e.requestClass() : OTHERS;
         OfClass of = classes.computeIfAbsent(name, n -> new OfClass());
         of.results.merge(e.result(), 1L, Long::sum);
-        of.writes += e.write() ? 1 : 0;
         of.retries += e.retry() ? 1 : 0;
         if (e.result() == RecordedExchange.Result.SERVED) {
             of.latency.recordValue(Math.max(0, Math.min(LONGEST, (e.answered() - e.asked()) / 1000)));
