--- a/src/main/java/mintstair/membership/swim/GossipUpdate.java
+++ b/src/main/java/mintstair/membership/swim/GossipUpdate.java
@@ -31,6 +31,6 @@
     public boolean overrides(GossipUpdate known) {
         return known == null
                 || incarnation > known.incarnation
-                || incarnation == known.incarnation && state.compareTo(known.state) > 0;
+                || (incarnation == known.incarnation && state.compareTo(known.state) > 0);
     }
 }
--- a/src/test/java/mintstair/serve/BothFrontsTest.java
+++ b/src/test/java/mintstair/serve/BothFrontsTest.java
@@ -1,5 +1,6 @@
 package mintstair.serve;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
