--- a/src/main/java/mintstair/decision/Endpoint.java
+++ b/src/main/java/mintstair/decision/Endpoint.java
@@ -43,7 +43,7 @@
 
     /** The endpoint list names it with this state. */
     void listed(long now, EndpointState state, boolean removalIsAdvisory) {
-        draining = state == EndpointState.DRAINING || draining && state == EndpointState.REMOVED;
+        draining = state == EndpointState.DRAINING || (draining && state == EndpointState.REMOVED);
         serving = !draining;
         removalDoubted = false;
         removedAt = 0;
--- a/src/main/java/mintstair/decision/LoadFeedback.java
+++ b/src/main/java/mintstair/decision/LoadFeedback.java
@@ -34,7 +34,7 @@
         long objective = request.requestClass().latencyObjectiveMicros();
         // What was given up when hardly begun, as its request's time ran out, tells nothing of an endpoint.
         boolean givenUp =
-                outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.CANCELLED && !request.isFinished();
+                outcome == AttemptOutcome.TIMEOUT || (outcome == AttemptOutcome.CANCELLED && !request.isFinished());
         boolean givenUpLate = givenUp && result.latencyMicros() >= LATE_SHARE * objective;
         if (outcome == AttemptOutcome.SUCCESS) {
             sample(now, endpoint, (double) result.latencyMicros() / objective, answered, false);
@@ -69,7 +69,7 @@
     }
 
     private void recordLoss(AttemptOutcome outcome, boolean late) {
-        boolean lost = outcome == AttemptOutcome.CONNECTION_RESET || outcome == AttemptOutcome.TIMEOUT && late;
+        boolean lost = outcome == AttemptOutcome.CONNECTION_RESET || (outcome == AttemptOutcome.TIMEOUT && late);
         if (lost || outcome == AttemptOutcome.SUCCESS) {
             answerLoss.record(lost);
         }
--- a/src/main/java/mintstair/decision/RetryPolicy.java
+++ b/src/main/java/mintstair/decision/RetryPolicy.java
@@ -112,7 +112,7 @@
 
     /** Whether it can be promised that the client may send the request again without doubling its effect. */
     static boolean isHarmlessToRepeat(InFlightRequest request) {
-        if (request.isRepeatable() || !request.mayHaveRun() && request.outstanding() == 0) {
+        if (request.isRepeatable() || (!request.mayHaveRun() && request.outstanding() == 0)) {
             return true;
         }
         RequestClass requestClass = request.requestClass();
--- a/src/test/java/mintstair/decision/DecisionSchedule.java
+++ b/src/test/java/mintstair/decision/DecisionSchedule.java
@@ -381,7 +381,7 @@
     public void checkHealth(String name) {
         note("probe " + name);
         SimulatedHost host = hosts.get(name);
-        if (host == null || host.mode == Mode.DOWN || host.mode == Mode.HUNG && chance(0.5)) {
+        if (host == null || host.mode == Mode.DOWN || (host.mode == Mode.HUNG && chance(0.5))) {
             AttemptOutcome outcome = chance(0.7)
                     ? AttemptOutcome.UNREACHABLE
                     : chance(0.5) ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECTION_RESET;
--- a/src/test/java/mintstair/pins/SettingNamesTest.java
+++ b/src/test/java/mintstair/pins/SettingNamesTest.java
@@ -75,7 +75,7 @@
                         .toList()
                         .toString();
             } else if (value.getClass().isRecord()
-                    || value.getClass().getName().startsWith("mintstair.") && !(value instanceof Enum<?>)) {
+                    || (value.getClass().getName().startsWith("mintstair.") && !(value instanceof Enum<?>))) {
                 return parts(value).stream()
                         .map(part -> told(part, json))
                         .toList()
@@ -83,7 +83,7 @@
             }
             return value.toString();
         } catch (ReflectiveOperationException e) {
-            throw new AssertionError(e);
+            throw new LinkageError("an accessor of a record cannot be called", e);
         }
     }
 
@@ -145,8 +145,8 @@
     /** Whether the error names the key, or one that was in what is missing. */
     private static boolean names(String error, Object key, Object removed) {
         return error.contains(key.toString())
-                || removed instanceof Map<?, ?> map
-                        && map.keySet().stream().anyMatch(inner -> error.contains(inner.toString()));
+                || (removed instanceof Map<?, ?> map
+                        && map.keySet().stream().anyMatch(inner -> error.contains(inner.toString())));
     }
 
     /** Each object's path, and what becomes of a key in it that nobody knows. */
--- a/src/test/java/mintstair/pins/StoredDataWriter.java
+++ b/src/test/java/mintstair/pins/StoredDataWriter.java
@@ -217,7 +217,7 @@
         try (Stream<Path> files = Files.list(folder.resolve(StoredData.ROTATED))) {
             files.sorted().forEach(file -> words.add(file.toString()));
         }
-        if (TrafficCommand.run(words, new PrintWriter(System.out)) != 0) {
+        if (TrafficCommand.run(words, new PrintWriter(System.out, false, StandardCharsets.UTF_8)) != 0) {
             throw new IOException("the recording can't be converted");
         }
     }
