--- a/example/ToyHosts.java
+++ b/example/ToyHosts.java
@@ -23,6 +23,7 @@
     private static final Pattern READ = Pattern.compile("SELECT payload FROM entries WHERE ref = '([^']*)'.*");
     private static final Pattern WRITE = Pattern.compile(
             "INSERT INTO entries \\(ref, payload\\) VALUES \\('([^']*)', '([^']*)'\\) RETURNING payload.*");
+    private static final Pattern WAIT = Pattern.compile("(?:^|&)wait=(\\d{1,9})");
     private static final Map<String, String> TABLE = new ConcurrentHashMap<>();
 
     private ToyHosts() {}
@@ -37,11 +38,12 @@
         HttpServer discovery = HttpServer.create(new InetSocketAddress("127.0.0.1", 8500), 50);
         discovery.setExecutor(Executors.newCachedThreadPool());
         discovery.createContext("/registry/instances", exchange -> {
-            boolean watch = exchange.getRequestURI().getQuery() != null;
+            String query = exchange.getRequestURI().getQuery();
+            boolean watch = query != null;
             if (watch) {
-                // Nothing ever changes here, so a watch waits as long as it asks to.
+                // Nothing ever changes here, so a watch waits as long as it asks to, and no longer.
                 try {
-                    Thread.sleep(20_000);
+                    Thread.sleep(waitMillis(query));
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -55,6 +57,12 @@
         System.out.println("three toy hosts and their discovery are up");
     }
 
+    /** How long a watch asks to wait for a change, in milliseconds. */
+    private static long waitMillis(String query) {
+        Matcher wait = WAIT.matcher(query);
+        return wait.find() ? Long.parseLong(wait.group(1)) : 0;
+    }
+
     private static String list(boolean watch) {
         StringBuilder targets = new StringBuilder();
         for (int i = 1; i <= 3 && !watch; i++) {
