--- a/src/main/java/mintstair/membership/ConnectionChecker.java
+++ b/src/main/java/mintstair/membership/ConnectionChecker.java
@@ -1,6 +1,7 @@
 package mintstair.membership;
 
 import java.io.IOException;
+import java.net.ConnectException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -12,163 +13,203 @@
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import mintstair.membership.swim.Swim;
+import mintstair.membership.swim.ConnectionCheckResult;
 
 /**
- * Connections that show whether a process is there where datagrams got no answer: whoever is connected to says its name and closes.
- * A process that stands still is connected to by its kernel and says nothing; one that is gone is turned away. On the thread of the
- * member, without blocking it.
+ * Connections that distinguish a crashed process from an unresponsive one. Each member listens, sends its name to
+ * whoever connects, and closes. The kernel of a stopped process accepts the connection, and no name comes; where the
+ * process is gone the connection is refused.
+ *
+ * <p>Never blocks. Not thread-safe: used by the thread that owns the selector.
  */
-final class ConnectionChecker {
-    /** Takes what came of a check. */
-    interface Taker {
-        void checked(long number, Swim.Check result);
+final class ConnectionChecker implements AutoCloseable {
+    /** Receives the result of each check. */
+    interface Listener {
+        void checked(long sequence, ConnectionCheckResult result);
     }
 
     /**
-     * More checks are not begun: they count as silent. The protocol probes one member after the other, so that of these
-     * descriptors, each for a quarter of a second at most, one or two are in use.
+     * Bound of the checks in flight; further ones count as unresponsive. The protocol probes one member at a time, so
+     * one or two of these descriptors are in use, each for at most {@link #TIMEOUT_MICROS}.
      */
-    static final int MOST = 1_024;
+    static final int MAX_IN_FLIGHT = 1_024;
 
-    private static final long GIVEN_UP_AFTER = 250_000;
+    static final long TIMEOUT_MICROS = 250_000;
 
-    /** One connection out, and what it has said so far. */
-    private static final class Out {
-        final SocketChannel channel;
-        final long number;
-        final String target;
-        final long due;
-        final ByteBuffer said = ByteBuffer.allocate(MessageCodec.NAME + 1);
+    /** A connection to another member, and what it has sent so far. */
+    private static final class PendingCheck {
+        private final SocketChannel channel;
+        private final long sequence;
+        private final String target;
+        private final long deadlineMicros;
+        private final ByteBuffer reply = ByteBuffer.allocate(MessageCodec.MAX_NAME_BYTES + 1);
 
-        Out(SocketChannel channel, long number, String target, long due) {
+        PendingCheck(SocketChannel channel, long sequence, String target, long deadlineMicros) {
             this.channel = channel;
-            this.number = number;
+            this.sequence = sequence;
             this.target = target;
-            this.due = due;
+            this.deadlineMicros = deadlineMicros;
+        }
+
+        /** Reads what has arrived; whether the reply is complete. */
+        boolean readReply() throws IOException {
+            return channel.read(reply) < 0 || !reply.hasRemaining();
+        }
+
+        /** The result for a reply that is complete or was cut off. */
+        ConnectionCheckResult result() {
+            String line = new String(reply.array(), 0, reply.position(), StandardCharsets.UTF_8);
+            return line.equals(nameLine(target)) ? ConnectionCheckResult.ANSWERED : ConnectionCheckResult.PROCESS_GONE;
         }
     }
 
     private final Selector selector;
     private final String name;
-    private final InetAddress from;
-    private final Taker taker;
-    private final ServerSocketChannel listener;
-    private final Set<Out> out = new LinkedHashSet<>();
+    private final InetAddress localAddress;
+    private final Listener listener;
+    private final ServerSocketChannel server;
+    private final Set<PendingCheck> inFlight = new LinkedHashSet<>();
 
-    ConnectionChecker(Selector selector, String name, InetSocketAddress listen, Taker taker) throws IOException {
+    /**
+     * Binds the server socket.
+     *
+     * @param name this member's name, which is sent to whoever connects
+     * @param listen address of the server socket
+     * @throws IOException if the address is not available
+     */
+    ConnectionChecker(Selector selector, String name, InetSocketAddress listen, Listener listener) throws IOException {
         this.selector = selector;
         this.name = name;
-        this.taker = taker;
-        from = listen.getAddress();
-        listener = ServerSocketChannel.open();
+        this.listener = listener;
+        localAddress = listen.getAddress();
+        server = ServerSocketChannel.open();
         try {
-            listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            listener.bind(listen, MOST);
-            listener.configureBlocking(false);
-            listener.register(selector, SelectionKey.OP_ACCEPT, this);
+            server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            server.bind(listen, MAX_IN_FLIGHT);
+            server.configureBlocking(false);
+            server.register(selector, SelectionKey.OP_ACCEPT, this);
         } catch (IOException e) {
-            listener.close();
+            server.close();
             throw e;
         }
     }
 
-    void begin(long now, long number, String target, InetSocketAddress address) {
-        if (out.size() >= MOST || address.isUnresolved()) {
-            taker.checked(number, Swim.Check.SILENT);
+    private static String nameLine(String memberName) {
+        return memberName + '\n';
+    }
+
+    /**
+     * Starts a check; the listener may be called before this returns.
+     *
+     * @param sequence number that is handed to the listener with the result
+     * @param target name of the member that is expected to answer
+     */
+    void start(long nowMicros, long sequence, String target, InetSocketAddress address) {
+        if (inFlight.size() >= MAX_IN_FLIGHT || address.isUnresolved()) {
+            listener.checked(sequence, ConnectionCheckResult.UNRESPONSIVE);
             return;
         }
-        Out check = null;
+        PendingCheck check = null;
         try {
             SocketChannel channel = SocketChannel.open();
-            check = new Out(channel, number, target, now + GIVEN_UP_AFTER);
-            out.add(check);
-            channel.configureBlocking(false);
-            if (!from.isAnyLocalAddress()) {
-                channel.bind(new InetSocketAddress(from, 0));
-            }
-            channel.register(
-                    selector, channel.connect(address) ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, check);
+            check = new PendingCheck(channel, sequence, target, nowMicros + TIMEOUT_MICROS);
+            inFlight.add(check);
+            connect(check, address);
         } catch (IOException e) {
-            // That this end has no socket or no way there tells nothing of the other.
+            // No socket or no route at this end: that is no evidence about the other end.
             if (check == null) {
-                taker.checked(number, Swim.Check.SILENT);
+                listener.checked(sequence, ConnectionCheckResult.UNRESPONSIVE);
             } else {
-                end(check, Swim.Check.SILENT);
+                finish(check, ConnectionCheckResult.UNRESPONSIVE);
             }
         }
     }
 
-    /** Whether the key is one of these connections; it is then handled. */
-    boolean handles(SelectionKey key) {
+    private void connect(PendingCheck check, InetSocketAddress address) throws IOException {
+        SocketChannel channel = check.channel;
+        channel.configureBlocking(false);
+        if (!localAddress.isAnyLocalAddress()) {
+            channel.bind(new InetSocketAddress(localAddress, 0));
+        }
+        boolean connected = channel.connect(address);
+        channel.register(selector, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, check);
+    }
+
+    /** Handles a ready key if it belongs to one of these connections; returns whether it does. */
+    boolean handle(SelectionKey key) {
         if (key.attachment() == this) {
-            greet();
-        } else if (key.attachment() instanceof Out check) {
-            hear(key, check);
-        } else {
-            return false;
+            answerCaller();
+            return true;
+        }
+        if (key.attachment() instanceof PendingCheck check) {
+            advance(key, check);
+            return true;
         }
-        return true;
+        return false;
     }
 
-    /** Says this member's name to whoever connects; a short line always fits what the kernel takes at once. */
-    private void greet() {
-        try (SocketChannel caller = listener.accept()) {
+    /** Sends this member's name; such a short line fits the socket's buffer, so that one write is enough. */
+    private void answerCaller() {
+        try (SocketChannel caller = server.accept()) {
             if (caller != null) {
                 caller.configureBlocking(false);
-                caller.write(ByteBuffer.wrap((name + '\n').getBytes(StandardCharsets.UTF_8)));
+                caller.write(ByteBuffer.wrap(nameLine(name).getBytes(StandardCharsets.UTF_8)));
             }
         } catch (IOException e) {
-            // The caller is gone already.
+            // The caller has closed the connection; its check has ended without this answer.
         }
     }
 
-    private void hear(SelectionKey key, Out check) {
+    private void advance(SelectionKey key, PendingCheck check) {
         try {
             if (key.isConnectable()) {
                 check.channel.finishConnect();
                 key.interestOps(SelectionKey.OP_READ);
                 return;
             }
-            if (check.channel.read(check.said) >= 0 && check.said.hasRemaining()) {
+            if (!check.readReply()) {
                 return;
             }
-        } catch (java.net.ConnectException e) {
-            boolean refused = String.valueOf(e.getMessage()).contains("refused");
-            end(check, refused ? Swim.Check.CLOSED : Swim.Check.SILENT);
+        } catch (ConnectException e) {
+            finish(check, isRefused(e) ? ConnectionCheckResult.PROCESS_GONE : ConnectionCheckResult.UNRESPONSIVE);
             return;
         } catch (IOException e) {
-            // Reset: as good as closed, judged by what was said before.
+            // A reset counts like a close: what arrived before decides.
         }
-        String said = new String(check.said.array(), 0, check.said.position(), StandardCharsets.UTF_8);
-        end(check, said.equals(check.target + '\n') ? Swim.Check.ANSWERED : Swim.Check.CLOSED);
+        finish(check, check.result());
+    }
+
+    /** Unlike a time-out or a missing route, a refusal shows that the machine runs and the process does not. */
+    private static boolean isRefused(ConnectException failure) {
+        return String.valueOf(failure.getMessage()).contains("refused");
     }
 
-    /** Gives up those that said nothing in time. */
-    void expire(long now) {
-        for (Out check : Set.copyOf(out)) {
-            if (now >= check.due) {
-                end(check, Swim.Check.SILENT);
+    /** Ends checks that have timed out. */
+    void expire(long nowMicros) {
+        for (PendingCheck check : Set.copyOf(inFlight)) {
+            if (nowMicros >= check.deadlineMicros) {
+                finish(check, ConnectionCheckResult.UNRESPONSIVE);
             }
         }
     }
 
-    private void end(Out check, Swim.Check result) {
-        out.remove(check);
-        close(check.channel);
-        taker.checked(check.number, result);
+    private void finish(PendingCheck check, ConnectionCheckResult result) {
+        inFlight.remove(check);
+        closeQuietly(check.channel);
+        listener.checked(check.sequence, result);
     }
 
-    private static void close(SocketChannel channel) {
+    private static void closeQuietly(SocketChannel channel) {
         try {
             channel.close();
         } catch (IOException e) {
-            // It is closed all the same.
+            // The descriptor is released even then, and the result does not depend on it.
         }
     }
 
-    void close() throws IOException {
-        out.forEach(check -> close(check.channel));
-        listener.close();
+    @Override
+    public void close() throws IOException {
+        inFlight.forEach(check -> closeQuietly(check.channel));
+        server.close();
     }
 }
--- a/src/main/java/mintstair/membership/FleetMember.java
+++ b/src/main/java/mintstair/membership/FleetMember.java
@@ -2,302 +2,273 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.net.StandardProtocolFamily;
 import java.nio.ByteBuffer;
-import java.nio.channels.DatagramChannel;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
-import java.util.HashMap;
 import java.util.Locale;
-import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import mintstair.config.ConfigException;
 import mintstair.config.MembershipConfig;
-import mintstair.config.NodeConfig;
 import mintstair.membership.swim.ClusterSizeEstimate;
+import mintstair.membership.swim.ConnectionCheckResult;
 import mintstair.membership.swim.GossipUpdate;
 import mintstair.membership.swim.MemberState;
+import mintstair.membership.swim.MembershipView;
 import mintstair.membership.swim.Message;
 import mintstair.membership.swim.Swim;
+import mintstair.membership.swim.SwimActions;
 import mintstair.membership.swim.SwimSettings;
-import mintstair.membership.swim.View;
+import mintstair.membership.swim.SwimStatistics;
 import mintstair.time.MonotonicClock;
 
-/** This proxy as a member of its fleet: one thread with one datagram socket and a listener at the same port. */
+/**
+ * This proxy as a member of its fleet: a daemon thread that drives the protocol with a datagram socket and a server
+ * socket at the same port.
+ *
+ * <p>Only that thread touches {@link Swim} and the sockets. All public methods may be called from any thread.
+ */
 public final class FleetMember implements AutoCloseable {
-    /** What is handled before time is looked at again: a flood must not keep this member from its own probes. */
-    private static final int DATAGRAMS_A_TURN = 64;
+    /** Datagrams handled before the time is checked again, so that a flood does not delay this member's probes. */
+    private static final int MAX_DATAGRAMS_PER_ITERATION = 64;
+    /**
+     * How long {@link #close} waits for the announcement that this member leaves. The process is killed 3.7 s after
+     * SIGTERM, and on a busy machine the thread may need some time to run.
+     */
+    private static final long LEAVE_TIMEOUT_MILLIS = 1_500;
 
-    private static final int PORTS_TRIED = 20;
-    /** A process told to end is not killed for 3.7 s: on a busy machine the thread may need some of them to say so. */
-    private static final long LEAVE_MILLIS = 1_500;
-    /** Addresses are looked up once each; one that changes its meaning is not followed. */
-    private static final int MOST_ADDRESSES = 8_192;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     private final MessageCodec codec;
-    private final Selector selector;
-    private final DatagramChannel datagrams;
-    private final ConnectionChecker checks;
+    private final MembershipSockets sockets;
     private final Swim swim;
-    private final Consumer<View> told;
+    private final Consumer<MembershipView> viewListener;
     private final Consumer<String> log;
-    private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final ByteBuffer in = ByteBuffer.allocate(MessageCodec.MOST_BYTES + 1);
+    private final AddressCache addresses = new AddressCache();
+    private final ByteBuffer receiveBuffer = ByteBuffer.allocate(MessageCodec.MAX_DATAGRAM_BYTES + 1);
     private final CountDownLatch ended = new CountDownLatch(1);
     private final Thread thread;
     private final String address;
     private final MonotonicClock clock = new MonotonicClock();
-    private volatile View view;
-    private volatile View.Tally tally;
-    private volatile boolean ends;
-    private volatile long garbled;
-    private volatile long unsent;
+    private final AtomicLong garbledMessages = new AtomicLong();
+    private final AtomicLong unsentMessages = new AtomicLong();
+    private volatile MembershipView view;
+    private volatile SwimStatistics statistics;
+    private volatile boolean closing;
 
     /**
-     * Binds its address; throws where that can't be had, or the name is too long for a datagram.
+     * Binds the sockets; {@link #start} begins the protocol.
      *
-     * @param size how many members the settings tell of
-     * @param told takes each new view, on the member's thread
+     * @param config the fleet and the addresses
+     * @param name this member's name, unique in the fleet
+     * @param configuredSize how many members the settings expect
+     * @param seed seed of the protocol's random decisions
+     * @param viewListener receives each new view, on the member's thread; the first one in {@link #start}
+     * @param log receives lines for people
+     * @throws ConfigException if the name cannot be sent in a datagram
+     * @throws IOException if the address is not available
      */
     public FleetMember(
-            MembershipConfig config, String name, int size, long seed, Consumer<View> told, Consumer<String> log)
+            MembershipConfig config,
+            String name,
+            int configuredSize,
+            long seed,
+            Consumer<MembershipView> viewListener,
+            Consumer<String> log)
             throws IOException {
-        if (!name.matches("[!-~]{1," + MessageCodec.NAME + "}")) {
-            throw new ConfigException(
-                    "membership: name must have 1 to " + MessageCodec.NAME + " printable ASCII characters");
-        }
+        requireValidName(name);
         codec = new MessageCodec(config.fleet());
-        this.told = told;
+        this.viewListener = viewListener;
         this.log = log;
-        selector = Selector.open();
-        Bound bound = bind(config.listen(), name);
-        datagrams = bound.datagrams;
-        checks = bound.checks;
-        datagrams.configureBlocking(false);
-        datagrams.register(selector, SelectionKey.OP_READ);
-        address = config.advertise() == null ? config.listen().getHostString() + ":" + bound.port : config.advertise();
-        SwimSettings settings = SwimSettings.usual(size).withPeriod(config.period());
-        swim = new Swim(now(), seed, name, address, config.seeds(), settings, new Out());
+        sockets = MembershipSockets.bind(config.listen(), name, this::connectionChecked);
+        address = advertisedAddress(config, sockets.port());
+        SwimSettings settings = SwimSettings.forLocalNetwork(configuredSize).withPeriodMicros(config.period());
+        swim = new Swim(nowMicros(), seed, name, address, config.seeds(), settings, new NetworkActions());
         view = swim.view();
-        tally = swim.tally();
+        statistics = swim.statistics();
         thread = new Thread(this::run, "membership");
         thread.setDaemon(true);
     }
 
-    /** Both sockets at their one port. */
-    private record Bound(DatagramChannel datagrams, ConnectionChecker checks, int port) {}
+    private static void requireValidName(String name) {
+        if (!name.matches("[!-~]{1," + MessageCodec.MAX_NAME_BYTES + "}")) {
+            throw new ConfigException(
+                    "membership: name must have 1 to " + MessageCodec.MAX_NAME_BYTES + " printable ASCII characters");
+        }
+    }
 
-    /** A port that is free for datagrams may be taken for connections: where any port will do, others are tried. */
-    private Bound bind(InetSocketAddress listen, String name) throws IOException {
-        for (int i = 1; ; i++) {
-            DatagramChannel channel = DatagramChannel.open(StandardProtocolFamily.INET);
-            int port = listen.getPort();
-            try {
-                channel.bind(listen);
-                port = ((InetSocketAddress) channel.getLocalAddress()).getPort();
-                InetSocketAddress both = new InetSocketAddress(listen.getAddress(), port);
-                return new Bound(channel, new ConnectionChecker(selector, name, both, this::checked), port);
-            } catch (IOException e) {
-                channel.close();
-                if (listen.getPort() != 0 || i == PORTS_TRIED) {
-                    selector.close();
-                    throw new IOException(
-                            "membership: " + listen.getHostString() + ":" + port + ": " + e.getMessage(), e);
-                }
-            }
+    private static String advertisedAddress(MembershipConfig config, int port) {
+        if (config.advertise() != null) {
+            return config.advertise();
         }
+        return config.listen().getHostString() + ":" + port;
     }
 
+    /** Publishes the first view and starts the thread. */
     public void start() {
-        told.accept(view);
+        viewListener.accept(view);
         thread.start();
         log.accept("membership: " + view.self().name() + " at " + address);
     }
 
-    /** The newest view, from any thread. */
-    public View view() {
+    /** The newest view. */
+    public MembershipView view() {
         return view;
     }
 
-    /** What has happened up to now, from any thread. */
-    public View.Tally tally() {
-        return tally;
+    /** Counters of the protocol up to now. */
+    public SwimStatistics statistics() {
+        return statistics;
     }
 
-    /** What came that was no message of this fleet, and what this member's machine did not send. */
-    public long garbled() {
-        return garbled;
+    /** Datagrams received that were not well-formed messages of this fleet. */
+    public long garbledMessages() {
+        return garbledMessages.get();
     }
 
-    public long unsent() {
-        return unsent;
+    /** Messages that could not be sent. */
+    public long unsentMessages() {
+        return unsentMessages.get();
     }
 
-    /** Unix microseconds at the start, and as many more as have passed: a clock that is set moves nothing. */
-    private long now() {
+    /** The text of the {@code members} command. */
+    public String report() {
+        return MembersReport.format(view, nowMicros());
+    }
+
+    /** Unix microseconds at the start, and from there on monotonic. */
+    private long nowMicros() {
         return clock.getAsLong();
     }
 
+    // ---- the member's thread ----
+
     private void run() {
         try {
-            while (!ends) {
-                turn();
+            while (!closing) {
+                runOnce();
             }
             swim.leave();
         } catch (IOException e) {
-            log.accept("membership ended: " + e.getMessage());
+            log.accept("membership: stopped: " + e.getMessage());
         } finally {
             ended.countDown();
-            try {
-                checks.close();
-                datagrams.close();
-                selector.close();
-            } catch (IOException e) {
-                // They are closed all the same.
-            }
+            closeSockets();
+        }
+    }
+
+    private void closeSockets() {
+        try {
+            sockets.close();
+        } catch (IOException e) {
+            log.accept("membership: close: " + e.getMessage());
         }
     }
 
-    private void turn() throws IOException {
-        long wait = swim.nextTick() - now();
-        if (wait > 0) {
-            selector.select(Math.max(1, wait / 1000));
+    private void runOnce() throws IOException {
+        awaitEvents();
+        long versionBefore = swim.version();
+        ClusterSizeEstimate estimateBefore = swim.sizeEstimate();
+        // Time comes first: after a stall the protocol has to know of it before it handles what arrived meanwhile.
+        swim.tick(nowMicros());
+        handleEvents();
+        sockets.connectionChecker().expire(nowMicros());
+        statistics = swim.statistics();
+        if (versionBefore != swim.version() || !estimateBefore.equals(swim.sizeEstimate())) {
+            view = swim.view();
+            viewListener.accept(view);
+        }
+    }
+
+    private void awaitEvents() throws IOException {
+        Selector selector = sockets.selector();
+        long waitMicros = swim.nextTickMicros() - nowMicros();
+        if (waitMicros > 0) {
+            selector.select(Math.max(1, waitMicros / MICROS_PER_MILLI));
         } else {
             selector.selectNow();
         }
-        // Time first: a process that stood still has to know it before it hears what came meanwhile.
-        long version = swim.version();
-        ClusterSizeEstimate.Standing standing = swim.standing();
-        swim.tick(now());
-        for (SelectionKey key : selector.selectedKeys()) {
-            if (!key.isValid()) {
-                continue;
-            }
-            if (!checks.handles(key)) {
-                receive();
+    }
+
+    private void handleEvents() throws IOException {
+        for (SelectionKey key : sockets.selector().selectedKeys()) {
+            if (key.isValid() && !sockets.connectionChecker().handle(key)) {
+                receiveDatagrams();
             }
         }
-        selector.selectedKeys().clear();
-        checks.expire(now());
-        tally = swim.tally();
-        if (version != swim.version() || !standing.equals(swim.standing())) {
-            view = swim.view();
-            told.accept(view);
-        }
+        sockets.selector().selectedKeys().clear();
     }
 
-    private void receive() throws IOException {
-        for (int i = 0; i < DATAGRAMS_A_TURN; i++) {
-            in.clear();
-            if (datagrams.receive(in) == null) {
+    private void receiveDatagrams() throws IOException {
+        for (int i = 0; i < MAX_DATAGRAMS_PER_ITERATION; i++) {
+            receiveBuffer.clear();
+            if (sockets.datagrams().receive(receiveBuffer) == null) {
                 return;
             }
-            Message message = codec.decode(in.flip());
-            if (message == null) {
-                garbled++;
+            Optional<Message> message = codec.decode(receiveBuffer.flip());
+            if (message.isPresent()) {
+                swim.received(nowMicros(), message.get());
             } else {
-                swim.received(now(), message);
+                garbledMessages.incrementAndGet();
             }
         }
     }
 
-    private void checked(long number, Swim.Check result) {
-        swim.checked(now(), number, result);
+    private void connectionChecked(long sequence, ConnectionCheckResult result) {
+        swim.connectionChecked(nowMicros(), sequence, result);
     }
 
-    /** Tells the others that this proxy ends; returns when they have been told, or soon. */
+    /** Announces that this member leaves; returns when that is done, or after 1.5 s. */
     @Override
     public void close() {
-        ends = true;
-        selector.wakeup();
+        closing = true;
+        sockets.selector().wakeup();
         try {
-            ended.await(LEAVE_MILLIS, TimeUnit.MILLISECONDS);
+            ended.await(LEAVE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private InetSocketAddress resolved(String text) {
-        InetSocketAddress known = addresses.get(text);
-        if (known == null) {
-            if (addresses.size() >= MOST_ADDRESSES) {
-                addresses.clear();
-            }
-            known = NodeConfig.address(text);
-            addresses.put(text, known);
-        }
-        return known;
-    }
-
-    /** What the machine asks for, done at once on its thread. */
-    private final class Out implements Swim.Actions {
+    /** Does at once what the protocol asks for. */
+    private final class NetworkActions implements SwimActions {
         @Override
-        public void send(String to, Message message) {
+        public void send(String receiver, Message message) {
             try {
-                InetSocketAddress where = resolved(to);
-                if (where.isUnresolved() || datagrams.send(ByteBuffer.wrap(codec.encode(message)), where) == 0) {
-                    unsent++;
+                if (!isSent(receiver, message)) {
+                    unsentMessages.incrementAndGet();
                 }
             } catch (IOException | ConfigException e) {
-                // Lost, as datagrams are; an address that is told wrong is never reached.
-                unsent++;
+                // Like a datagram lost on the network, which the protocol expects; a malformed address in an update
+                // is never reached.
+                unsentMessages.incrementAndGet();
             }
         }
 
+        private boolean isSent(String receiver, Message message) throws IOException {
+            InetSocketAddress resolved = addresses.resolve(receiver);
+            return !resolved.isUnresolved()
+                    && sockets.datagrams().send(ByteBuffer.wrap(codec.encode(message)), resolved) != 0;
+        }
+
         @Override
-        public void check(long number, String target, String to) {
+        public void checkConnection(long sequence, String target, String targetAddress) {
             try {
-                checks.begin(now(), number, target, resolved(to));
+                sockets.connectionChecker().start(nowMicros(), sequence, target, addresses.resolve(targetAddress));
             } catch (ConfigException e) {
-                swim.checked(now(), number, Swim.Check.SILENT);
+                // A malformed address in an update: nothing can be reached there.
+                swim.connectionChecked(nowMicros(), sequence, ConnectionCheckResult.UNRESPONSIVE);
             }
         }
 
         @Override
-        public void changed(GossipUpdate known, MemberState before) {
-            log.accept("membership: " + known.name() + " is "
-                    + known.state().name().toLowerCase(Locale.ROOT)
-                    + (known.by().equals(known.name()) ? "" : ", says " + known.by()));
+        public void memberChanged(GossipUpdate update, MemberState previous) {
+            String state = update.state().name().toLowerCase(Locale.ROOT);
+            String source = update.reporter().equals(update.name()) ? "" : ", reported by " + update.reporter();
+            log.accept("membership: " + update.name() + " is " + state + source);
         }
     }
-
-    /** Lines for whoever asks for the view: this member, the others by name, and what follows. */
-    public String lines() {
-        View v = view;
-        StringBuilder lines = new StringBuilder();
-        line(lines, v.self()).append(" self\n");
-        for (View.Seen m : v.members()) {
-            line(lines, m.known())
-                    .append(" for=")
-                    .append(Math.max(0, now() - m.since()) / 1_000_000)
-                    .append('s')
-                    .append(m.dropped() ? " dropped" : "")
-                    .append('\n');
-        }
-        return lines.append("view version=")
-                .append(v.version())
-                .append(" settled=")
-                .append(v.standing().settled())
-                .append(" quorum=")
-                .append(v.standing().quorum())
-                .append(" counted=")
-                .append(v.standing().counted())
-                .append(" largest=")
-                .append(v.standing().largest())
-                .append('\n')
-                .toString();
-    }
-
-    private static StringBuilder line(StringBuilder lines, GossipUpdate r) {
-        return lines.append("member ")
-                .append(r.name())
-                .append(' ')
-                .append(r.state().name().toLowerCase(Locale.ROOT))
-                .append(' ')
-                .append(r.address())
-                .append(" incarnation=")
-                .append(r.incarnation());
-    }
 }
--- /dev/null
+++ b/src/main/java/mintstair/membership/MembershipSockets.java
@@ -0,0 +1,83 @@
+package mintstair.membership;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.StandardProtocolFamily;
+import java.nio.channels.DatagramChannel;
+import java.nio.channels.SelectionKey;
+import java.nio.channels.Selector;
+
+/** The sockets of a member, at one port and on one selector: datagrams for messages, connections for checks. */
+final class MembershipSockets implements AutoCloseable {
+    private static final int MAX_BIND_ATTEMPTS = 20;
+
+    private final Selector selector;
+    private final DatagramChannel datagrams;
+    private final ConnectionChecker connectionChecker;
+    private final int port;
+
+    private MembershipSockets(
+            Selector selector, DatagramChannel datagrams, ConnectionChecker connectionChecker, int port) {
+        this.selector = selector;
+        this.datagrams = datagrams;
+        this.connectionChecker = connectionChecker;
+        this.port = port;
+    }
+
+    /**
+     * Binds both sockets. With port 0 any port that is free for both is used; a port that is free for datagrams may be
+     * in use for connections, so several are tried.
+     *
+     * @param name this member's name, which the connection checks of others expect
+     * @param listener receives the results of this member's own checks
+     * @throws IOException if the address is not available
+     */
+    static MembershipSockets bind(InetSocketAddress listen, String name, ConnectionChecker.Listener listener)
+            throws IOException {
+        Selector selector = Selector.open();
+        for (int attempt = 1; ; attempt++) {
+            DatagramChannel datagrams = DatagramChannel.open(StandardProtocolFamily.INET);
+            int port = listen.getPort();
+            try {
+                datagrams.bind(listen);
+                port = ((InetSocketAddress) datagrams.getLocalAddress()).getPort();
+                InetSocketAddress bound = new InetSocketAddress(listen.getAddress(), port);
+                datagrams.configureBlocking(false);
+                datagrams.register(selector, SelectionKey.OP_READ);
+                ConnectionChecker checker = new ConnectionChecker(selector, name, bound, listener);
+                return new MembershipSockets(selector, datagrams, checker, port);
+            } catch (IOException e) {
+                datagrams.close();
+                if (listen.getPort() != 0 || attempt == MAX_BIND_ATTEMPTS) {
+                    selector.close();
+                    throw new IOException(
+                            "membership: " + listen.getHostString() + ":" + port + ": " + e.getMessage(), e);
+                }
+            }
+        }
+    }
+
+    Selector selector() {
+        return selector;
+    }
+
+    DatagramChannel datagrams() {
+        return datagrams;
+    }
+
+    ConnectionChecker connectionChecker() {
+        return connectionChecker;
+    }
+
+    /** The port of both sockets. */
+    int port() {
+        return port;
+    }
+
+    @Override
+    public void close() throws IOException {
+        connectionChecker.close();
+        datagrams.close();
+        selector.close();
+    }
+}
--- a/src/main/java/mintstair/membership/MessageCodec.java
+++ b/src/main/java/mintstair/membership/MessageCodec.java
@@ -1,163 +1,237 @@
 package mintstair.membership;
 
 import java.io.ByteArrayOutputStream;
-import java.io.DataOutputStream;
-import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
 import mintstair.membership.swim.GossipUpdate;
 import mintstair.membership.swim.MemberState;
 import mintstair.membership.swim.Message;
-import mintstair.membership.swim.Message.Ack;
-import mintstair.membership.swim.Message.Body;
-import mintstair.membership.swim.Message.CompareDigests;
-import mintstair.membership.swim.Message.FetchUpdates;
-import mintstair.membership.swim.Message.GossipOnly;
-import mintstair.membership.swim.Message.Nack;
-import mintstair.membership.swim.Message.Ping;
-import mintstair.membership.swim.Message.PingRequest;
 
 /**
- * Messages as datagrams: a magic number with the version, the fleet's number, the sender, the kind and its fields, and the updates.
- * Whatever is not whole, not of this fleet or out of bounds is no message; nothing of it is taken in.
+ * Encodes messages as datagrams.
+ *
+ * <p>Layout, all numbers big-endian: magic number with the version (4 bytes), hash of the fleet's name (4), sender as
+ * an update, type of the body (1) and its fields, number of updates (1), the updates. An update is: name, address,
+ * incarnation (8), state (1), age in seconds (4), reporter. A string is: length (1), printable ASCII characters.
+ *
+ * <p>A datagram that is truncated, of another fleet or out of bounds is rejected as a whole.
  */
 final class MessageCodec {
-    /** Longest name of a member, and longest address, in bytes; both of printable ASCII, so that what fits by length fits a datagram. */
-    static final int NAME = 48;
-
-    static final int ADDRESS = 64;
-    /** No datagram of ours is longer; what is read into less room is cut and thus refused. */
-    static final int MOST_BYTES = 1_472;
+    /** Longest name of a member, in bytes of printable ASCII, so that the length in characters bounds a datagram. */
+    static final int MAX_NAME_BYTES = 48;
+    /** Longest address, in bytes of printable ASCII. */
+    static final int MAX_ADDRESS_BYTES = 64;
+    /** No member sends a longer datagram; one that was truncated on receipt is rejected. */
+    static final int MAX_DATAGRAM_BYTES = 1_472;
 
     private static final int MAGIC = 0x4d535701;
-    /** Unix microseconds of a far future: a higher incarnation could never be refuted. */
-    private static final long MOST_INCARNATION = 100_000_000_000_000_000L;
+    /** Unix microseconds in the far future: a higher incarnation could never be refuted. */
+    private static final long MAX_INCARNATION = 100_000_000_000_000_000L;
 
     private static final MemberState[] STATES = MemberState.values();
 
-    private final int fleet;
+    private static final byte PING = 0;
+    private static final byte ACK = 1;
+    private static final byte NACK = 2;
+    private static final byte PING_REQUEST = 3;
+    private static final byte COMPARE_DIGESTS = 4;
+    private static final byte FETCH_UPDATES = 5;
+    private static final byte GOSSIP_ONLY = 6;
+
+    private final int fleetHash;
 
     MessageCodec(String fleet) {
-        this.fleet = fleet.hashCode();
+        fleetHash = fleet.hashCode();
     }
 
     byte[] encode(Message message) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
-        try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeInt(MAGIC);
-            out.writeInt(fleet);
-            write(out, message.sender());
-            write(out, message.body());
-            out.writeByte(message.updates().size());
-            for (GossipUpdate update : message.updates()) {
-                write(out, update);
-            }
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        return bytes.toByteArray();
+        Encoder encoder = new Encoder();
+        encoder.putInt(MAGIC);
+        encoder.putInt(fleetHash);
+        encoder.putUpdate(message.sender());
+        message.body().accept(encoder);
+        encoder.putByte(message.updates().size());
+        message.updates().forEach(encoder::putUpdate);
+        return encoder.toByteArray();
     }
 
-    private static void write(DataOutputStream out, Body body) throws IOException {
-        if (body instanceof Ping ping) {
-            out.writeByte(0);
-            out.writeLong(ping.seq());
-            write(out, ping.target());
-        } else if (body instanceof Ack ack) {
-            out.writeByte(1);
-            out.writeLong(ack.seq());
-        } else if (body instanceof Nack nack) {
-            out.writeByte(2);
-            out.writeLong(nack.seq());
-        } else if (body instanceof PingRequest ask) {
-            out.writeByte(3);
-            out.writeLong(ask.seq());
-            write(out, ask.target());
-            write(out, ask.address());
-        } else if (body instanceof CompareDigests compare) {
-            out.writeByte(4);
-            out.writeLong(compare.digest());
-        } else {
-            out.writeByte(body instanceof FetchUpdates ? 5 : 6);
+    /** Writes the parts of a message one after the other. */
+    private static final class Encoder implements Message.Visitor {
+        private static final int USUAL_BYTES = 256;
+
+        private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_BYTES);
+
+        @Override
+        public void visit(Message.Ping ping) {
+            putByte(PING);
+            putLong(ping.sequence());
+            putText(ping.target());
         }
-    }
 
-    private static void write(DataOutputStream out, GossipUpdate r) throws IOException {
-        write(out, r.name());
-        write(out, r.address());
-        out.writeLong(r.incarnation());
-        out.writeByte(r.state().ordinal());
-        out.writeInt((int) Math.min(Integer.MAX_VALUE, r.age() / 1_000_000));
-        write(out, r.by());
-    }
+        @Override
+        public void visit(Message.Ack ack) {
+            putByte(ACK);
+            putLong(ack.sequence());
+        }
+
+        @Override
+        public void visit(Message.Nack nack) {
+            putByte(NACK);
+            putLong(nack.sequence());
+        }
+
+        @Override
+        public void visit(Message.PingRequest request) {
+            putByte(PING_REQUEST);
+            putLong(request.sequence());
+            putText(request.target());
+            putText(request.address());
+        }
+
+        @Override
+        public void visit(Message.CompareDigests compare) {
+            putByte(COMPARE_DIGESTS);
+            putLong(compare.digest());
+        }
+
+        @Override
+        public void visit(Message.FetchUpdates fetch) {
+            putByte(FETCH_UPDATES);
+        }
+
+        @Override
+        public void visit(Message.GossipOnly gossip) {
+            putByte(GOSSIP_ONLY);
+        }
+
+        void putUpdate(GossipUpdate update) {
+            putText(update.name());
+            putText(update.address());
+            putLong(update.incarnation());
+            putByte(update.state().ordinal());
+            putInt((int) Math.min(Integer.MAX_VALUE, TimeUnit.MICROSECONDS.toSeconds(update.ageMicros())));
+            putText(update.reporter());
+        }
 
-    private static void write(DataOutputStream out, String text) throws IOException {
-        byte[] bytes = text.getBytes(StandardCharsets.US_ASCII);
-        out.writeByte(bytes.length);
-        out.write(bytes);
+        void putText(String text) {
+            byte[] ascii = text.getBytes(StandardCharsets.US_ASCII);
+            putByte(ascii.length);
+            bytes.writeBytes(ascii);
+        }
+
+        void putByte(int value) {
+            bytes.write(value);
+        }
+
+        void putInt(int value) {
+            bytes.writeBytes(ByteBuffer.allocate(Integer.BYTES).putInt(value).array());
+        }
+
+        void putLong(long value) {
+            bytes.writeBytes(ByteBuffer.allocate(Long.BYTES).putLong(value).array());
+        }
+
+        byte[] toByteArray() {
+            return bytes.toByteArray();
+        }
     }
 
-    /** The message, or null where these bytes are none. */
-    Message decode(ByteBuffer in) {
+    /** The message in a datagram; empty if it is not a well-formed message of this fleet. */
+    Optional<Message> decode(ByteBuffer datagram) {
         try {
-            if (in.getInt() != MAGIC || in.getInt() != fleet) {
-                return null;
+            if (datagram.getInt() != MAGIC || datagram.getInt() != fleetHash) {
+                return Optional.empty();
             }
-            GossipUpdate sender = update(in);
-            Body body = body(in);
-            int count = in.get() & 0xff;
-            List<GossipUpdate> updates = new ArrayList<>(count);
-            for (int i = 0; i < count; i++) {
-                updates.add(update(in));
-            }
-            return in.hasRemaining() || body == null ? null : new Message(sender, body, updates);
-        } catch (BufferUnderflowException | IllegalArgumentException e) {
-            return null;
+            Message message = readMessage(datagram);
+            return datagram.hasRemaining() ? Optional.empty() : Optional.of(message);
+        } catch (BufferUnderflowException | MalformedMessageException e) {
+            return Optional.empty();
+        }
+    }
+
+    private static Message readMessage(ByteBuffer in) throws MalformedMessageException {
+        GossipUpdate sender = readUpdate(in);
+        Message.Body body = readBody(in);
+        int count = Byte.toUnsignedInt(in.get());
+        List<GossipUpdate> updates = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            updates.add(readUpdate(in));
         }
+        return new Message(sender, body, updates);
     }
 
-    private static Body body(ByteBuffer in) {
-        return switch (in.get()) {
-            case 0 -> new Ping(in.getLong(), text(in, NAME));
-            case 1 -> new Ack(in.getLong());
-            case 2 -> new Nack(in.getLong());
-            case 3 -> new PingRequest(in.getLong(), text(in, NAME), text(in, ADDRESS));
-            case 4 -> new CompareDigests(in.getLong());
-            case 5 -> new FetchUpdates();
-            case 6 -> new GossipOnly();
-            default -> null;
+    private static Message.Body readBody(ByteBuffer in) throws MalformedMessageException {
+        byte type = in.get();
+        return switch (type) {
+            case PING -> new Message.Ping(in.getLong(), readName(in));
+            case ACK -> new Message.Ack(in.getLong());
+            case NACK -> new Message.Nack(in.getLong());
+            case PING_REQUEST -> new Message.PingRequest(in.getLong(), readName(in), readAddress(in));
+            case COMPARE_DIGESTS -> new Message.CompareDigests(in.getLong());
+            case FETCH_UPDATES -> new Message.FetchUpdates();
+            case GOSSIP_ONLY -> new Message.GossipOnly();
+            default -> throw new MalformedMessageException("unknown type of message " + type);
         };
     }
 
-    private static GossipUpdate update(ByteBuffer in) {
-        String name = text(in, NAME);
-        String address = text(in, ADDRESS);
+    private static GossipUpdate readUpdate(ByteBuffer in) throws MalformedMessageException {
+        String name = readName(in);
+        String address = readAddress(in);
         long incarnation = in.getLong();
-        int state = in.get();
-        long age = in.getInt() * 1_000_000L;
-        if (incarnation < 0 || incarnation > MOST_INCARNATION || state < 0 || state >= STATES.length || age < 0) {
-            throw new IllegalArgumentException("no update");
+        MemberState state = readState(in);
+        int ageSeconds = in.getInt();
+        if (incarnation < 0 || incarnation > MAX_INCARNATION) {
+            throw new MalformedMessageException("incarnation out of bounds: " + incarnation);
+        }
+        if (ageSeconds < 0) {
+            throw new MalformedMessageException("negative age: " + ageSeconds);
         }
-        return new GossipUpdate(name, address, incarnation, STATES[state], age, text(in, NAME));
+        return new GossipUpdate(name, address, incarnation, state, TimeUnit.SECONDS.toMicros(ageSeconds), readName(in));
     }
 
-    private static String text(ByteBuffer in, int most) {
-        int length = in.get() & 0xff;
-        if (length == 0 || length > most || length > in.remaining()) {
-            throw new IllegalArgumentException("no text");
-        }
-        byte[] bytes = new byte[length];
-        in.get(bytes);
-        for (byte b : bytes) {
-            // A line's end in a name would forge lines of the log and of what operators are shown.
-            if (b <= ' ' || b > '~') {
-                throw new IllegalArgumentException("no text");
+    private static MemberState readState(ByteBuffer in) throws MalformedMessageException {
+        int ordinal = in.get();
+        if (ordinal < 0 || ordinal >= STATES.length) {
+            throw new MalformedMessageException("unknown state " + ordinal);
+        }
+        return STATES[ordinal];
+    }
+
+    private static String readName(ByteBuffer in) throws MalformedMessageException {
+        return readText(in, MAX_NAME_BYTES);
+    }
+
+    private static String readAddress(ByteBuffer in) throws MalformedMessageException {
+        return readText(in, MAX_ADDRESS_BYTES);
+    }
+
+    private static String readText(ByteBuffer in, int maxBytes) throws MalformedMessageException {
+        int length = Byte.toUnsignedInt(in.get());
+        if (length == 0 || length > maxBytes || length > in.remaining()) {
+            throw new MalformedMessageException("string of " + length + " bytes");
+        }
+        byte[] ascii = new byte[length];
+        in.get(ascii);
+        for (byte character : ascii) {
+            // A line break in a name would forge lines of the log and of the members command.
+            if (character <= ' ' || character > '~') {
+                throw new MalformedMessageException("character " + character + " is not printable ASCII");
             }
         }
-        return new String(bytes, StandardCharsets.US_ASCII);
+        return new String(ascii, StandardCharsets.US_ASCII);
+    }
+
+    /** A field of a datagram is out of bounds. */
+    private static final class MalformedMessageException extends Exception {
+        private static final long serialVersionUID = 1L;
+
+        MalformedMessageException(String message) {
+            super(message);
+        }
     }
 }
--- a/src/main/java/mintstair/membership/package-info.java
+++ b/src/main/java/mintstair/membership/package-info.java
@@ -1,5 +1,8 @@
 /**
- * A member of the fleet on the network: datagrams, connections that check whether a process is there, a thread and a clock around
- * {@link mintstair.membership.swim.Swim}. Off unless an operator sets it up.
+ * A member of the fleet on the network: one thread that drives {@link mintstair.membership.swim.Swim} with a clock, a
+ * datagram socket and connections. Off unless the operator's file configures it; docs/membership.md is its manual.
+ *
+ * <p>{@link mintstair.membership.FleetMember} is the entry point. All other classes of the package are used by its
+ * thread only.
  */
 package mintstair.membership;
--- a/src/main/java/mintstair/membership/swim/Member.java
+++ b/src/main/java/mintstair/membership/swim/Member.java
@@ -1,49 +1,100 @@
 package mintstair.membership.swim;
 
-import java.util.HashSet;
-import java.util.Set;
-
-/** One other member, as known here. */
+/** Another member, as known here. */
 final class Member {
-    GossipUpdate known;
-    /** When its state became what it is. */
-    long since;
-    /** Of a suspect: those who suspect it on evidence of their own, and how many of them shorten the time. */
-    final Set<String> accusers = new HashSet<>();
-    /** Of a suspect: shortest and longest time until it is declared dead, as the fleet was when it was suspected. */
-    long least;
+    private GossipUpdate update;
+    private long sinceMicros;
+    /** Null unless the member is suspect. */
+    private Suspicion suspicion;
+    /** When this process learned of the death, which others may have declared long before, across a partition. */
+    private long deathLearnedMicros;
 
-    long most;
-    /** Of a suspect: when it counts as dead as a connection to its address was turned away; never where none was. */
-    long closedAt = Long.MAX_VALUE;
-    /** Of a dead one: since when this member takes it for that; another may have done so far longer, on the far side of a cut. */
-    long silentSince;
-    /** Of a dead one: it no longer counts, as it must have noticed by now if it is only cut off. */
-    boolean dropped;
+    private boolean dropped;
 
-    Member(GossipUpdate known, long now) {
-        this.known = known;
-        since = now;
+    Member(GossipUpdate update) {
+        this.update = update;
+    }
+
+    GossipUpdate update() {
+        return update;
+    }
+
+    String name() {
+        return update.name();
+    }
+
+    String address() {
+        return update.address();
     }
 
     MemberState state() {
-        return known.state();
+        return update.state();
+    }
+
+    boolean isAlive() {
+        return state() == MemberState.ALIVE;
+    }
+
+    boolean isDead() {
+        return state() == MemberState.DEAD;
+    }
+
+    /** Whether it is alive or suspect: it takes part in the protocol. */
+    boolean isActive() {
+        return isAlive() || state() == MemberState.SUSPECT;
+    }
+
+    /** When its state became what it is. */
+    long sinceMicros() {
+        return sinceMicros;
+    }
+
+    /** Its suspicion; null unless it is suspect. */
+    Suspicion suspicion() {
+        return suspicion;
+    }
+
+    /** When this process learned that it is dead. */
+    long deathLearnedMicros() {
+        return deathLearnedMicros;
+    }
+
+    /** Whether it is dead for so long that it no longer counts: it must have noticed if it is only partitioned. */
+    boolean isDropped() {
+        return dropped;
+    }
+
+    void drop() {
+        dropped = true;
+    }
+
+    /** Replaces what is known of it; whatever belongs to the former state ends. */
+    void replaceUpdate(GossipUpdate newUpdate) {
+        update = newUpdate;
+        suspicion = null;
+        dropped = false;
+    }
+
+    void stateEntered(long enteredMicros) {
+        sinceMicros = enteredMicros;
+    }
+
+    void suspected(long nowMicros, Suspicion newSuspicion) {
+        sinceMicros = nowMicros;
+        suspicion = newSuspicion;
+    }
+
+    void deathLearned(long nowMicros) {
+        deathLearnedMicros = nowMicros;
     }
 
-    /** It is suspected now, in a fleet of this size, on the evidence of whoever says so. */
-    void suspected(long now, SwimSettings settings, int size) {
-        since = now;
-        closedAt = Long.MAX_VALUE;
-        accusers.clear();
-        accusers.add(known.by());
-        least = settings.leastSuspicion(size);
-        most = settings.mostSuspicion(size);
+    /** Extends a suspicion by a time in which the member could not refute it. */
+    void extendSuspicion(long byMicros) {
+        sinceMicros += byMicros;
+        suspicion.processMayRun();
     }
 
-    /** A suspicion falls from its longest to its shortest time with the logarithm of those who confirm it. */
-    long deadAt(int confirmations) {
-        int confirmed = Math.max(0, Math.min(confirmations, accusers.size() - 1));
-        double part = confirmations == 0 ? 1 : Math.log(confirmed + 1) / Math.log(confirmations + 1);
-        return Math.min(closedAt, since + most - (long) (part * (most - least)));
+    boolean isSuspicionOver(long nowMicros) {
+        return nowMicros >= suspicion.deadlineMicros(sinceMicros);
     }
 }
--- a/src/main/java/mintstair/membership/swim/MemberState.java
+++ b/src/main/java/mintstair/membership/swim/MemberState.java
@@ -1,13 +1,13 @@
 package mintstair.membership.swim;
 
-/** What is known of a member. Of two that are told at the same incarnation the later one here counts. */
+/** State of a member. Of two updates with the same incarnation, the one with the later constant here wins. */
 public enum MemberState {
-    /** It answers, or nobody had reason to doubt it. */
+    /** It answers probes, or nobody has reported a failed probe. */
     ALIVE,
-    /** Somebody got no answer from it; it may still refute that. */
+    /** A probe of it failed; it may still refute the suspicion. */
     SUSPECT,
-    /** It did not refute in time: it failed, or is cut off from whoever says so. */
+    /** It did not refute the suspicion in time: it crashed, or a partition separates it from the reporter. */
     DEAD,
-    /** It said itself that it ends. */
+    /** It announced that it shuts down. */
     LEFT
 }
--- a/src/main/java/mintstair/membership/swim/MemberTable.java
+++ b/src/main/java/mintstair/membership/swim/MemberTable.java
@@ -1,247 +1,258 @@
 package mintstair.membership.swim;
 
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.LongPredicate;
+import java.util.function.Predicate;
 
 /**
- * The other members as known here: takes in what is told of them, and passes on what is new. Bounded by
- * {@link SwimSettings#mostMembers}: one more is not taken in, and counted.
+ * The other members as known here. Merges updates by SWIM's precedence rules and queues whatever changes the table for
+ * dissemination. Holds at most {@link SwimSettings#maxMembers} members, this one included; further ones are rejected
+ * and counted.
  */
 final class MemberTable {
     private final SwimSettings settings;
-    private final Gossip gossip;
-    private final ProbeOrder order;
-    private final Swim.Actions actions;
+    private final GossipQueue gossip;
+    private final PeerSelector selector;
+    private final SwimActions actions;
+    private final TransitionCounters transitions;
     private final TreeMap<String, Member> members = new TreeMap<>();
     private final Set<Member> suspects = new LinkedHashSet<>();
-    /** Dead ones that still count. */
-    private final Set<Member> silent = new LinkedHashSet<>();
+    /** Dead members that still count as ones that may run. */
+    private final Set<Member> countedDead = new LinkedHashSet<>();
 
-    private int alive;
+    private int otherAlive;
     private long version;
-    long refuted;
-    long falseDeaths;
-    long deaths;
-    long untilDeaths;
-    long turnedAway;
+    private long rejectedMembers;
 
-    MemberTable(SwimSettings settings, Gossip gossip, ProbeOrder order, Swim.Actions actions) {
+    MemberTable(SwimSettings settings, GossipQueue gossip, Random random, SwimActions actions) {
         this.settings = settings;
         this.gossip = gossip;
-        this.order = order;
         this.actions = actions;
+        selector = new PeerSelector(random);
+        transitions = new TransitionCounters(settings.periodMicros());
     }
 
-    /** Takes in what is told of a member that is not this one. */
-    void take(long now, GossipUpdate r) {
-        Member m = members.get(r.name());
-        if (m == null) {
-            add(now, r);
-        } else if (r.overrides(m.known)) {
-            replace(
-                    now,
-                    m,
-                    stale(m, r)
-                            ? new GossipUpdate(
-                                    r.name(), m.known.address(), r.incarnation(), MemberState.SUSPECT, r.by())
-                            : r);
-        } else if (m.state() == MemberState.SUSPECT
-                && r.state() == MemberState.SUSPECT
-                && r.incarnation() == m.known.incarnation()
-                && m.accusers.size() <= settings.confirmations()
-                && m.accusers.add(r.by())) {
-            // Another's own evidence is passed on as it is, so that it counts everywhere.
-            gossip.add(r);
+    // ---- merging updates ----
+
+    /** Merges an update on a member other than this one. */
+    void merge(long nowMicros, GossipUpdate update) {
+        Member member = members.get(update.name());
+        if (member == null) {
+            add(nowMicros, update);
+        } else if (isOutdatedDeath(member, update)) {
+            replace(nowMicros, member, suspectFirst(member, update));
+        } else if (update.overrides(member.update())) {
+            replace(nowMicros, member, update);
+        } else if (confirmsSuspicion(member, update)) {
+            // Independent evidence is passed on unchanged, so that it shortens the timeout everywhere.
+            gossip.add(update);
         }
     }
 
     /**
-     * Another's view tells of a death that is old there and news here: it was on the far side of a cut, and all of this side are dead to
-     * it. Such a one may refute first.
+     * Whether another member's state has a death that is old there and unknown here: that member was on the far side
+     * of a partition, where this whole side is dead. Such a member may refute first.
      */
-    private boolean stale(Member m, GossipUpdate r) {
-        return r.state() == MemberState.DEAD && r.age() > settings.spread(known()) && isIn(m);
+    private boolean isOutdatedDeath(Member member, GossipUpdate update) {
+        return update.overrides(member.update())
+                && update.state() == MemberState.DEAD
+                && update.ageMicros() > settings.spreadMicros(knownCount())
+                && member.isActive();
+    }
+
+    private static GossipUpdate suspectFirst(Member member, GossipUpdate death) {
+        return new GossipUpdate(
+                death.name(), member.address(), death.incarnation(), MemberState.SUSPECT, death.reporter());
+    }
+
+    private static boolean confirmsSuspicion(Member member, GossipUpdate update) {
+        return member.state() == MemberState.SUSPECT
+                && update.state() == MemberState.SUSPECT
+                && update.incarnation() == member.update().incarnation()
+                && member.suspicion().confirm(update.reporter());
     }
 
-    private void add(long now, GossipUpdate r) {
-        if (r.age() > settings.kept() / 2) {
+    private void add(long nowMicros, GossipUpdate update) {
+        if (update.ageMicros() > sharedRetentionMicros()) {
             return;
         }
-        if (members.size() + 1 >= settings.mostMembers()) {
-            turnedAway++;
+        if (members.size() + 1 >= settings.maxMembers()) {
+            rejectedMembers++;
             return;
         }
-        Member m = new Member(r, now);
-        members.put(r.name(), m);
-        order.added(r.name());
-        settle(now, m, null);
-    }
-
-    private void replace(long now, Member m, GossipUpdate r) {
-        MemberState before = m.state();
-        if (r.state() == MemberState.ALIVE) {
-            refuted += before == MemberState.SUSPECT ? 1 : 0;
-            // A new process has a start of its own; one that lived goes on from the incarnation that was told of it.
-            falseDeaths +=
-                    before == MemberState.DEAD && r.incarnation() - m.known.incarnation() < settings.period() ? 1 : 0;
-        }
-        if (before == MemberState.SUSPECT && r.state() == MemberState.DEAD) {
-            deaths++;
-            untilDeaths += now - m.since;
+        Member member = new Member(update);
+        members.put(update.name(), member);
+        selector.memberAdded(update.name());
+        enterState(nowMicros, member, null);
+    }
+
+    private void replace(long nowMicros, Member member, GossipUpdate update) {
+        MemberState previous = member.state();
+        transitions.count(nowMicros, member, update);
+        if (previous == MemberState.ALIVE) {
+            otherAlive--;
         }
-        alive -= before == MemberState.ALIVE ? 1 : 0;
-        suspects.remove(m);
-        silent.remove(m);
-        m.known = r;
-        settle(now, m, before);
+        suspects.remove(member);
+        countedDead.remove(member);
+        member.replaceUpdate(update);
+        enterState(nowMicros, member, previous);
     }
 
-    private void settle(long now, Member m, MemberState before) {
+    private void enterState(long nowMicros, Member member, MemberState previous) {
         version++;
-        GossipUpdate r = m.known;
-        if (before != r.state()) {
-            m.since = now - r.age();
+        GossipUpdate update = member.update();
+        if (previous != update.state()) {
+            member.stateEntered(nowMicros - update.ageMicros());
         }
-        m.dropped = false;
-        switch (r.state()) {
-            case ALIVE -> alive++;
+        switch (update.state()) {
+            case ALIVE -> otherAlive++;
             case SUSPECT -> {
-                suspects.add(m);
-                m.suspected(now, settings, size());
+                suspects.add(member);
+                member.suspected(nowMicros, new Suspicion(settings, activeCount(), update.reporter()));
             }
             case DEAD -> {
-                silent.add(m);
-                m.silentSince = now;
+                countedDead.add(member);
+                member.deathLearned(nowMicros);
+            }
+            default -> {
+                // A member that left counts nowhere.
             }
-            default -> {}
         }
-        gossip.add(r);
-        if (before != r.state()) {
-            actions.changed(r, before);
+        gossip.add(update);
+        if (previous != update.state()) {
+            actions.memberChanged(update, previous);
         }
     }
 
-    /** A suspect or a living member by this name. */
-    Member in(String name) {
-        Member m = members.get(name);
-        return isIn(m) ? m : null;
+    // ---- time ----
+
+    /** Suspects whose time to refute is over. */
+    List<Member> overdueSuspects(long nowMicros) {
+        List<Member> overdue = new ArrayList<>();
+        for (Member suspect : suspects) {
+            if (suspect.isSuspicionOver(nowMicros)) {
+                overdue.add(suspect);
+            }
+        }
+        return overdue;
     }
 
-    Member any(String name) {
-        return members.get(name);
+    /** Extends all suspicions by a time in which this process stood still, as no suspect could refute meanwhile. */
+    void extendSuspicions(long byMicros) {
+        suspects.forEach(suspect -> suspect.extendSuspicion(byMicros));
     }
 
-    static boolean isIn(Member m) {
-        return m != null && (m.state() == MemberState.ALIVE || m.state() == MemberState.SUSPECT);
+    /**
+     * Stops counting dead members that must have noticed by now that they are partitioned, if they run.
+     *
+     * @param droppable whether to drop a member, given when this process learned of its death
+     */
+    void dropDead(LongPredicate droppable) {
+        countedDead.removeIf(member -> {
+            boolean drop = droppable.test(member.deathLearnedMicros());
+            if (drop) {
+                member.drop();
+            }
+            return drop;
+        });
     }
 
-    boolean is(String name, MemberState state) {
-        Member m = members.get(name);
-        return m != null && m.state() == state;
+    /** Forgets members that left or were dropped long ago; one that may still run is kept. */
+    void forgetExpired(long nowMicros) {
+        if (members.values().removeIf(member -> isExpired(nowMicros, member))) {
+            version++;
+        }
     }
 
-    Collection<String> names() {
-        return members.keySet();
+    private boolean isExpired(long nowMicros, Member member) {
+        boolean gone = member.state() == MemberState.LEFT || member.isDropped();
+        return gone && nowMicros - member.sinceMicros() > settings.retentionMicros();
     }
 
-    /** Suspects whose time to refute is over. */
-    List<Member> due(long now) {
-        List<Member> due = new ArrayList<>();
-        for (Member m : suspects) {
-            if (now >= m.deadAt(settings.confirmations())) {
-                due.add(m);
-            }
-        }
-        return due;
+    // ---- state for anti-entropy ----
+
+    /**
+     * The members that this one passes on. Those that are gone are passed on for half the retention only: members that
+     * forget them first would otherwise learn of them again, without end.
+     */
+    List<Member> shared(long nowMicros) {
+        return members.values().stream()
+                .filter(member -> member.isActive() || nowMicros - member.sinceMicros() < sharedRetentionMicros())
+                .toList();
     }
 
-    /** This member stood still: whom it suspects could not refute in that time. */
-    void extend(long by) {
-        for (Member m : suspects) {
-            m.since += by;
-            m.closedAt = Long.MAX_VALUE;
-        }
+    private long sharedRetentionMicros() {
+        return settings.retentionMicros() / 2;
     }
 
-    /** No longer counts those that must have noticed by now that they are cut off, if they run. */
-    void drop(long now, ClusterSizeEstimate standing, long spread) {
-        silent.removeIf(m -> m.dropped = standing.drops(now, m.silentSince, spread));
+    // ---- selection ----
+
+    /** The member to probe next, in shuffled rounds; null if there is none. */
+    Member nextProbeTarget() {
+        String name = selector.nextTarget(members.keySet(), candidate -> active(candidate) != null);
+        return name == null ? null : members.get(name);
     }
 
-    /** Those that left or were dropped long ago; one that may still run is not forgotten. */
-    void forget(long now) {
-        if (members.values()
-                .removeIf(m -> (m.state() == MemberState.LEFT || m.dropped) && now - m.since > settings.kept())) {
-            version++;
-        }
+    /** Up to {@code count} random members with this property. */
+    List<Member> random(int count, Predicate<Member> eligible) {
+        return selector.randomSubset(members.values(), count, eligible);
     }
 
-    /** The same for the same members at the same incarnations and states, whoever accused whom. */
-    long digest(long now) {
-        long sum = 0;
-        for (Member m : members.values()) {
-            sum += told(now, m) ? m.known.hash() : 0;
-        }
-        return sum;
-    }
-
-    /** Of those that are gone nobody tells any more long before the first forgets them, or they would come back without end. */
-    private boolean told(long now, Member m) {
-        return isIn(m) || now - m.since < settings.kept() / 2;
-    }
-
-    /** All that is told, in pages that each fit a datagram. */
-    List<List<GossipUpdate>> pages(long now) {
-        List<List<GossipUpdate>> pages = new ArrayList<>();
-        List<GossipUpdate> page = new ArrayList<>();
-        int bytes = 0;
-        for (Member m : members.values()) {
-            if (told(now, m)) {
-                if (bytes + Gossip.bytes(m.known) > Swim.PAGE) {
-                    pages.add(page);
-                    page = new ArrayList<>();
-                    bytes = 0;
-                }
-                page.add(isIn(m) ? m.known : m.known.aged(now - m.since));
-                bytes += Gossip.bytes(m.known);
-            }
-        }
-        pages.add(page);
-        return pages;
+    // ---- look-ups ----
+
+    /** The member of this name; null if it is unknown. */
+    Member get(String name) {
+        return members.get(name);
+    }
+
+    /** The member of this name if it is alive or suspect; null otherwise. */
+    Member active(String name) {
+        Member member = members.get(name);
+        return member != null && member.isActive() ? member : null;
     }
 
-    List<View.Seen> seen() {
-        List<View.Seen> seen = new ArrayList<>();
-        members.values().forEach(m -> seen.add(new View.Seen(m.known, m.since, m.dropped)));
-        return List.copyOf(seen);
+    List<MembershipView.Peer> peers() {
+        return members.values().stream()
+                .map(member -> new MembershipView.Peer(member.update(), member.sinceMicros(), member.isDropped()))
+                .toList();
     }
 
-    /** Living ones, this member included. */
-    int alive() {
-        return 1 + alive;
+    /** Members that are alive, this one included. */
+    int aliveCount() {
+        return 1 + otherAlive;
     }
 
-    /** Living and suspects, this member included. */
-    int size() {
-        return 1 + alive + suspects.size();
+    /** Members that are alive or suspect, this one included. */
+    int activeCount() {
+        return aliveCount() + suspects.size();
     }
 
-    /** Those that may run, this member included. */
-    int may() {
-        return size() + silent.size();
+    /** Members that may run, this one included: all but those that left or were dropped. */
+    int possiblyRunningCount() {
+        return activeCount() + countedDead.size();
     }
 
-    /** All that are remembered, this member included. */
-    int known() {
+    /** All remembered members, this one included. */
+    int knownCount() {
         return 1 + members.size();
     }
 
-    /** Goes up with each change of any member. */
+    /** Grows with each change of any member. */
     long version() {
         return version;
     }
+
+    TransitionCounters transitions() {
+        return transitions;
+    }
+
+    /** Members that were rejected because the table was full. */
+    long rejectedMembers() {
+        return rejectedMembers;
+    }
 }
--- a/src/main/java/mintstair/membership/swim/Message.java
+++ b/src/main/java/mintstair/membership/swim/Message.java
@@ -3,33 +3,119 @@
 import java.util.List;
 
 /**
- * What members tell each other.
+ * One protocol message.
  *
- * @param sender the sender's own state, with which it is known to whoever hears it
- * @param updates news that ride along
+ * @param sender the sender's own state, so that every message also announces its sender
+ * @param body the purpose of the message
+ * @param updates gossip updates that are piggybacked on the message
  */
 public record Message(GossipUpdate sender, Body body, List<GossipUpdate> updates) {
-    /** What the message is for; {@code seq} is the asker's own number of the question. */
-    public sealed interface Body {}
+    /** The purpose of a message. A {@code sequence} is the number that the prober chose for its probe. */
+    public sealed interface Body {
+        /** Calls the visitor's method for this type. */
+        void accept(Visitor visitor);
+    }
 
-    /** Are you there? {@code target} guards against an answer by another process at a member's old address. */
-    public record Ping(long seq, String target) implements Body {}
+    /** One method for each type of {@link Body}. */
+    public interface Visitor {
+        /** Visits a ping. */
+        void visit(Ping ping);
 
-    /** I am. */
-    public record Ack(long seq) implements Body {}
+        /** Visits the answer to a ping. */
+        void visit(Ack ack);
 
-    /** The one that you asked me to ping did not answer me either: I am there, it may not be. */
-    public record Nack(long seq) implements Body {}
+        /** Visits the report of a failed relayed probe. */
+        void visit(Nack nack);
 
-    /** Ping this one for me. */
-    public record PingRequest(long seq, String target, String address) implements Body {}
+        /** Visits the request to relay a probe. */
+        void visit(PingRequest request);
 
-    /** The digest of all that I know; where yours differs, tell me yours and ask for mine. */
-    public record CompareDigests(long digest) implements Body {}
+        /** Visits the digest that starts a round of anti-entropy. */
+        void visit(CompareDigests compare);
 
-    /** Mine differs from yours: what I know comes as {@link GossipOnly}, and I wish for yours. */
-    public record FetchUpdates() implements Body {}
+        /** Visits the request for the receiver's whole state. */
+        void visit(FetchUpdates fetch);
 
-    /** Rumours alone. */
-    public record GossipOnly() implements Body {}
+        /** Visits a message that only carries gossip. */
+        void visit(GossipOnly gossip);
+    }
+
+    /**
+     * Probes the receiver, which answers with {@link Ack}.
+     *
+     * @param sequence number of the probe
+     * @param target name of the probed member, so that another process at its former address does not answer
+     */
+    public record Ping(long sequence, String target) implements Body {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
+
+    /**
+     * Answers a {@link Ping}, or a {@link PingRequest} whose target has answered.
+     *
+     * @param sequence number of the probe
+     */
+    public record Ack(long sequence) implements Body {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
+
+    /**
+     * Answers a {@link PingRequest} whose target has not answered: the relay is reachable, the target may not be.
+     *
+     * @param sequence number of the probe
+     */
+    public record Nack(long sequence) implements Body {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
+
+    /**
+     * Asks the receiver to probe a third member (SWIM's ping-req).
+     *
+     * @param sequence number of the probe
+     * @param target name of the member to probe
+     * @param address its address, as host:port
+     */
+    public record PingRequest(long sequence, String target, String address) implements Body {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
+
+    /**
+     * Starts a round of anti-entropy: a receiver whose digest differs sends its state and asks for the sender's.
+     *
+     * @param digest digest of the sender's whole state
+     */
+    public record CompareDigests(long digest) implements Body {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
+
+    /** Asks for the receiver's whole state, which comes as {@link GossipOnly} messages. */
+    public record FetchUpdates() implements Body {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
+
+    /** Carries gossip updates and nothing else. */
+    public record GossipOnly() implements Body {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.visit(this);
+        }
+    }
 }
--- a/src/main/java/mintstair/membership/swim/Probe.java
+++ b/src/main/java/mintstair/membership/swim/Probe.java
@@ -1,21 +1,67 @@
 package mintstair.membership.swim;
 
-/** The ping that is out, one at a time: whom, since when, and what has come of it. */
+/** The probe of the current protocol period: its target, and what has come of it so far. */
 final class Probe {
-    final long seq;
-    final String target;
-    final long begun;
-    /** Whether others were asked to help, and how many of them said that they got no answer either. */
-    boolean helped;
-
-    int nacks;
-    boolean answered;
-    /** A connection to its address was turned away, or taken by another process. */
-    boolean closed;
-
-    Probe(long seq, String target, long begun) {
-        this.seq = seq;
+    private final long sequence;
+    private final String target;
+    private final long startMicros;
+    private boolean indirectRequested;
+    private int nacks;
+    private boolean answered;
+    private boolean processGone;
+
+    Probe(long sequence, String target, long startMicros) {
+        this.sequence = sequence;
         this.target = target;
-        this.begun = begun;
+        this.startMicros = startMicros;
+    }
+
+    long sequence() {
+        return sequence;
+    }
+
+    /** Name of the probed member. */
+    String target() {
+        return target;
+    }
+
+    long startMicros() {
+        return startMicros;
+    }
+
+    /** Whether the direct ping has no answer yet and other members have not been asked. */
+    boolean awaitsDirectAck() {
+        return !answered && !indirectRequested;
+    }
+
+    void indirectProbesRequested() {
+        indirectRequested = true;
+    }
+
+    boolean isAnswered() {
+        return answered;
+    }
+
+    void answered() {
+        answered = true;
+    }
+
+    /** A relay reports that the target did not answer it either. */
+    void nackReceived() {
+        nacks++;
+    }
+
+    /** Whether a connection to the target's address showed that the process is gone. */
+    boolean isProcessGone() {
+        return processGone;
+    }
+
+    void processGone() {
+        processGone = true;
+    }
+
+    /** Whether nothing at all came back, not even from other members: then this member may itself be slow. */
+    boolean hasNoResponse() {
+        return nacks == 0 && !processGone;
     }
 }
--- a/src/main/java/mintstair/membership/swim/SwimSettings.java
+++ b/src/main/java/mintstair/membership/swim/SwimSettings.java
@@ -1,103 +1,112 @@
 package mintstair.membership.swim;
 
 /**
- * The protocol's figures; times in microseconds.
+ * The constants of the protocol. All times are in microseconds.
  *
- * @param period how often a member pings another
- * @param answerWithin how long it waits before it asks others to ping
- * @param helpers how many it asks
- * @param suspicion shortest time of a suspicion, in periods, for each power of ten of the fleet's size
- * @param closed time of a suspicion, in periods, where the member's address turned a connection away: its process is gone, while one
- *     that stands still or is cut off is silent
- * @param suspicionMost longest, as a multiple of that
- * @param confirmations others whose own suspicion shortens it to the shortest
- * @param retransmits times that news are told, for each power of ten of the fleet's size
- * @param slowMost how many times longer a member that takes itself to be slow lets its period and time-outs grow
- * @param compareEvery how often a member compares its view with another's
- * @param kept how long those that are dead or left are remembered
- * @param mostMembers beyond this many no new member is taken in
- * @param told how many members the operator says that there are
+ * @param periodMicros the protocol period: how often a member probes another one
+ * @param ackTimeoutMicros how long it waits for an ack before it requests indirect probes
+ * @param indirectProbes how many other members it asks for an indirect probe
+ * @param minSuspicionPeriods shortest suspicion timeout, in periods per power of ten of the fleet's size
+ * @param processGonePeriods suspicion timeout, in periods, of a member whose address refused a connection: its process
+ *     is gone, whereas one that is stopped or partitioned does not refuse connections
+ * @param maxSuspicionFactor longest suspicion timeout, as a multiple of the shortest
+ * @param suspicionConfirmations number of independent confirmations that reduce the timeout to the shortest
+ * @param retransmitFactor how often an update is sent, per power of ten of the fleet's size
+ * @param maxHealthMultiplier bound of the local health multiplier, by which a slow member extends period and timeout
+ * @param syncIntervalMicros mean time between two rounds of anti-entropy
+ * @param retentionMicros how long members that are dead or left are remembered
+ * @param maxMembers bound of the fleet's size; further members are rejected
+ * @param configuredSize fleet size that the operator has configured
  */
 public record SwimSettings(
-        long period,
-        long answerWithin,
-        int helpers,
-        double suspicion,
-        double closed,
-        double suspicionMost,
-        int confirmations,
-        double retransmits,
-        int slowMost,
-        long compareEvery,
-        long kept,
-        int mostMembers,
-        int told) {
+        long periodMicros,
+        long ackTimeoutMicros,
+        int indirectProbes,
+        double minSuspicionPeriods,
+        double processGonePeriods,
+        double maxSuspicionFactor,
+        int suspicionConfirmations,
+        double retransmitFactor,
+        int maxHealthMultiplier,
+        long syncIntervalMicros,
+        long retentionMicros,
+        int maxMembers,
+        int configuredSize) {
 
-    private static final double SPREAD = 5;
-    /** In a small fleet too many tellings go to whom the news are of, or to those that told them. */
-    private static final int LEAST_TENS = 2;
+    /** Periods for each doubling of the fleet within which an update reaches all members, with a wide margin. */
+    private static final double SPREAD_PERIODS = 5;
+    /**
+     * Lower bound for the power of ten in the number of transmissions: in a small fleet many of them go to the member
+     * that the update is about or to members that sent it.
+     */
+    private static final int MIN_SIZE_MAGNITUDE = 2;
 
-    /** What serves on a network of one site. */
-    public static SwimSettings usual(int told) {
-        return new SwimSettings(400_000, 120_000, 3, 20, 1, 2, 2, 6, 4, 4_000_000, 3_600_000_000L, 4096, told);
+    /** Settings for a network of one site. */
+    public static SwimSettings forLocalNetwork(int configuredSize) {
+        return new SwimSettings(
+                400_000, 120_000, 3, 20, 1, 2, 2, 6, 4, 4_000_000, 3_600_000_000L, 4096, configuredSize);
     }
 
-    /** The same protocol at another pace: all times in proportion, but those that are remembered. */
-    public SwimSettings withPeriod(long other) {
-        double factor = (double) other / period;
+    /** The same protocol at another pace: all times in proportion to the period, but for the retention. */
+    public SwimSettings withPeriodMicros(long newPeriodMicros) {
+        double factor = (double) newPeriodMicros / periodMicros;
         return new SwimSettings(
-                other,
-                (long) (answerWithin * factor),
-                helpers,
-                suspicion,
-                closed,
-                suspicionMost,
-                confirmations,
-                retransmits,
-                slowMost,
-                (long) (compareEvery * factor),
-                kept,
-                mostMembers,
-                told);
+                newPeriodMicros,
+                (long) (ackTimeoutMicros * factor),
+                indirectProbes,
+                minSuspicionPeriods,
+                processGonePeriods,
+                maxSuspicionFactor,
+                suspicionConfirmations,
+                retransmitFactor,
+                maxHealthMultiplier,
+                (long) (syncIntervalMicros * factor),
+                retentionMicros,
+                maxMembers,
+                configuredSize);
     }
 
-    /** The same, but those that are gone are remembered for so long. */
-    public SwimSettings keeping(long time) {
+    /** The same settings with another retention of members that are dead or left. */
+    public SwimSettings withRetentionMicros(long newRetentionMicros) {
         return new SwimSettings(
-                period,
-                answerWithin,
-                helpers,
-                suspicion,
-                closed,
-                suspicionMost,
-                confirmations,
-                retransmits,
-                slowMost,
-                compareEvery,
-                time,
-                mostMembers,
-                told);
+                periodMicros,
+                ackTimeoutMicros,
+                indirectProbes,
+                minSuspicionPeriods,
+                processGonePeriods,
+                maxSuspicionFactor,
+                suspicionConfirmations,
+                retransmitFactor,
+                maxHealthMultiplier,
+                syncIntervalMicros,
+                newRetentionMicros,
+                maxMembers,
+                configuredSize);
     }
 
-    /** The shortest suspicion in a fleet of this size. */
-    long leastSuspicion(int members) {
-        return (long) (suspicion * Math.max(1, Math.log10(Math.max(1, members))) * period);
+    /** The shortest suspicion timeout in a fleet of this size. */
+    long minSuspicionMicros(int members) {
+        return (long) (minSuspicionPeriods * Math.max(1, Math.log10(Math.max(1, members))) * periodMicros);
     }
 
-    long mostSuspicion(int members) {
-        return (long) (suspicionMost * leastSuspicion(members));
+    /** The longest suspicion timeout in a fleet of this size. */
+    long maxSuspicionMicros(int members) {
+        return (long) (maxSuspicionFactor * minSuspicionMicros(members));
     }
 
-    long closedSuspicion() {
-        return (long) (closed * period);
+    /** Suspicion timeout of a member whose process is gone. */
+    long processGoneMicros() {
+        return (long) (processGonePeriods * periodMicros);
     }
 
-    /** News reach all members within this, with much to spare. */
-    long spread(int members) {
-        return (long) (SPREAD * Math.ceil(Math.log(members + 1) / Math.log(2))) * period;
+    /** Upper bound of the time in which an update reaches all members. */
+    long spreadMicros(int members) {
+        return (long) (SPREAD_PERIODS * Math.ceil(Math.log(members + 1) / Math.log(2))) * periodMicros;
     }
 
-    int tellings(int members) {
-        return (int) Math.ceil(retransmits * Math.max(LEAST_TENS, Math.ceil(Math.log10(members + 1))));
+    /** How often each update is sent in a fleet of this size. */
+    int maxTransmissions(int members) {
+        double magnitude = Math.max(MIN_SIZE_MAGNITUDE, Math.ceil(Math.log10(members + 1)));
+        return (int) Math.ceil(retransmitFactor * magnitude);
     }
 }
--- a/src/main/java/mintstair/serve/MembershipKeeper.java
+++ b/src/main/java/mintstair/serve/MembershipKeeper.java
@@ -10,7 +10,8 @@
 import mintstair.membership.FleetMember;
 import mintstair.membership.swim.ClusterSizeEstimate;
 import mintstair.membership.swim.MemberState;
-import mintstair.membership.swim.View;
+import mintstair.membership.swim.MembershipView;
+import mintstair.membership.swim.SwimStatistics;
 import mintstair.routing.RouterEvent;
 import mintstair.stats.MetricsSnapshot;
 
@@ -39,49 +40,49 @@
         member.start();
     }
 
-    private void told(View view) {
-        ClusterSizeEstimate.Standing s = view.standing();
+    private void told(MembershipView view) {
+        ClusterSizeEstimate s = view.sizeEstimate();
         if (waiting.getAndSet(new RouterEvent.FleetSizeChanged(s.largest(), s.counted(), s.settled())) == null) {
             loop.execute(() -> proxies.accept(waiting.getAndSet(null)));
         }
     }
 
     String lines() {
-        return member.lines();
+        return member.report();
     }
 
     /** Adds what is known of the fleet to the figures of the second address; from any thread. */
     void addTo(MetricsSnapshot.Builder metrics) {
-        View view = member.view();
+        MembershipView view = member.view();
         long[] states = new long[MemberState.values().length];
-        view.members().forEach(m -> states[m.known().state().ordinal()]++);
+        view.peers().forEach(m -> states[m.update().state().ordinal()]++);
         states[MemberState.ALIVE.ordinal()]++;
         Arrays.stream(MemberState.values())
                 .forEach(state ->
                         metrics.add("members_" + state.name().toLowerCase(Locale.ROOT), states[state.ordinal()]));
-        View.Tally t = member.tally();
-        metrics.add("members_counted", view.standing().counted())
-                .add("members_settled", view.standing().settled() ? 1 : 0)
-                .add("members_quorum", view.standing().quorum() ? 1 : 0)
-                .add("member_suspicions_raised", t.raised())
-                .add("member_suspicions_refuted", t.refuted())
+        SwimStatistics t = member.statistics();
+        metrics.add("members_counted", view.sizeEstimate().counted())
+                .add("members_settled", view.sizeEstimate().settled() ? 1 : 0)
+                .add("members_quorum", view.sizeEstimate().quorum() ? 1 : 0)
+                .add("member_suspicions_raised", t.raisedSuspicions())
+                .add("member_suspicions_refuted", t.refutedSuspicions())
                 .add("member_deaths", t.deaths())
                 .add("member_false_deaths", t.falseDeaths())
-                .add("member_detect_ms", t.deaths() == 0 ? 0 : t.untilDeaths() / t.deaths() / 1000)
-                .add("member_refutations", t.refutations())
+                .add("member_detect_ms", t.deaths() == 0 ? 0 : t.suspicionMicros() / t.deaths() / 1000)
+                .add("member_refutations", t.ownRefutations())
                 .add("member_stalls", t.stalls())
-                .add("member_messages_sent", t.sent())
-                .add("member_messages_heard", t.heard())
-                .add("member_messages_garbled", member.garbled())
-                .add("member_messages_unsent", member.unsent())
-                .add("member_turned_away", t.turnedAway())
-                .add("member_namesakes", t.namesakes());
+                .add("member_messages_sent", t.sentMessages())
+                .add("member_messages_heard", t.receivedMessages())
+                .add("member_messages_garbled", member.garbledMessages())
+                .add("member_messages_unsent", member.unsentMessages())
+                .add("member_turned_away", t.rejected())
+                .add("member_namesakes", t.nameConflicts());
     }
 
     /** What is shared is left to the others before they are told that this one ends. */
     @Override
     public void close() {
-        ClusterSizeEstimate.Standing s = member.view().standing();
+        ClusterSizeEstimate s = member.view().sizeEstimate();
         loop.execute(() -> proxies.accept(new RouterEvent.FleetSizeChanged(s.largest(), s.counted(), false)));
         member.close();
     }
--- a/src/test/java/mintstair/bench/MembershipBench.java
+++ b/src/test/java/mintstair/bench/MembershipBench.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import mintstair.membership.FleetPlay;
+import mintstair.membership.SimulatedFleet;
 import mintstair.membership.swim.SwimSettings;
 
 /**
@@ -37,7 +37,7 @@
             detect(1000, 5, false, 6);
         }
         for (int loss : full ? new int[] {0, 5, 10, 20} : new int[] {5, 20}) {
-            double[] ours = falseDeaths(SwimSettings.usual(100), loss / 100.0, full ? 400 : 60);
+            double[] ours = falseDeaths(SwimSettings.forLocalNetwork(100), loss / 100.0, full ? 400 : 60);
             double[] plain = falseDeaths(plain(100), loss / 100.0, full ? 400 : 60);
             figure("suspicions_per_10000_periods_loss_" + loss, ours[0]);
             figure("false_deaths_per_10000_periods_loss_" + loss, ours[1]);
@@ -46,7 +46,7 @@
                 aim("false_deaths_per_10000_periods_loss_5", ours[1] < 1);
             }
         }
-        double[] stalls = stalls(SwimSettings.usual(50), full ? 20 : 4);
+        double[] stalls = stalls(SwimSettings.forLocalNetwork(50), full ? 20 : 4);
         double[] stallsPlain = stalls(plain(50), full ? 20 : 4);
         figure("false_deaths_stalls_12s", stalls[0]);
         figure("false_deaths_stalls_12s_plain_swim", stallsPlain[0]);
@@ -62,25 +62,25 @@
 
     /** Suspicions of the shortest length, which nothing shortens or lengthens; the same address checks. */
     private static SwimSettings plain(int told) {
-        SwimSettings u = SwimSettings.usual(told);
+        SwimSettings u = SwimSettings.forLocalNetwork(told);
         return new SwimSettings(
-                u.period(),
-                u.answerWithin(),
-                u.helpers(),
+                u.periodMicros(),
+                u.ackTimeoutMicros(),
+                u.indirectProbes(),
                 3,
-                u.closed(),
+                u.processGonePeriods(),
                 1,
                 0,
-                u.retransmits(),
+                u.retransmitFactor(),
                 1,
-                u.compareEvery(),
-                u.kept(),
-                u.mostMembers(),
+                u.syncIntervalMicros(),
+                u.retentionMicros(),
+                u.maxMembers(),
                 told);
     }
 
-    private static FleetPlay agreed(int size, SwimSettings settings, double loss, long seed, boolean connections) {
-        FleetPlay play = new FleetPlay(size, settings, loss, seed);
+    private static SimulatedFleet agreed(int size, SwimSettings settings, double loss, long seed, boolean connections) {
+        SimulatedFleet play = new SimulatedFleet(size, settings, loss, seed);
         play.connections = connections;
         play.startAll();
         play.untilAgreed(60 * S);
@@ -88,7 +88,7 @@
     }
 
     private static double load(int size, double loss) {
-        FleetPlay play = agreed(size, SwimSettings.usual(size), loss, 1, true);
+        SimulatedFleet play = agreed(size, SwimSettings.forLocalNetwork(size), loss, 1, true);
         long before = play.nodes.stream().mapToLong(n -> n.messages).sum();
         play.pass(10 * S);
         return (play.nodes.stream().mapToLong(n -> n.messages).sum() - before) / 10.0 / size;
@@ -98,13 +98,13 @@
     private static void detect(int size, int times, boolean machine, double aim) {
         List<Double> all = new ArrayList<>();
         List<Double> first = new ArrayList<>();
-        FleetPlay play = null;
+        SimulatedFleet play = null;
         for (int i = 0; i < times; i++) {
             // One fleet loses a tenth of its members at most: what it has learned of one must not speed up the next.
             play = play == null || i % Math.max(1, size / 10) == 0
-                    ? agreed(size, SwimSettings.usual(size), 0.05, i, true)
+                    ? agreed(size, SwimSettings.forLocalNetwork(size), 0.05, i, true)
                     : play;
-            FleetPlay.Node victim = play.nodes.get(size - 1 - i % Math.max(1, size / 10));
+            SimulatedFleet.Node victim = play.nodes.get(size - 1 - i % Math.max(1, size / 10));
             play.pass(5 * S + i * 77_773L % 400_000);
             play.deaths.remove(victim.number);
             play.suspicions.remove(victim.number);
@@ -134,7 +134,7 @@
 
     /** Suspicions and deaths of members that run, of 10,000 periods of a member; datagrams alone, no connections to check by. */
     private static double[] falseDeaths(SwimSettings settings, double loss, int seconds) {
-        FleetPlay play = agreed(100, settings, loss, 3, false);
+        SimulatedFleet play = agreed(100, settings, loss, 3, false);
         play.falseDeaths = 0;
         play.falseSuspicions = 0;
         play.pass(seconds * S);
@@ -144,7 +144,7 @@
 
     /** Deaths declared of members that only stood still for 12 s, or by them: five of fifty at a time. */
     private static double[] stalls(SwimSettings settings, int rounds) {
-        FleetPlay play = agreed(50, settings, 0.01, 5, true);
+        SimulatedFleet play = agreed(50, settings, 0.01, 5, true);
         play.falseDeaths = 0;
         for (int i = 0; i < rounds; i++) {
             for (int n = 0; n < 5; n++) {
@@ -156,10 +156,10 @@
     }
 
     private static double heal(int size) {
-        FleetPlay play = agreed(size, SwimSettings.usual(size), 0.01, 9, true);
-        play.network = FleetPlay.cut(0.01, size * 2 / 5);
+        SimulatedFleet play = agreed(size, SwimSettings.forLocalNetwork(size), 0.01, 9, true);
+        play.network = SimulatedFleet.partitioned(0.01, size * 2 / 5);
         play.pass(120 * S);
-        play.network = FleetPlay.losing(0.01);
+        play.network = SimulatedFleet.lossy(0.01);
         return play.untilAgreed(60 * S) / 1e6;
     }
 
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import mintstair.membership.FleetPlay;
-import mintstair.membership.swim.ClusterSizeEstimate.Standing;
+import mintstair.membership.SimulatedFleet;
+import mintstair.membership.swim.ClusterSizeEstimate;
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
@@ -16,11 +16,11 @@
     private static final long S = 1_000_000;
     private static final int ROUTERS = 100;
     private final Bed[] beds = new Bed[ROUTERS];
-    private FleetPlay play;
+    private SimulatedFleet play;
     private double most;
 
     private void fleet(int running, long seed) {
-        play = new FleetPlay(ROUTERS, ROUTERS, 0.02, seed);
+        play = new SimulatedFleet(ROUTERS, ROUTERS, 0.02, seed);
         play.nodes.subList(0, running).forEach(play::start);
         for (int i = 0; i < ROUTERS; i++) {
             beds[i] = new Bed();
@@ -32,11 +32,11 @@
     /** The parts of all that run and do not stand still, of one. */
     private double sum() {
         double sum = 0;
-        for (FleetPlay.Node node : play.running()) {
-            Standing s = node.swim.standing();
+        for (SimulatedFleet.Node node : play.running()) {
+            ClusterSizeEstimate s = node.swim.sizeEstimate();
             ReadWriteSplitter router = (ReadWriteSplitter) beds[node.number].router;
             router.onFleetSize(play.now, new FleetSize(s.largest(), s.counted(), s.settled()));
-            sum += node.isStill() ? 0 : 1 / router.routers();
+            sum += node.isStalled() ? 0 : 1 / router.routers();
         }
         return sum;
     }
@@ -69,10 +69,10 @@
     void sidesOfACutTogetherKeepTheBound() {
         fleet(ROUTERS, 3);
         pass(60 * S);
-        play.network = FleetPlay.cut(0.02, 40);
+        play.network = SimulatedFleet.partitioned(0.02, 40);
         pass(150 * S);
         assertEquals(1, sum(), 1e-9);
-        play.network = FleetPlay.losing(0.02);
+        play.network = SimulatedFleet.lossy(0.02);
         pass(60 * S);
         assertEquals(1, sum(), 1e-9);
     }
@@ -116,8 +116,8 @@
             for (int i = 0; i < 12; i++) {
                 int some = 1 + chance.nextInt(40);
                 switch (chance.nextInt(5)) {
-                    case 0 -> play.network = FleetPlay.cut(0.05, 1 + chance.nextInt(99));
-                    case 1 -> play.network = FleetPlay.losing(0.1);
+                    case 0 -> play.network = SimulatedFleet.partitioned(0.05, 1 + chance.nextInt(99));
+                    case 1 -> play.network = SimulatedFleet.lossy(0.1);
                     case 2 -> play.nodes.subList(some, some + 30).forEach(play::kill);
                     case 3 ->
                         play.nodes
--- a/src/test/java/mintstair/membership/FleetMemberTest.java
+++ b/src/test/java/mintstair/membership/FleetMemberTest.java
@@ -14,137 +14,147 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Consumer;
 import mintstair.config.ConfigException;
 import mintstair.config.MembershipConfig;
 import mintstair.config.NodeConfig;
 import mintstair.membership.swim.MemberState;
+import mintstair.membership.swim.MembershipView;
 import mintstair.program.Program;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Members on the network of this machine. */
+/** Members on the loopback interface. */
 class FleetMemberTest {
+    private static final long PERIOD_MICROS = 100_000;
+
     private final List<FleetMember> members = new ArrayList<>();
 
-    private FleetMember member(String fleet, String name, List<String> seeds) throws IOException {
-        InetSocketAddress free = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
-        FleetMember member = new FleetMember(
-                new MembershipConfig(fleet, free, null, seeds, 100_000),
-                name,
-                3,
-                members.size(),
-                view -> {},
-                line -> {});
+    private FleetMember startMember(String fleet, String name, List<String> seeds) throws IOException {
+        MembershipConfig config = new MembershipConfig(fleet, anyPort(), null, seeds, PERIOD_MICROS);
+        return start(create(config, name, 3, view -> {}));
+    }
+
+    private FleetMember create(
+            MembershipConfig config, String name, int configuredSize, Consumer<MembershipView> viewListener)
+            throws IOException {
+        return new FleetMember(config, name, configuredSize, members.size(), viewListener, line -> {});
+    }
+
+    private FleetMember start(FleetMember member) {
         members.add(member);
         member.start();
         return member;
     }
 
+    private static InetSocketAddress anyPort() throws IOException {
+        return new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
+    }
+
     private static String address(FleetMember member) {
         return member.view().self().address();
     }
 
     private static long count(FleetMember member, MemberState state) {
-        return member.view().members().stream()
-                .filter(m -> m.known().state() == state)
+        return member.view().peers().stream()
+                .filter(peer -> peer.update().state() == state)
                 .count();
     }
 
     @AfterEach
-    void stop() {
+    void closeMembers() {
         members.forEach(FleetMember::close);
     }
 
-    /** Garbage, and members of another fleet that use the same seeds, are counted and change nothing. */
+    /** Both are counted: members of another fleet that use the same seeds, and random bytes. */
     @Test
-    void whatIsNotOfThisFleetIsNotTakenIn() throws IOException {
-        FleetMember a = member("one", "a", List.of());
-        FleetMember b = member("one", "b", List.of(address(a)));
-        FleetMember stranger = member("two", "c", List.of(address(a), address(b)));
+    void ignoresDatagramsThatAreNotOfItsFleet() throws IOException {
+        FleetMember first = startMember("one", "a", List.of());
+        FleetMember second = startMember("one", "b", List.of(address(first)));
+        FleetMember stranger = startMember("two", "c", List.of(address(first), address(second)));
         Program.await(
-                () -> count(a, MemberState.ALIVE) == 1 && count(b, MemberState.ALIVE) == 1, "both to know each other");
-        Program.await(() -> a.garbled() > 0 && b.garbled() > 0, "the stranger to be turned away");
+                () -> count(first, MemberState.ALIVE) == 1 && count(second, MemberState.ALIVE) == 1,
+                "both to know each other");
+        Program.await(() -> first.garbledMessages() > 0 && second.garbledMessages() > 0, "the stranger to be rejected");
+
+        sendRandomBytes(NodeConfig.address(address(first)));
+
+        long received = second.statistics().receivedMessages();
+        Program.await(() -> second.statistics().receivedMessages() > received + 10, "the protocol to go on");
+        assertEquals(1, first.view().peers().size());
+        assertEquals(0, stranger.view().peers().size());
+    }
+
+    private static void sendRandomBytes(InetSocketAddress receiver) throws IOException {
         Random random = new Random(1);
-        InetSocketAddress to = NodeConfig.address(address(a));
         try (DatagramSocket socket = new DatagramSocket()) {
             for (int i = 0; i < 500; i++) {
                 byte[] bytes = new byte[random.nextInt(2_000)];
                 random.nextBytes(bytes);
-                socket.send(new DatagramPacket(bytes, bytes.length, to));
+                socket.send(new DatagramPacket(bytes, bytes.length, receiver));
             }
         }
-        long heard = b.tally().heard();
-        Program.await(() -> b.tally().heard() > heard + 10, "them to go on");
-        assertEquals(1, a.view().members().size());
-        assertEquals(0, stranger.view().members().size());
     }
 
     @Test
-    void whoEndsHasLeft() throws IOException {
-        FleetMember a = member("one", "a", List.of());
-        FleetMember b = member("one", "b", List.of(address(a)));
-        Program.await(() -> count(a, MemberState.ALIVE) == 1, "the second to come");
-        b.close();
-        Program.await(() -> count(a, MemberState.LEFT) == 1, "it to have left");
-        assertTrue(a.lines().contains("member b left "), a.lines());
+    void closedMemberIsSeenAsLeft() throws IOException {
+        FleetMember first = startMember("one", "a", List.of());
+        FleetMember second = startMember("one", "b", List.of(address(first)));
+        Program.await(() -> count(first, MemberState.ALIVE) == 1, "the second to join");
+
+        second.close();
+
+        Program.await(() -> count(first, MemberState.LEFT) == 1, "the second to have left");
+        assertTrue(first.report().contains("member b left "), first.report());
     }
 
-    /** Views are told as they change, not with each turn of the thread. */
     @Test
-    void viewsAreToldWhenTheyChange() throws IOException {
-        AtomicInteger told = new AtomicInteger();
-        InetSocketAddress free = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
-        FleetMember a = new FleetMember(
-                new MembershipConfig("one", free, null, List.of(), 50_000),
-                "a",
-                2,
-                1,
-                view -> told.incrementAndGet(),
-                line -> {});
-        members.add(a);
-        a.start();
-        FleetMember b = member("one", "b", List.of(address(a)));
-        Program.await(() -> b.tally().sent() > 60, "some periods to pass");
-        assertTrue(told.get() >= 2 && told.get() < 12, "told " + told.get() + " times");
+    void publishesViewsWhenTheyChangeAndNotInEachIteration() throws IOException {
+        AtomicInteger published = new AtomicInteger();
+        MembershipConfig config = new MembershipConfig("one", anyPort(), null, List.of(), 50_000);
+        FleetMember first = start(create(config, "a", 2, view -> published.incrementAndGet()));
+        FleetMember second = startMember("one", "b", List.of(address(first)));
+
+        Program.await(() -> second.statistics().sentMessages() > 60, "some periods to pass");
+
+        assertTrue(published.get() >= 2 && published.get() < 12, "published " + published.get() + " times");
     }
 
-    /** A port that is free for datagrams may be taken for connections: any port will do, so another is tried. */
+    /** A port that is free for datagrams may be in use for connections; with port 0 another one is tried. */
     @Test
-    void aPortThatIsTakenForConnectionsIsNotUsed() throws IOException {
-        List<ServerSocket> taken = new ArrayList<>();
+    void triesAnotherPortWhereOneIsInUseForConnections() throws IOException {
+        List<ServerSocket> sockets = new ArrayList<>();
         try {
-            // One in seven of the ports that the system gives out: of forty members some meet one at first.
+            // One in seven of the ports that the system hands out: of forty members some meet one at first.
             for (int port = 32_768; port < 60_768; port += 7) {
                 try {
-                    taken.add(new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1")));
+                    sockets.add(new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1")));
                 } catch (IOException e) {
-                    // Somebody has it already.
+                    // In use already, which serves as well.
                 }
             }
             for (int i = 0; i < 40; i++) {
-                member("one", "a" + i, List.of());
+                startMember("one", "a" + i, List.of());
             }
         } finally {
-            for (ServerSocket socket : taken) {
+            for (ServerSocket socket : sockets) {
                 socket.close();
             }
         }
     }
 
     @Test
-    void whatCannotBeUsedIsRefused() throws IOException {
-        assertThrows(ConfigException.class, () -> member("one", "n".repeat(49), List.of()));
-        FleetMember a = member("one", "a", List.of());
-        InetSocketAddress taken = NodeConfig.address(address(a));
-        IOException e = assertThrows(
-                IOException.class,
-                () -> new FleetMember(
-                        new MembershipConfig("one", taken, null, List.of(), 100_000),
-                        "b",
-                        3,
-                        1,
-                        view -> {},
-                        line -> {}));
-        assertTrue(e.getMessage().startsWith("membership: 127.0.0.1:" + taken.getPort()), e.getMessage());
+    void rejectsANameThatIsTooLong() {
+        assertThrows(ConfigException.class, () -> startMember("one", "n".repeat(49), List.of()));
+    }
+
+    @Test
+    void failsOnAnAddressInUseWithTheAddressInTheMessage() throws IOException {
+        InetSocketAddress inUse = NodeConfig.address(address(startMember("one", "a", List.of())));
+        MembershipConfig config = new MembershipConfig("one", inUse, null, List.of(), PERIOD_MICROS);
+
+        IOException failure = assertThrows(IOException.class, () -> create(config, "b", 3, view -> {}));
+
+        assertTrue(failure.getMessage().startsWith("membership: 127.0.0.1:" + inUse.getPort()), failure.getMessage());
     }
 }
--- a/src/test/java/mintstair/membership/SwimTest.java
+++ b/src/test/java/mintstair/membership/SwimTest.java
@@ -2,250 +2,297 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import mintstair.membership.swim.ClusterSizeEstimate;
 import mintstair.membership.swim.GossipUpdate;
 import mintstair.membership.swim.MemberState;
 import mintstair.membership.swim.Message;
 import mintstair.membership.swim.SwimSettings;
-import mintstair.membership.swim.View;
 import org.junit.jupiter.api.Test;
 
-/** The protocol in virtual time: fleets of tens to hundreds on networks that fail. */
+/** The protocol in virtual time: fleets of tens to hundreds of members on faulty networks. */
 class SwimTest {
-    private static final long S = 1_000_000;
-
-    private static FleetPlay agreed(int size, double loss) {
-        FleetPlay play = new FleetPlay(size, size, loss, 42).startAll();
-        assertTrue(play.untilAgreed(60 * S) >= 0, "they find each other");
-        return play;
-    }
-
-    /** How long until all others took this one for dead; -1 where some did not within {@code most}. */
-    static long knownToAll(FleetPlay play, int dead, long most) {
-        long begun = play.now;
-        play.deaths.remove(dead);
-        while (play.now - begun < most) {
-            play.pass(50_000);
-            if (play.deaths.getOrDefault(dead, Map.of()).size()
-                    >= play.running().size()) {
-                return play.now - begun;
+    private static final long SECOND = 1_000_000;
+
+    private static SimulatedFleet convergedFleet(int size, double loss) {
+        SimulatedFleet fleet = new SimulatedFleet(size, size, loss, 42).startAll();
+        assertTrue(fleet.untilAgreed(60 * SECOND) >= 0, "the members find each other");
+        return fleet;
+    }
+
+    /** How long until all others learned that this member is dead; -1 if some did not within {@code limit}. */
+    private static long detectionTime(SimulatedFleet fleet, int dead, long limit) {
+        long start = fleet.now;
+        fleet.deaths.remove(dead);
+        while (fleet.now - start < limit) {
+            fleet.pass(50_000);
+            if (fleet.deaths.getOrDefault(dead, Map.of()).size()
+                    >= fleet.running().size()) {
+                return fleet.now - start;
             }
         }
         return -1;
     }
 
-    private static long messages(FleetPlay play) {
-        return play.nodes.stream().mapToLong(n -> n.messages).sum();
+    private static long messages(SimulatedFleet fleet) {
+        return fleet.nodes.stream().mapToLong(node -> node.messages).sum();
+    }
+
+    private static ClusterSizeEstimate estimate(SimulatedFleet.Node node) {
+        return node.swim.sizeEstimate();
+    }
+
+    private static boolean isSettled(SimulatedFleet.Node node) {
+        return estimate(node).settled();
+    }
+
+    private static boolean isSettledWith(SimulatedFleet.Node node, int counted) {
+        return isSettled(node) && estimate(node).counted() == counted;
+    }
+
+    /** The state in which a node sees a member; null if it does not know it. */
+    private static MemberState state(SimulatedFleet.Node node, String name) {
+        return node.view().peers().stream()
+                .filter(peer -> peer.update().name().equals(name))
+                .map(peer -> peer.update().state())
+                .findFirst()
+                .orElse(null);
     }
 
     @Test
-    void loadOfAMemberAndTimeToDetectHardlyGrowWithTheFleet() {
+    void loadPerMemberAndDetectionTimeHardlyGrowWithTheFleet() {
         double[] load = new double[2];
-        long[] detected = new long[2];
+        long[] detection = new long[2];
         int[] sizes = {20, 200};
         for (int i = 0; i < 2; i++) {
-            FleetPlay play = agreed(sizes[i], 0.05);
-            long before = messages(play);
-            play.pass(10 * S);
-            load[i] = (messages(play) - before) / 10.0 / sizes[i];
-            play.kill(play.nodes.get(7));
-            detected[i] = knownToAll(play, 7, 20 * S);
+            SimulatedFleet fleet = convergedFleet(sizes[i], 0.05);
+            long before = messages(fleet);
+            fleet.pass(10 * SECOND);
+            load[i] = (messages(fleet) - before) / 10.0 / sizes[i];
+            fleet.kill(fleet.nodes.get(7));
+            detection[i] = detectionTime(fleet, 7, 20 * SECOND);
         }
-        assertTrue(load[1] < 1.1 * load[0], load[0] + " messages a second and member, then " + load[1]);
-        assertTrue(
-                detected[0] > 0 && detected[0] < 3.5 * S && detected[1] > 0 && detected[1] < 4 * S,
-                detected[0] + " us, then " + detected[1]);
+
+        assertTrue(load[1] < 1.1 * load[0], load[0] + " messages per second and member, then " + load[1]);
+        String detected = detection[0] + " us, then " + detection[1];
+        assertTrue(detection[0] > 0 && detection[0] < 3.5 * SECOND, detected);
+        assertTrue(detection[1] > 0 && detection[1] < 4 * SECOND, detected);
     }
 
-    /** Guards against a bound below fleets to come, of what a member takes in and of what it hands on to a newcomer. */
+    /** Guards the bounds of the members that a table holds and of the state that is sent to a newcomer. */
     @Test
-    void aNewcomerLearnsOfAThousandMembersFromTheOneThatItKnows() {
-        FleetPlay play = new FleetPlay(1_024, 1_024, 0, 42);
-        play.start(play.nodes.get(0));
+    void newcomerLearnsOfAThousandMembersFromOneSeed() {
+        SimulatedFleet fleet = new SimulatedFleet(1_024, 1_024, 0, 42);
+        SimulatedFleet.Node seed = fleet.nodes.get(0);
+        SimulatedFleet.Node newcomer = fleet.nodes.get(1);
+        fleet.start(seed);
         for (int i = 1; i < 1_024; i++) {
-            GossipUpdate alive = new GossipUpdate("p" + i, "" + i, play.now, MemberState.ALIVE, 0, "p" + i);
-            play.nodes.get(0).swim.received(play.now, new Message(alive, new Message.GossipOnly(), List.of()));
+            GossipUpdate alive = new GossipUpdate("p" + i, "" + i, fleet.now, MemberState.ALIVE, 0, "p" + i);
+            seed.swim.received(fleet.now, new Message(alive, new Message.GossipOnly(), List.of()));
         }
-        assertEquals(1_023, play.nodes.get(0).view().members().size());
-        play.start(play.nodes.get(1));
-        play.pass(10 * S);
-        assertEquals(1_023, play.nodes.get(1).view().members().size());
-        assertEquals(0, play.nodes.get(1).swim.tally().turnedAway());
+        assertEquals(1_023, seed.view().peers().size());
+
+        fleet.start(newcomer);
+        fleet.pass(10 * SECOND);
+
+        assertEquals(1_023, newcomer.view().peers().size());
+        assertEquals(0, newcomer.swim.statistics().rejected());
     }
 
-    /** Without connections to check by, a tenth of all pings fail: nobody may die of that. 60 members, 250 periods each. */
+    /** Without connections to check by, a tenth of all probes fail. 60 members, 250 periods each. */
     @Test
-    void lossDoesNotKill() {
-        FleetPlay play = new FleetPlay(60, 60, 0.05, 7);
-        play.connections = false;
-        play.startAll();
-        play.untilAgreed(60 * S);
-        play.pass(100 * S);
-        assertTrue(play.falseSuspicions > 0, "some were suspected, or this test shows nothing");
-        assertEquals(0, play.falseDeaths);
+    void packetLossCausesSuspicionsButNoDeaths() {
+        SimulatedFleet fleet = new SimulatedFleet(60, 60, 0.05, 7);
+        fleet.connections = false;
+        fleet.startAll();
+        fleet.untilAgreed(60 * SECOND);
+
+        fleet.pass(100 * SECOND);
+
+        assertTrue(fleet.falseSuspicions > 0, "some were suspected, or this test shows nothing");
+        assertEquals(0, fleet.falseDeaths);
         assertEquals(
                 0,
-                play.nodes.stream().mapToLong(n -> n.swim.tally().falseDeaths()).sum());
+                fleet.nodes.stream()
+                        .mapToLong(node -> node.swim.statistics().falseDeaths())
+                        .sum());
     }
 
     @Test
-    void machineThatIsLostIsFoundBySilenceInTime() {
-        FleetPlay play = agreed(30, 0.05);
-        play.lose(play.nodes.get(9));
-        long took = knownToAll(play, 9, 60 * S);
-        assertTrue(took > play.settings().period() && took < 30 * S, "took " + took);
+    void lostMachineIsDetectedByItsSilence() {
+        SimulatedFleet fleet = convergedFleet(30, 0.05);
+
+        fleet.lose(fleet.nodes.get(9));
+
+        long detection = detectionTime(fleet, 9, 60 * SECOND);
+        assertTrue(
+                detection > fleet.settings().periodMicros() && detection < 30 * SECOND, "detected after " + detection);
     }
 
-    /** Shorter than any suspicion: it is suspected and refutes, and itself declares nobody dead for what it did not hear. */
+    /** The stall is shorter than any suspicion timeout. */
     @Test
-    void memberThatStoodStillRefutesAndBlamesNobody() {
-        FleetPlay play = agreed(9, 0);
-        play.pass(20 * S);
-        assertTrue(play.nodes.get(4).swim.standing().settled());
-        play.stall(play.nodes.get(4), play.now + 5 * S);
-        play.pass(5 * S);
-        assertEquals(8, play.suspicions.get(4).size(), "all others suspected it");
-        assertTrue(play.untilAgreed(5 * S) >= 0);
-        assertFalse(play.nodes.get(4).swim.standing().settled(), "what it knows may be old");
-        assertEquals(0, play.falseDeaths);
-        assertEquals(1, play.nodes.get(4).swim.tally().stalls());
-        play.pass(20 * S);
-        assertTrue(play.nodes.get(4).swim.standing().settled());
-    }
-
-    /** Longer than its suspicion: declared dead, but not settled when it wakes, and counted again soon after. */
+    void stalledMemberRefutesItsSuspicionAndDeclaresNobodyDead() {
+        SimulatedFleet fleet = convergedFleet(9, 0);
+        SimulatedFleet.Node stalled = fleet.nodes.get(4);
+        fleet.pass(20 * SECOND);
+        assertTrue(isSettled(stalled));
+
+        fleet.stall(stalled, fleet.now + 5 * SECOND);
+        fleet.pass(5 * SECOND);
+
+        assertEquals(8, fleet.suspicions.get(4).size(), "all others suspected it");
+        assertTrue(fleet.untilAgreed(5 * SECOND) >= 0);
+        assertFalse(isSettled(stalled), "its view may be outdated");
+        assertEquals(0, fleet.falseDeaths);
+        assertEquals(1, stalled.swim.statistics().stalls());
+        fleet.pass(20 * SECOND);
+        assertTrue(isSettled(stalled));
+    }
+
+    /** The stall is longer than the suspicion timeout. */
     @Test
-    void memberThatStoodStillForLongIsTakenInAgain() {
-        FleetPlay play = agreed(9, 0);
-        play.stall(play.nodes.get(4), play.now + 60 * S);
-        play.pass(60 * S);
-        assertEquals(8, play.deaths.get(4).size());
-        assertTrue(play.untilAgreed(15 * S) >= 0);
-        assertFalse(play.nodes.get(4).swim.standing().settled());
+    void memberThatStalledUntilItWasDeclaredDeadRejoins() {
+        SimulatedFleet fleet = convergedFleet(9, 0);
+        SimulatedFleet.Node stalled = fleet.nodes.get(4);
+
+        fleet.stall(stalled, fleet.now + 60 * SECOND);
+        fleet.pass(60 * SECOND);
+
+        assertEquals(8, fleet.deaths.get(4).size());
+        assertTrue(fleet.untilAgreed(15 * SECOND) >= 0);
+        assertFalse(isSettled(stalled));
         assertEquals(
                 8,
-                play.nodes.stream()
-                        .filter(n -> n.number != 4 && n.swim.tally().falseDeaths() == 1)
+                fleet.nodes.stream()
+                        .filter(node ->
+                                node != stalled && node.swim.statistics().falseDeaths() == 1)
                         .count());
     }
 
     @Test
-    void cutFleetHasOneQuorumDropsTheFarSideInTimeAndHeals() {
-        FleetPlay play = agreed(50, 0.01);
-        play.pass(30 * S);
-        play.network = FleetPlay.cut(0.01, 20);
-        List<FleetPlay.Node> few = play.nodes.subList(0, 20);
-        List<FleetPlay.Node> many = play.nodes.subList(20, 50);
+    void partitionedFleetHasOneQuorumDropsTheFarSideAndHeals() {
+        SimulatedFleet fleet = convergedFleet(50, 0.01);
+        fleet.pass(30 * SECOND);
+        List<SimulatedFleet.Node> minority = fleet.nodes.subList(0, 20);
+        List<SimulatedFleet.Node> majority = fleet.nodes.subList(20, 50);
+
+        fleet.network = SimulatedFleet.partitioned(0.01, 20);
         long fenced = -1;
-        for (long begun = play.now; play.now - begun < 180 * S; play.pass(500_000)) {
-            if (fenced < 0 && few.stream().noneMatch(n -> n.swim.standing().quorum())) {
-                fenced = play.now;
+        for (long start = fleet.now; fleet.now - start < 180 * SECOND; fleet.pass(500_000)) {
+            if (fenced < 0 && minority.stream().noneMatch(node -> estimate(node).quorum())) {
+                fenced = fleet.now;
             }
-            if (many.stream().anyMatch(n -> n.swim.standing().counted() < 50)) {
+            if (majority.stream().anyMatch(node -> estimate(node).counted() < 50)) {
                 break;
             }
         }
+
         assertTrue(
-                fenced > 0 && play.now - fenced > 20 * S, "fenced at " + fenced + ", no longer counted at " + play.now);
-        play.pass(30 * S);
-        assertTrue(many.stream()
-                .allMatch(n -> n.swim.standing().settled() && n.swim.standing().counted() == 30));
-        assertTrue(few.stream().noneMatch(n -> n.swim.standing().settled()));
-        play.network = FleetPlay.losing(0.01);
-        long healed = play.untilAgreed(30 * S);
-        assertTrue(healed >= 0 && healed < 20 * S, "healed in " + healed);
-        play.pass(40 * S);
-        assertTrue(play.nodes.stream()
-                .allMatch(n -> n.swim.standing().settled() && n.swim.standing().counted() == 50));
+                fenced > 0 && fleet.now - fenced > 20 * SECOND,
+                "minority without quorum at " + fenced + ", dropped at " + fleet.now);
+        fleet.pass(30 * SECOND);
+        assertTrue(majority.stream().allMatch(node -> isSettledWith(node, 30)));
+        assertTrue(minority.stream().noneMatch(SwimTest::isSettled));
+        fleet.network = SimulatedFleet.lossy(0.01);
+        long healed = fleet.untilAgreed(30 * SECOND);
+        assertTrue(healed >= 0 && healed < 20 * SECOND, "healed in " + healed);
+        fleet.pass(40 * SECOND);
+        assertTrue(fleet.nodes.stream().allMatch(node -> isSettledWith(node, 50)));
     }
 
     @Test
-    void linksThatFailOneWayAreGoneRound() {
-        FleetPlay play = agreed(9, 0);
-        play.network = (from, to, chance) -> from == 2 && to == 5 || from == 7 && to == 1 ? -1 : 500;
-        play.pass(40 * S);
-        assertEquals(0, play.falseSuspicions);
-        play.network = (from, to, chance) -> from == 2 || to == 2 ? 300_000 : 500;
-        play.pass(40 * S);
-        assertTrue(play.falseSuspicions > 0, "600 ms there and back is longer than a period");
-        assertEquals(0, play.falseDeaths);
-    }
-
-    /** Those that left are told of to whoever comes later, until all forget them; nobody brings them back. */
+    void indirectProbesGoRoundLinksThatFailOneWay() {
+        SimulatedFleet fleet = convergedFleet(9, 0);
+
+        fleet.network = (from, to, random) -> from == 2 && to == 5 || from == 7 && to == 1 ? -1 : 500;
+        fleet.pass(40 * SECOND);
+        assertEquals(0, fleet.falseSuspicions);
+
+        fleet.network = (from, to, random) -> from == 2 || to == 2 ? 300_000 : 500;
+        fleet.pass(40 * SECOND);
+        assertTrue(fleet.falseSuspicions > 0, "a round trip of 600 ms is longer than a period");
+        assertEquals(0, fleet.falseDeaths);
+    }
+
+    /** Members that come later learn of those that left, until all forget them; no member brings them back. */
     @Test
-    void thoseThatLeftAreForgottenForGood() {
-        SwimSettings short60 = SwimSettings.usual(6).keeping(60 * S);
-        FleetPlay play = new FleetPlay(8, short60, 0, 3);
-        play.nodes.subList(0, 6).forEach(play::start);
-        assertTrue(play.untilAgreed(20 * S) >= 0);
-        play.nodes.get(5).swim.leave();
-        play.kill(play.nodes.get(5));
-        play.pass(20 * S);
-        play.start(play.nodes.get(6));
-        play.pass(9 * S);
-        assertEquals(MemberState.LEFT, state(play.nodes.get(6).view(), "p5"));
-        play.pass(5 * S);
-        play.start(play.nodes.get(7));
-        play.pass(100 * S);
-        for (FleetPlay.Node node : play.running()) {
-            assertEquals(null, state(node.view(), "p5"), node.name);
-            assertEquals(7, node.swim.standing().counted(), node.name);
+    void membersThatLeftAreForgottenForGood() {
+        SwimSettings retention60s = SwimSettings.forLocalNetwork(6).withRetentionMicros(60 * SECOND);
+        SimulatedFleet fleet = new SimulatedFleet(8, retention60s, 0, 3);
+        fleet.nodes.subList(0, 6).forEach(fleet::start);
+        assertTrue(fleet.untilAgreed(20 * SECOND) >= 0);
+
+        fleet.nodes.get(5).swim.leave();
+        fleet.kill(fleet.nodes.get(5));
+        fleet.pass(20 * SECOND);
+        fleet.start(fleet.nodes.get(6));
+        fleet.pass(9 * SECOND);
+        assertEquals(MemberState.LEFT, state(fleet.nodes.get(6), "p5"));
+
+        fleet.pass(5 * SECOND);
+        fleet.start(fleet.nodes.get(7));
+        fleet.pass(100 * SECOND);
+        for (SimulatedFleet.Node node : fleet.running()) {
+            assertNull(state(node, "p5"), node.name);
+            assertEquals(7, estimate(node).counted(), node.name);
         }
-        assertTrue(play.agrees());
+        assertTrue(fleet.agrees());
     }
 
-    private static MemberState state(View view, String name) {
-        return view.members().stream()
-                .filter(m -> m.known().name().equals(name))
-                .map(m -> m.known().state())
-                .findFirst()
-                .orElse(null);
+    /** The older process takes no share, as the others do not count it. */
+    @Test
+    void olderOfTwoProcessesWithOneNameYields() {
+        SimulatedFleet fleet = new SimulatedFleet(6, 6, 0, 5);
+        SimulatedFleet.Node older = fleet.nodes.get(3);
+        SimulatedFleet.Node newer = fleet.nodes.get(5);
+        fleet.nodes.subList(0, 5).forEach(fleet::start);
+        fleet.untilAgreed(20 * SECOND);
+        fleet.pass(30 * SECOND);
+        assertTrue(isSettled(older));
+
+        fleet.start(newer, "p3");
+        fleet.pass(30 * SECOND);
+
+        assertFalse(isSettled(older));
+        assertTrue(older.swim.statistics().nameConflicts() > 0);
+        assertTrue(isSettled(newer));
+        assertTrue(fleet.nodes.get(0).view().version() < 100, "the two do not refute each other without end");
     }
 
-    /** Two processes of one name: the older yields, and does not share what it is not counted for. */
-    @Test
-    void ofTwoNamesakesTheOlderYields() {
-        FleetPlay play = new FleetPlay(6, 6, 0, 5);
-        play.nodes.subList(0, 5).forEach(play::start);
-        play.untilAgreed(20 * S);
-        play.pass(30 * S);
-        assertTrue(play.nodes.get(3).swim.standing().settled());
-        play.start(play.nodes.get(5), "p3");
-        play.pass(30 * S);
-        assertFalse(play.nodes.get(3).swim.standing().settled());
-        assertTrue(play.nodes.get(3).swim.tally().namesakes() > 0);
-        assertTrue(play.nodes.get(5).swim.standing().settled());
-        assertTrue(play.nodes.get(0).view().version() < 100, "no quarrel without end");
-    }
-
-    /** Whatever is broken and healed again in a row, once nothing is broken all agree. */
     @Test
-    void randomFaultsEndInOneView() {
+    void membersAgreeAfterAnySequenceOfFaults() {
         for (int seed = 0; seed < 25; seed++) {
-            FleetPlay play = new FleetPlay(12, 12, 0.02, seed).startAll();
-            Random chance = new Random(seed);
+            SimulatedFleet fleet = new SimulatedFleet(12, 12, 0.02, seed).startAll();
+            Random random = new Random(seed);
             for (int i = 0; i < 25; i++) {
-                FleetPlay.Node node = play.nodes.get(chance.nextInt(12));
-                switch (chance.nextInt(6)) {
-                    case 0 -> play.network = FleetPlay.cut(0.05, 1 + chance.nextInt(11));
-                    case 1 -> play.network = FleetPlay.losing(0.2 * chance.nextDouble());
-                    case 2 -> play.kill(node);
-                    case 3 -> play.stall(node, play.now + chance.nextInt(30) * S);
-                    default -> {
-                        if (!node.runs) {
-                            play.start(node);
-                        }
-                    }
+                injectFault(fleet, random);
+                fleet.pass(random.nextInt(20) * SECOND);
+            }
+
+            fleet.network = SimulatedFleet.lossy(0.02);
+            fleet.nodes.stream().filter(node -> !node.runs).toList().forEach(fleet::start);
+
+            assertTrue(fleet.untilAgreed(120 * SECOND) >= 0, "seed " + seed);
+        }
+    }
+
+    private static void injectFault(SimulatedFleet fleet, Random random) {
+        SimulatedFleet.Node node = fleet.nodes.get(random.nextInt(12));
+        switch (random.nextInt(6)) {
+            case 0 -> fleet.network = SimulatedFleet.partitioned(0.05, 1 + random.nextInt(11));
+            case 1 -> fleet.network = SimulatedFleet.lossy(0.2 * random.nextDouble());
+            case 2 -> fleet.kill(node);
+            case 3 -> fleet.stall(node, fleet.now + random.nextInt(30) * SECOND);
+            default -> {
+                if (!node.runs) {
+                    fleet.start(node);
                 }
-                play.pass(chance.nextInt(20) * S);
             }
-            play.network = FleetPlay.losing(0.02);
-            play.nodes.stream().filter(n -> !n.runs).toList().forEach(play::start);
-            assertTrue(play.untilAgreed(120 * S) >= 0, "seed " + seed);
         }
     }
 }
