--- a/src/main/java/mintstair/serve/StoreKeeper.java
+++ b/src/main/java/mintstair/serve/StoreKeeper.java
@@ -34,7 +34,7 @@
     /** {@code hosts} is told of each new list, {@code state} gives what to keep of this daemon. */
     StoreKeeper(OperatorConfig.Members members, String name, Consumer<EndpointList> hosts, Supplier<String> state)
             throws IOException {
-        store = Store.member(members.member(), members.members(), members.folder());
+        store = Store.startMember(members.member(), members.members(), members.folder());
         thread.scheduleWithFixedDelay(() -> guarded(() -> look(hosts)), 0, LOOK_EVERY_SECONDS, TimeUnit.SECONDS);
         thread.scheduleWithFixedDelay(
                 () -> guarded(() -> tell(name, state.get())), 0, TELL_EVERY_SECONDS, TimeUnit.SECONDS);
@@ -51,7 +51,7 @@
 
     /** A list that cannot be read changes nothing. */
     private void look(Consumer<EndpointList> hosts) {
-        String now = store.local(HOSTS);
+        String now = store.getLocal(HOSTS);
         if (now == null || now.equals(last)) {
             return;
         }
--- /dev/null
+++ b/src/main/java/mintstair/store/KeyValueStateMachine.java
@@ -0,0 +1,94 @@
+package mintstair.store;
+
+import java.io.File;
+import java.io.IOException;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import java.util.concurrent.CompletableFuture;
+import org.apache.ratis.io.MD5Hash;
+import org.apache.ratis.proto.RaftProtos.LogEntryProto;
+import org.apache.ratis.protocol.Message;
+import org.apache.ratis.protocol.RaftGroupId;
+import org.apache.ratis.server.RaftServer;
+import org.apache.ratis.server.protocol.TermIndex;
+import org.apache.ratis.server.storage.FileInfo;
+import org.apache.ratis.server.storage.RaftStorage;
+import org.apache.ratis.statemachine.TransactionContext;
+import org.apache.ratis.statemachine.impl.BaseStateMachine;
+import org.apache.ratis.statemachine.impl.SimpleStateMachineStorage;
+import org.apache.ratis.statemachine.impl.SingleFileSnapshotInfo;
+
+/**
+ * The state machine of a member: keys and values, changed by committed log entries only. Thread-safe: Ratis applies
+ * entries, takes snapshots and queries on threads of its own.
+ */
+final class KeyValueStateMachine extends BaseStateMachine {
+    private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
+
+    /** Guarded by this object's monitor. */
+    private final Map<String, String> entries = new TreeMap<>();
+
+    @Override
+    public void initialize(RaftServer server, RaftGroupId group, RaftStorage raftStorage) throws IOException {
+        super.initialize(server, group, raftStorage);
+        StoreSnapshot.quarantineIncomplete(
+                raftStorage.getStorageDir().getStateMachineDir().toPath());
+        storage.init(raftStorage);
+        load(storage.getLatestSnapshot());
+    }
+
+    /** Ratis calls this after it has received a snapshot from the leader. */
+    @Override
+    public void reinitialize() throws IOException {
+        load(storage.getLatestSnapshot());
+    }
+
+    @Override
+    public SimpleStateMachineStorage getStateMachineStorage() {
+        return storage;
+    }
+
+    private synchronized void load(SingleFileSnapshotInfo snapshot) throws IOException {
+        if (snapshot == null) {
+            return;
+        }
+        Map<String, String> loaded = StoreSnapshot.read(snapshot.getFile().getPath());
+        entries.clear();
+        entries.putAll(loaded);
+        setLastAppliedTermIndex(snapshot.getTermIndex());
+    }
+
+    /** Writes the entries to a file, after which Ratis may truncate the log up to the returned index. */
+    @Override
+    public synchronized long takeSnapshot() throws IOException {
+        TermIndex last = getLastAppliedTermIndex();
+        File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
+        MD5Hash digest = StoreSnapshot.write(file, entries);
+        storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), digest), last));
+        return last.getIndex();
+    }
+
+    @Override
+    public synchronized CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
+        LogEntryProto entry = transaction.getLogEntry();
+        Optional<StoreMessages.Write> write =
+                StoreMessages.parseWrite(entry.getStateMachineLogEntry().getLogData());
+        if (write.isPresent()) {
+            entries.put(write.get().key(), write.get().value());
+        }
+        updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
+        return CompletableFuture.completedFuture(Message.EMPTY);
+    }
+
+    @Override
+    public CompletableFuture<Message> query(Message query) {
+        String value = get(StoreMessages.parseQuery(query));
+        return CompletableFuture.completedFuture(StoreMessages.queryReply(value));
+    }
+
+    /** The value of a key as this member has it; null if there is no such key. */
+    synchronized String get(String key) {
+        return entries.get(key);
+    }
+}
--- a/src/test/java/mintstair/store/StoreTest.java
+++ b/src/test/java/mintstair/store/StoreTest.java
@@ -1,6 +1,7 @@
 package mintstair.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,8 +12,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.Stream;
 import mintstair.program.Program;
 import mintstair.standin.Discovery;
@@ -21,17 +24,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three members on loopback. */
+/** A group of three members on the loopback interface. */
 class StoreTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private final Map<String, InetSocketAddress> members = new LinkedHashMap<>();
     private final Map<String, Store> running = new TreeMap<>();
 
     @BeforeEach
-    void start() throws IOException {
-        for (String name : new String[] {"n1", "n2", "n3"}) {
+    void startAll() throws IOException {
+        for (String name : List.of("n1", "n2", "n3")) {
             try (ServerSocket free = new ServerSocket(0)) {
                 members.put(name, new InetSocketAddress("127.0.0.1", free.getLocalPort()));
             }
@@ -41,14 +44,6 @@
         }
     }
 
-    private void start(String name) throws IOException {
-        running.put(name, Store.member(name, members, folder.resolve(name)));
-    }
-
-    private void stop(String name) throws IOException {
-        running.remove(name).close();
-    }
-
     @AfterEach
     void stopAll() throws IOException {
         for (Store store : running.values()) {
@@ -56,21 +51,46 @@
         }
     }
 
-    private String leader() {
-        String[] found = new String[1];
+    private void start(String name) throws IOException {
+        running.put(name, Store.startMember(name, members, directory.resolve(name)));
+    }
+
+    private void stop(String name) throws IOException {
+        running.remove(name).close();
+    }
+
+    private String awaitLeader() {
+        AtomicReference<String> leader = new AtomicReference<>();
         Program.await(
                 () -> {
-                    for (Map.Entry<String, Store> e : running.entrySet()) {
-                        try {
-                            found[0] = e.getValue().leads() ? e.getKey() : found[0];
-                        } catch (IOException ex) {
-                            return false;
-                        }
+                    try {
+                        leader.set(findLeader());
+                    } catch (IOException e) {
+                        return false;
                     }
-                    return found[0] != null;
+                    return leader.get() != null;
                 },
                 "a leader");
-        return found[0];
+        return leader.get();
+    }
+
+    private String findLeader() throws IOException {
+        for (Map.Entry<String, Store> member : running.entrySet()) {
+            if (member.getValue().isLeader()) {
+                return member.getKey();
+            }
+        }
+        return null;
+    }
+
+    private void awaitLocal(String member, String key, String value) {
+        Program.await(() -> value.equals(running.get(member).getLocal(key)), member + " to have " + key);
+    }
+
+    private void awaitLocalOnAll(String key, String value) {
+        Program.await(
+                () -> running.values().stream().allMatch(store -> value.equals(store.getLocal(key))),
+                "all members to have " + key);
     }
 
     @Test
@@ -78,56 +98,68 @@
         running.get("n1").put("config/a", "one");
         assertEquals("one", running.get("n2").get("config/a"));
         assertNull(running.get("n3").get("config/b"));
-        stop(leader());
-        Store other = running.values().iterator().next();
-        other.put("config/a", "two");
-        assertEquals("two", other.get("config/a"));
-        for (String name : running.keySet().toArray(new String[0])) {
+
+        stop(awaitLeader());
+        Store remaining = running.values().iterator().next();
+        remaining.put("config/a", "two");
+        assertEquals("two", remaining.get("config/a"));
+
+        for (String name : List.copyOf(running.keySet())) {
             stop(name);
         }
         for (String name : members.keySet()) {
             start(name);
         }
         assertEquals("two", running.get("n1").get("config/a"));
-        Program.await(() -> running.values().stream().allMatch(s -> "two".equals(s.local("config/a"))), "all members");
+        awaitLocalOnAll("config/a", "two");
     }
 
-    /** A member was killed in the middle of writing what stands in for its log: the half is no snapshot, and the log is still there. */
+    /** A crash while a snapshot is written leaves one without a digest; its entries are still in the log. */
     @Test
-    void halfWrittenSnapshotIsNotReadAndWhatWasTakenIsThere() throws IOException {
+    void incompleteSnapshotIsIgnoredAndTheLogIsReplayed() throws IOException {
         running.get("n1").put("config/a", "one");
-        Program.await(() -> "one".equals(running.get("n2").local("config/a")), "the second member");
+        awaitLocal("n2", "config/a", "one");
         stop("n2");
-        Path snapshots;
-        try (Stream<Path> files = Files.walk(folder.resolve("n2"))) {
-            snapshots = files.filter(file -> file.getFileName().toString().equals("sm"))
+        // The number of entries is seven, and none follows.
+        Files.write(snapshotDirectory("n2").resolve("snapshot.1_1"), new byte[] {0, 0, 0, 7, 0, 0});
+
+        start("n2");
+
+        awaitLocal("n2", "config/a", "one");
+    }
+
+    private Path snapshotDirectory(String member) throws IOException {
+        try (Stream<Path> files = Files.walk(directory.resolve(member))) {
+            return files.filter(file -> file.getFileName().toString().equals("sm"))
                     .findFirst()
                     .orElseThrow();
         }
-        // A count of seven entries, and none of them.
-        Files.write(snapshots.resolve("snapshot.1_1"), new byte[] {0, 0, 0, 7, 0, 0});
-        start("n2");
-        Program.await(() -> "one".equals(running.get("n2").local("config/a")), "what was taken before");
     }
 
     @Test
-    void minorityRefusesWritesAndKeepsWhatItHas() throws IOException {
+    void minorityRejectsWritesAndKeepsItsEntries() throws IOException {
         running.get("n1").put("state/n1", "up");
-        Program.await(() -> "up".equals(running.get("n3").local("state/n1")), "the third member");
+        awaitLocal("n3", "state/n1", "up");
+
         stop("n1");
         stop("n2");
-        assertThrows(IOException.class, () -> running.get("n3").put("state/n1", "down"));
-        assertEquals("up", running.get("n3").local("state/n1"));
+
+        IOException failure =
+                assertThrows(IOException.class, () -> running.get("n3").put("state/n1", "down"));
+        assertInstanceOf(NoQuorumException.class, failure);
+        assertEquals("up", running.get("n3").getLocal("state/n1"));
     }
 
-    /** Guards against a bound below the lists of fleets: MongoDB's hosts are one entry. */
+    /** Guards the bound of an entry: the MongoDB hosts of a fleet are one entry. */
     @Test
-    void longestEntryIsKeptByAllAndHoldsAThousandHosts() throws IOException {
+    void longestEntryHoldsAThousandHostsAndIsReplicatedToAll() throws IOException {
         String key = "config/mongodb/hosts";
-        String longest = "x".repeat(Store.LONGEST - key.length());
+        String longest = "x".repeat(Store.MAX_ENTRY_CHARS - key.length());
         assertTrue(Discovery.hosts(1024).length() < longest.length());
+
         running.get("n1").put(key, longest);
-        Program.await(() -> running.values().stream().allMatch(s -> longest.equals(s.local(key))), "all members");
+
+        awaitLocalOnAll(key, longest);
         assertThrows(IllegalArgumentException.class, () -> running.get("n1").put(key, longest + "x"));
     }
 }
