--- a/src/test/java/mintstair/pins/StoredDataTest.java
+++ b/src/test/java/mintstair/pins/StoredDataTest.java
@@ -53,7 +53,7 @@
     /** Reads the store's folder, goes on with it, and reads it once more after a restart. */
     private void readAndGoOn(Path kept, Map<String, String> entries) throws IOException {
         Map<String, InetSocketAddress> members = StoredData.freeMember();
-        try (Store store = Store.member(StoredData.MEMBER, members, kept)) {
+        try (Store store = Store.startMember(StoredData.MEMBER, members, kept)) {
             assertEquals(new TreeMap<>(entries), read(store, entries.keySet()));
             assertNull(store.get("config/key-16"), "no entry that was never there");
             store.put("config/new", "written after");
@@ -62,7 +62,7 @@
         Map<String, String> after = new TreeMap<>(entries);
         after.put("config/new", "written after");
         after.put("config/key-0", "overwritten");
-        try (Store store = Store.member(StoredData.MEMBER, members, kept)) {
+        try (Store store = Store.startMember(StoredData.MEMBER, members, kept)) {
             assertEquals(after, read(store, after.keySet()));
         }
     }
--- a/src/test/java/mintstair/pins/StoredDataWriter.java
+++ b/src/test/java/mintstair/pins/StoredDataWriter.java
@@ -66,17 +66,17 @@
     void stores() throws IOException {
         Path kept = Files.createTempDirectory("mintstair").resolve(StoredData.STORE);
         Map<String, InetSocketAddress> members = StoredData.freeMember();
-        try (Store store = Store.member(StoredData.MEMBER, members, kept)) {
+        try (Store store = Store.startMember(StoredData.MEMBER, members, kept)) {
             for (int round = 1; round < StoredData.ROUNDS; round++) {
                 put(store, StoredData.round(round));
             }
         }
-        try (Store store = Store.member(StoredData.MEMBER, members, kept)) {
+        try (Store store = Store.startMember(StoredData.MEMBER, members, kept)) {
             put(store, StoredData.entries());
             copy(kept, folder.resolve(StoredData.STORE));
         }
         Path young = Files.createTempDirectory("mintstair").resolve(StoredData.YOUNG_STORE);
-        try (Store store = Store.member(StoredData.MEMBER, members, young)) {
+        try (Store store = Store.startMember(StoredData.MEMBER, members, young)) {
             put(store, StoredData.entries());
             copy(young, folder.resolve(StoredData.YOUNG_STORE));
         }
