--- /dev/null
+++ b/src/test/java/mintstair/proxy/DispatcherTest.java
@@ -0,0 +1,289 @@
+package mintstair.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.Callable;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import mintstair.config.InstanceSettings;
+import mintstair.config.Json;
+import mintstair.program.Program;
+import mintstair.request.ConnectionEnd;
+import mintstair.request.EndpointList;
+import mintstair.request.Exchange;
+import mintstair.request.HostReply;
+import mintstair.request.HostReport;
+import mintstair.request.ProxyRequest;
+import mintstair.request.Response;
+import mintstair.request.ResponseListener;
+import mintstair.request.Statement;
+import mintstair.routing.RequestRouter;
+import mintstair.stats.Counters;
+import mintstair.stats.MetricsSnapshot;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** The way of a request through the core, with the real router and a backend that the test plays. */
+class DispatcherTest {
+    private static final long TIMEOUT_SECONDS = 20;
+    private static final long TIMEOUT_MICROS = 5_000_000;
+    private static final String PRIMARY = "p";
+    private static final Statement STATEMENT = timeoutMillis -> new byte[0];
+    private static final byte[] BODY = {1, 2};
+
+    /** Something that was sent, to be replied to by the test. */
+    private static final class Sent implements Backend.Attempt {
+        private final String host;
+        private final Backend.AttemptListener listener;
+        private boolean cancelled;
+
+        Sent(String host, Backend.AttemptListener listener) {
+            this.host = host;
+            this.listener = listener;
+        }
+
+        @Override
+        public void cancel() {
+            cancelled = true;
+        }
+
+        void reply(ConnectionEnd end) {
+            listener.end(new HostReply(end, BODY, HostReport.NONE));
+        }
+    }
+
+    private static final class RecordingBackend implements Backend {
+        private final List<Sent> sent = new ArrayList<>();
+
+        @Override
+        public Attempt send(String host, Statement statement, long writeBy, long abandonAt, AttemptListener listener) {
+            Sent attempt = new Sent(host, listener);
+            sent.add(attempt);
+            return attempt;
+        }
+
+        @Override
+        public void probe(String host, AttemptListener listener) {}
+
+        @Override
+        public void listed(EndpointList list) {}
+
+        @Override
+        public void failQueuedForUnavailable() {}
+    }
+
+    private static final class RecordingClient implements ResponseListener {
+        private final List<Response> responses = new ArrayList<>();
+        private final List<byte[]> parts = new ArrayList<>();
+        private boolean gone;
+        private boolean cut;
+
+        @Override
+        public void answer(Response response) {
+            responses.add(response);
+        }
+
+        @Override
+        public void part(byte[] bytes, Runnable written) {
+            parts.add(bytes);
+            written.run();
+        }
+
+        @Override
+        public boolean isGone() {
+            return gone;
+        }
+
+        @Override
+        public void cut() {
+            cut = true;
+        }
+    }
+
+    private final EventLoop loop = new EventLoop();
+    private final RecordingBackend backend = new RecordingBackend();
+    private final RecordingClient client = new RecordingClient();
+    private Dispatcher dispatcher;
+
+    @BeforeEach
+    void startWithAPrimary() throws Exception {
+        String settings = Program.SETTINGS.replace("PROBING", "false");
+        InstanceSettings instance =
+                new InstanceSettings((Map<?, ?>) Json.read(settings.getBytes(StandardCharsets.UTF_8)));
+        RequestRouter router = new RequestRouter(loop.now(), 1, instance);
+        dispatcher = new Dispatcher(loop, router, backend, new Counters(), line -> {});
+        EndpointList.Entry primary =
+                new EndpointList.Entry(PRIMARY, "127.0.0.1:9", "z", 1, EndpointList.State.SERVING, true, 1, 0);
+        onLoop(() -> dispatcher.listed(new EndpointList(1, true, List.of(primary)), false));
+    }
+
+    @AfterEach
+    void closeLoop() {
+        loop.close();
+    }
+
+    private <T> T onLoop(Callable<T> call) throws Exception {
+        CompletableFuture<T> result = new CompletableFuture<>();
+        loop.execute(() -> {
+            try {
+                result.complete(call.call());
+            } catch (Exception | AssertionError failure) {
+                result.completeExceptionally(failure);
+            }
+        });
+        return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    }
+
+    private void onLoop(Runnable task) throws Exception {
+        onLoop(() -> {
+            task.run();
+            return null;
+        });
+    }
+
+    private Exchange submitWrite() {
+        ProxyRequest request =
+                new ProxyRequest("id", "write", 1, null, false, TIMEOUT_MICROS, HostReport.UNKNOWN, STATEMENT, null);
+        return dispatcher.submit(request, 0, client);
+    }
+
+    private Sent onlyAttempt() {
+        assertEquals(1, backend.sent.size());
+        return backend.sent.get(0);
+    }
+
+    private long metric(String name) {
+        MetricsSnapshot.Builder metrics = new MetricsSnapshot.Builder();
+        dispatcher.addTo(metrics);
+        return metrics.build().value(name);
+    }
+
+    @Test
+    void replyOfTheHostIsTheAnswer() throws Exception {
+        onLoop(() -> {
+            submitWrite();
+            assertTrue(dispatcher.isOpen("id"));
+            assertEquals(1, metric("in_flight"));
+            assertEquals(PRIMARY, onlyAttempt().host);
+
+            onlyAttempt().reply(ConnectionEnd.SERVED);
+
+            assertEquals(List.of(new Response.Served(PRIMARY, BODY)), client.responses);
+            assertFalse(dispatcher.isOpen("id"));
+            assertEquals(0, metric("in_flight"));
+            assertEquals(1, metric("served.write"));
+        });
+    }
+
+    @Test
+    void nothingIsSentForAClientThatIsGone() throws Exception {
+        onLoop(() -> {
+            client.gone = true;
+
+            Exchange exchange = submitWrite();
+
+            assertTrue(exchange.isOver());
+            assertEquals(List.of(), backend.sent);
+            assertEquals(1, metric("held_back.request_over"));
+        });
+    }
+
+    @Test
+    void writeThatMayHaveRunIsNotSentTwice() throws Exception {
+        onLoop(() -> {
+            submitWrite();
+
+            onlyAttempt().reply(ConnectionEnd.BROKEN_AFTER_WRITTEN);
+
+            assertInstanceOf(Response.Failed.class, client.responses.get(0));
+            assertEquals(1, backend.sent.size());
+            assertEquals(1, metric("failed.write"));
+        });
+    }
+
+    @Test
+    void streamedReplyIsInFlightUntilItsEnd() throws Exception {
+        onLoop(() -> {
+            submitWrite();
+
+            onlyAttempt().listener.part(BODY, () -> {});
+            assertEquals(1, client.parts.size());
+            assertEquals(List.of(), client.responses);
+            assertEquals(1, metric("in_flight"));
+
+            onlyAttempt().reply(ConnectionEnd.SERVED);
+            assertEquals(List.of(new Response.Served(PRIMARY, BODY)), client.responses);
+            assertEquals(0, metric("in_flight"));
+        });
+    }
+
+    @Test
+    void streamedReplyThatBreaksOffIsCutAndCountsAsFailed() throws Exception {
+        onLoop(() -> {
+            submitWrite();
+            onlyAttempt().listener.part(BODY, () -> {});
+
+            onlyAttempt().reply(ConnectionEnd.BROKEN_AFTER_WRITTEN);
+
+            assertTrue(client.cut);
+            assertEquals(List.of(), client.responses);
+            assertEquals(1, metric("failed.write"));
+            assertEquals(0, metric("in_flight"));
+        });
+    }
+
+    @Test
+    void disconnectedClientHasItsStreamedReplyCancelled() throws Exception {
+        onLoop(() -> {
+            Exchange exchange = submitWrite();
+            onlyAttempt().listener.part(BODY, () -> {});
+
+            dispatcher.clientGone(exchange);
+
+            assertTrue(onlyAttempt().cancelled);
+            assertFalse(dispatcher.isOpen("id"));
+            assertEquals(0, metric("in_flight"));
+        });
+    }
+
+    @Test
+    void statementsThatFreeResourcesGoToServingHostsOnly() throws Exception {
+        onLoop(() -> {
+            dispatcher.release("unknown", STATEMENT);
+            assertEquals(List.of(), backend.sent);
+
+            dispatcher.release(PRIMARY, STATEMENT);
+            assertEquals(PRIMARY, onlyAttempt().host);
+        });
+    }
+
+    @Test
+    void requestThatIsInFlightAtTheEndOfTheDrainIsAnswered() throws Exception {
+        onLoop(() -> {
+            submitWrite();
+            assertEquals(TIMEOUT_MICROS, dispatcher.mayHold(TIMEOUT_MICROS));
+
+            dispatcher.drainBy(loop.now(), loop.now());
+            assertEquals(1, dispatcher.mayHold(TIMEOUT_MICROS));
+        });
+
+        Program.await(() -> !loopState(() -> dispatcher.isOpen("id")), "the answer");
+        assertEquals(1, onLoop(() -> client.responses.size()));
+    }
+
+    private <T> T loopState(Callable<T> call) {
+        try {
+            return onLoop(call);
+        } catch (Exception failure) {
+            throw new AssertionError(failure);
+        }
+    }
+}
