--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -120,12 +120,12 @@
      */
     public Exchange submit(ProxyRequest read, long waited, ResponseListener client) {
         long now = loop.now();
-        ProxyRequest request = read.after(waited);
+        ProxyRequest request = read.afterWaiting(waited);
         Taken t = new Taken(new Exchange(++numbers, request, now, client));
         taken.put(numbers, t);
         openIds.add(request.id());
-        counters.taken++;
-        t.guard = loop.at(t.exchange.deadline() + OVERDUE, () -> overdue(t));
+        counters.requestAccepted();
+        t.guard = loop.at(t.exchange.deadlineMicros() + OVERDUE, () -> overdue(t));
         carryOut(router.route(now, numbers, request));
         return t.exchange;
     }
@@ -133,7 +133,7 @@
     /** The client of an exchange has left. */
     public void clientGone(Exchange exchange) {
         if (!exchange.isOver()) {
-            counters.abandoned++;
+            counters.requestAbandoned();
             exchange.abandon();
             Taken t = taken.get(exchange.number());
             over(t);
@@ -146,7 +146,7 @@
 
     /** Goes over to other settings; see {@link RequestRouter#applySettings}. */
     public void settings(InstanceSettings env) {
-        env.classes.keySet().forEach(counters::knows);
+        env.classes.keySet().forEach(counters::addClass);
         carryOut(router.applySettings(loop.now(), env));
     }
 
@@ -202,10 +202,10 @@
     }
 
     private void overdue(Taken t) {
-        if (loop.now() < t.exchange.deadline() + OVERDUE) {
-            t.guard = loop.at(t.exchange.deadline() + OVERDUE, () -> overdue(t));
+        if (loop.now() < t.exchange.deadlineMicros() + OVERDUE) {
+            t.guard = loop.at(t.exchange.deadlineMicros() + OVERDUE, () -> overdue(t));
         } else if (!t.exchange.isOver()) {
-            counters.overdue++;
+            counters.requestOverdue();
             answer(t, new Response.Failed("its time ran out", true));
             carryOut(router.handle(loop.now(), new RouterEvent.ClientDisconnected(t.exchange.number())));
         }
@@ -252,12 +252,12 @@
         } else if (directive instanceof RouterAction.Fail d) {
             Taken t = taken.get(d.request());
             if (t != null) {
-                boolean late = loop.now() >= t.exchange.deadline();
+                boolean late = loop.now() >= t.exchange.deadlineMicros();
                 answer(t, new Response.Failed(late ? "its time ran out" : "no host could serve it", late));
             }
         } else if (directive instanceof RouterAction.CheckHealth d) {
             long sentAt = loop.now();
-            counters.probes++;
+            counters.healthCheckSent();
             backend.probe(
                     d.host(),
                     reply -> carryOut(router.handle(
@@ -265,7 +265,7 @@
                             new RouterEvent.HealthCheckEnded(
                                     d.host(), reply.end(), loop.now() - sentAt, reply.report()))));
         } else if (directive instanceof RouterAction.InvariantViolated d) {
-            counters.ruleBroken(d.rule());
+            counters.invariantViolated(d.rule());
             Taken t = taken.get(d.request());
             log.accept("rule broken: " + d.rule() + " request=" + d.request() + " id="
                     + (t == null ? "?" : t.exchange.request().id()) + " host=" + d.host());
@@ -285,14 +285,14 @@
             neverSent(sentAt, d, true);
             return;
         }
-        long until = d.until() == 0 ? t.exchange.deadline() : Math.min(d.until(), t.exchange.deadline());
+        long until = d.until() == 0 ? t.exchange.deadlineMicros() : Math.min(d.until(), t.exchange.deadlineMicros());
         AttemptVerdict verdict = router.mayBegin(sentAt, d, t.exchange, until);
         if (verdict != AttemptVerdict.MAY_BEGIN) {
             counters.heldBack(verdict);
             neverSent(sentAt, d, t.exchange.isOver());
             return;
         }
-        counters.sent++;
+        counters.attemptSent();
         if (d.attempt() > 0) {
             counters.retried(t.out.isEmpty() ? t.lastEnd : null);
         }
@@ -362,7 +362,7 @@
 
     private void attemptEnded(Taken t, RouterAction.Send d, long sentAt, HostReply reply) {
         boolean flowed = t.out.remove(d.attempt()) == t.flows && t.flows != null;
-        counters.ended(reply.end());
+        counters.attemptEnded(reply.end());
         t.lastEnd = reply.end();
         if (reply.end().isServed() && (flowed || t.flows == null)) {
             answer(t, new Response.Served(d.host(), reply.body()));
--- a/src/main/java/mintstair/request/EndpointList.java
+++ b/src/main/java/mintstair/request/EndpointList.java
@@ -2,16 +2,36 @@
 
 import java.util.List;
 
-/** The list of hosts as discovery tells it: all of them, or those that changed. */
+/**
+ * The hosts as service discovery lists them.
+ *
+ * @param revision increases with each change of the list at its source
+ * @param whole whether this is a snapshot of all hosts; else a delta, which holds those that changed
+ * @param entries the hosts
+ */
 public record EndpointList(long revision, boolean whole, List<Entry> entries) {
-    /** What the list says of a host's process. */
+    /** The state of a host's process. */
     public enum State {
+        /** It takes requests. */
         SERVING,
+        /** It is about to leave and takes no new requests. */
         DRAINING,
+        /** It is no longer listed. */
         REMOVED
     }
 
-    /** One host; {@code started} in Unix microseconds, 0 for long ago. */
+    /**
+     * One host.
+     *
+     * @param host its name, unique within the list
+     * @param endpoint its address, {@code host:port}
+     * @param zone the availability zone that it runs in
+     * @param cluster the replica set that it belongs to
+     * @param state the state of its process
+     * @param primary whether it is listed as the primary of its replica set
+     * @param size its capacity relative to other hosts; 1 is usual
+     * @param started when its process started, in Unix microseconds; 0 for long ago
+     */
     public record Entry(
             String host,
             String endpoint,
--- a/src/main/java/mintstair/request/Exchange.java
+++ b/src/main/java/mintstair/request/Exchange.java
@@ -1,17 +1,25 @@
 package mintstair.request;
 
-/** A request that was taken in, and the guarantee that its client gets one final answer, not two. */
+/**
+ * A request that was accepted, and the guarantee that its client gets at most one final answer. All methods but the
+ * getters of final values are to be called on the event loop.
+ */
 public final class Exchange {
     private final ProxyRequest request;
     private final ResponseListener client;
-    private final long arrived;
+    private final long arrivedAtMicros;
     private final long number;
     private boolean over;
 
-    public Exchange(long number, ProxyRequest request, long arrived, ResponseListener client) {
+    /**
+     * @param number this proxy's own number for it, never reused
+     * @param arrivedAtMicros when its timeout began
+     * @param client gets the answer
+     */
+    public Exchange(long number, ProxyRequest request, long arrivedAtMicros, ResponseListener client) {
         this.number = number;
         this.request = request;
-        this.arrived = arrived;
+        this.arrivedAtMicros = arrivedAtMicros;
         this.client = client;
     }
 
@@ -20,50 +28,52 @@
         return number;
     }
 
+    /** The request as the front accepted it. */
     public ProxyRequest request() {
         return request;
     }
 
-    public long arrived() {
-        return arrived;
-    }
-
-    /** When the client gives up, on the proxy's clock. */
-    public long deadline() {
-        return arrived + request.timeoutMicros();
+    /** When the client stops waiting. */
+    public long deadlineMicros() {
+        return arrivedAtMicros + request.timeoutMicros();
     }
 
+    /** Whether it has had its final answer, or was abandoned. */
     public boolean isOver() {
         return over;
     }
 
-    /** Whether somebody still waits for the answer; a client's leaving shows here before the loop comes to hear of it. */
+    /** Whether its client still waits for the answer; false as soon as the client's connection is closed. */
     public boolean isWanted() {
         return !over && !client.isGone();
     }
 
-    /** Gives the final answer; false, and nothing done, where there was one or the client has left. */
-    public boolean answer(Response answer) {
+    /** Gives the final answer. Returns false, and does nothing, where the exchange is over. */
+    public boolean answer(Response response) {
         if (over) {
             return false;
         }
         over = true;
-        client.answer(answer);
+        client.answer(response);
         return true;
     }
 
-    /** Passes on a part of an answer too long to be held; from then on no other answer can be given. */
-    public void part(byte[] bytes, Runnable taken) {
-        client.part(bytes, taken);
+    /**
+     * Passes on a part of an answer that is streamed as it is too long to be buffered.
+     *
+     * @param written is run when the part has been written to the client
+     */
+    public void part(byte[] bytes, Runnable written) {
+        client.part(bytes, written);
     }
 
-    /** Ends an answer of which parts went on, and that cannot be finished. */
+    /** Ends a streamed answer that cannot be completed. */
     public void cut() {
         over = true;
         client.cut();
     }
 
-    /** The client has left: nobody is owed an answer any more. */
+    /** Ends the exchange without an answer, as the client has left. */
     public void abandon() {
         over = true;
     }
--- a/src/main/java/mintstair/request/HostReport.java
+++ b/src/main/java/mintstair/request/HostReport.java
@@ -1,7 +1,16 @@
 package mintstair.request;
 
-/** What an answer tells of its host: its role, and its position in Unix microseconds or {@link #UNKNOWN}. */
+/**
+ * What a host reports about itself.
+ *
+ * @param role its role in its replica set
+ * @param position its replication position: the commit time, in Unix microseconds, up to which it has applied all
+ *     commits; or {@link #UNKNOWN}
+ */
 public record HostReport(ReplicationRole role, long position) {
+    /** Stands for a position that is not known. */
     public static final long UNKNOWN = -1;
+
+    /** The report of a host that reported nothing. */
     public static final HostReport NONE = new HostReport(ReplicationRole.UNKNOWN, UNKNOWN);
 }
--- a/src/main/java/mintstair/request/ProxyRequest.java
+++ b/src/main/java/mintstair/request/ProxyRequest.java
@@ -1,17 +1,18 @@
 package mintstair.request;
 
 /**
- * One request as any front takes it in.
+ * One request as a front accepts it.
  *
- * @param id the client's own id, for people to find it by
- * @param requestClass the class, named as in the settings
- * @param cluster the group of hosts that hold its data
- * @param session the session, or null where its class has none
- * @param clientRetry whether the client says that it tries again
- * @param timeoutMicros how long the client waits from the arrival on
- * @param minimumPositionMicros the position that a session's read must see, or {@link HostReport#UNKNOWN}
- * @param statement what to pass on
- * @param pinned the only host that can serve it, as it holds the cursor that is read on; null for any
+ * @param id the client's own id, by which people find it in logs
+ * @param requestClass the name of its class in the settings
+ * @param cluster the replica set that holds its data
+ * @param session its session; null where its class has none
+ * @param clientRetry whether the client marked it as a retry
+ * @param timeoutMicros how long the client waits from its arrival on
+ * @param minimumPositionMicros the replication position that a read of a session must see, or
+ *     {@link HostReport#UNKNOWN}
+ * @param statement what to forward
+ * @param stickyHost the only host that can serve it, as that holds the cursor which is read on; null for any
  */
 public record ProxyRequest(
         String id,
@@ -22,18 +23,22 @@
         long timeoutMicros,
         long minimumPositionMicros,
         Statement statement,
-        String pinned) {
-    /** The same request when so many microseconds of its client's time have passed; it may have none left. */
-    public ProxyRequest after(long waited) {
+        String stickyHost) {
+    private static final long SHORTEST_TIMEOUT_MICROS = 1;
+
+    /**
+     * The same request after {@code elapsedMicros} of its timeout; one that has none left keeps the shortest possible.
+     */
+    public ProxyRequest afterWaiting(long elapsedMicros) {
         return new ProxyRequest(
                 id,
                 requestClass,
                 cluster,
                 session,
                 clientRetry,
-                Math.max(1, timeoutMicros - waited),
+                Math.max(SHORTEST_TIMEOUT_MICROS, timeoutMicros - elapsedMicros),
                 minimumPositionMicros,
                 statement,
-                pinned);
+                stickyHost);
     }
 }
--- a/src/main/java/mintstair/request/ResponseListener.java
+++ b/src/main/java/mintstair/request/ResponseListener.java
@@ -1,20 +1,27 @@
 package mintstair.request;
 
-/** Who a request came from, as far as its answer goes. */
+/** Takes the answer to one request, for its client. Called on the event loop unless said otherwise. */
 public interface ResponseListener {
-    /** The final answer; after parts, the rest of it. */
-    void answer(Response answer);
+    /** Takes the final answer; after parts, the rest of it. */
+    void answer(Response response);
 
-    /** A part of an answer too long to be held, in order; {@code taken} is run when it is on its way. */
-    default void part(byte[] bytes, Runnable taken) {
+    /**
+     * Takes a part of an answer that is streamed; parts come in order.
+     *
+     * @param written to be run when the part has been written to the client
+     * @throws UnsupportedOperationException where this client takes whole answers only
+     */
+    default void part(byte[] bytes, Runnable written) {
         throw new UnsupportedOperationException("long answers");
     }
 
-    /** Whether it has closed its connection: nothing is to begin for it from then on. On any thread. */
+    /**
+     * Whether the client has closed its connection, so that no attempt may begin for it. May be called on any thread.
+     */
     default boolean isGone() {
         return false;
     }
 
-    /** The answer of which parts went on cannot be finished, and the client must be able to tell. */
+    /** The streamed answer cannot be completed; the client must be able to tell that it is not whole. */
     default void cut() {}
 }
--- a/src/main/java/mintstair/request/Statement.java
+++ b/src/main/java/mintstair/request/Statement.java
@@ -1,7 +1,7 @@
 package mintstair.request;
 
-/** What a client asked for, in the words of its own protocol; only a backend of that protocol reads it. */
+/** What a client asked for, in the words of its own protocol; only a backend of that protocol can read it. */
 public interface Statement {
-    /** The bytes for a host, saying how long the proxy will wait. */
-    byte[] encode(long waitMillis);
+    /** Encodes it for a host, with {@code timeoutMillis} as the time that the host may take. */
+    byte[] encode(long timeoutMillis);
 }
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -119,7 +119,7 @@
                         r.clientRetry(),
                         r.timeoutMicros(),
                         age,
-                        r.pinned()));
+                        r.stickyHost()));
         return takeDue();
     }
 
--- a/src/main/java/mintstair/serve/ProtocolService.java
+++ b/src/main/java/mintstair/serve/ProtocolService.java
@@ -71,7 +71,7 @@
         dispatcher =
                 new Dispatcher(loop, new RequestRouter(loop.now(), seed, env), hosts, counters, System.out::println);
         front = maker.make(dispatcher, counters);
-        env.classes.keySet().forEach(counters::knows);
+        env.classes.keySet().forEach(counters::addClass);
     }
 
     /** Takes what discovery, or the registry in its place, tells; {@code old} where that is what it knew at the last run; on the loop. */
--- a/src/main/java/mintstair/stats/Counters.java
+++ b/src/main/java/mintstair/stats/Counters.java
@@ -9,136 +9,231 @@
 import mintstair.request.ConnectionEnd;
 import mintstair.request.Response;
 
-/** What the proxy took in, sent and answered since its start; kept on the loop. */
+/**
+ * Counts events since the start of the process, for one protocol. Every value is a number of events. Everything here is
+ * read and written on the event loop only, but for the fields of type {@link AtomicLong}, which any thread may use.
+ *
+ * <p>Fields are counted by the part that sees the event; they are public, as each is incremented at one or two places.
+ */
 public final class Counters {
-    public long taken;
-    public long sent;
-    public long probes;
-    public long served;
-    public long refused;
-    public long failed;
-    public long abandoned;
-    public long overdue;
+    /** Stands in metric names for the end that a retry followed, where the attempt before it is still out. */
+    private static final String BESIDE_ANOTHER = "beside_another";
+
+    /** Messages of clients that were no valid request, so that the connection was closed or an error returned. */
     public long malformed;
+    /** Client connections that were opened. */
     public long clientsOpened;
+    /** Client connections that were closed with an error message, as descriptors were short. */
     public long clientsTurnedAway;
+    /** Client connections that were closed between two requests, as descriptors were short. */
     public long clientsIdledOut;
+    /** Client connections that were closed at once and without a message, as too many came together. Any thread. */
+    public final AtomicLong shutOut = new AtomicLong();
+    /** Connections to hosts that were begun. */
     public long hostsOpened;
-    /** Of those, the ones opened ahead of need, and the ones that did not come up. */
+    /** Of {@link #hostsOpened}, those that were begun before an attempt needed them. */
     public long hostsSpare;
-
+    /** Of {@link #hostsOpened}, those that failed before they were ready. */
     public long hostsNotUp;
-    /** Calls to discovery, and those that it turned away, broke off or did not answer. */
+    /** Attempts whose last byte was written to a host. Any thread. */
+    public final AtomicLong written = new AtomicLong();
+    /** Calls to service discovery. */
     public long listCalls;
-
+    /** Of {@link #listCalls}, those that were rejected, broke or had no reply. */
     public long listCallsFailed;
-    /** Attempts whose last byte was written to a host; counted where that happens, on any thread. */
-    public final AtomicLong written = new AtomicLong();
-    /** Connections closed at once, as more came than could be told that there is no room. */
-    public final AtomicLong shutOut = new AtomicLong();
-
+    /** Reloads of the settings that succeeded. */
     public long reloadsOk;
+    /** Reloads of the settings that failed; the settings before them stayed. */
     public long reloadsFailed;
-    /** Served, refused and failed of each class; of one that was dropped they stay. */
-    private final Map<String, long[]> classes = new LinkedHashMap<>();
 
-    private final long[] ends = new long[ConnectionEnd.values().length];
-    private final long[] heldBack = new long[AttemptVerdict.values().length];
-    private final Map<String, Long> rulesBroken = new LinkedHashMap<>();
+    private long requestsAccepted;
+    private long requestsAbandoned;
+    private long requestsOverdue;
+    private long attemptsSent;
+    private long healthChecksSent;
+    private final long[] responses = newResponseCounts();
+    /** Responses of each request class, by the ordinal of their kind; those of a class that was removed stay. */
+    private final Map<String, long[]> responsesByClass = new LinkedHashMap<>();
+
+    private final long[] attemptEnds = new long[ConnectionEnd.values().length];
+    private final long[] attemptsHeldBack = new long[AttemptVerdict.values().length];
+    private final Map<String, Long> invariantViolations = new LinkedHashMap<>();
     private final Map<String, Long> clientsEnded = new TreeMap<>();
-    private final Map<String, Long> retried = new TreeMap<>();
+    private final Map<String, Long> retriesByPreviousEnd = new TreeMap<>();
+
+    private static long[] newResponseCounts() {
+        return new long[Response.Kind.values().length];
+    }
+
+    /** A request was accepted. */
+    public void requestAccepted() {
+        requestsAccepted++;
+    }
+
+    /** How many requests were accepted. */
+    public long requestsAccepted() {
+        return requestsAccepted;
+    }
+
+    /** A client left before its answer. */
+    public void requestAbandoned() {
+        requestsAbandoned++;
+    }
+
+    /** A request had no answer when its deadline had passed, and was failed by its guard. */
+    public void requestOverdue() {
+        requestsOverdue++;
+    }
+
+    /** An attempt was handed to the connections. */
+    public void attemptSent() {
+        attemptsSent++;
+    }
+
+    /** How many attempts were handed to the connections. */
+    public long attemptsSent() {
+        return attemptsSent;
+    }
 
-    public void ended(ConnectionEnd end) {
-        ends[end.ordinal()]++;
+    /** An attempt that was handed to the connections has ended. */
+    public void attemptEnded(ConnectionEnd end) {
+        attemptEnds[end.ordinal()]++;
     }
 
     /** An attempt that was decided on did not begin, for this reason. */
-    public void heldBack(AttemptVerdict why) {
-        heldBack[why.ordinal()]++;
+    public void heldBack(AttemptVerdict reason) {
+        attemptsHeldBack[reason.ordinal()]++;
+    }
+
+    /**
+     * A further attempt for a request was sent.
+     *
+     * @param previousEnd how the attempt before it ended; null where an earlier attempt is still out
+     */
+    public void retried(ConnectionEnd previousEnd) {
+        increment(retriesByPreviousEnd, previousEnd == null ? BESIDE_ANOTHER : metricName(previousEnd));
+    }
+
+    /** A health check was sent. */
+    public void healthCheckSent() {
+        healthChecksSent++;
     }
 
     /** A client's connection ended, for this reason. */
-    public void clientEnded(Enum<?> why) {
-        clientsEnded.merge(name(why), 1L, Long::sum);
+    public void clientEnded(Enum<?> reason) {
+        increment(clientsEnded, metricName(reason));
     }
 
-    /** A further attempt for a request was sent, after one that ended so, or beside one that is out where that is null. */
-    public void retried(ConnectionEnd after) {
-        retried.merge(after == null ? "beside_another" : name(after), 1L, Long::sum);
+    /** An invariant was violated, which is a fault of the program. */
+    public void invariantViolated(String rule) {
+        increment(invariantViolations, rule);
     }
 
-    /** A rule was found broken: a fault of the program. */
-    public void ruleBroken(String rule) {
-        rulesBroken.merge(rule, 1L, Long::sum);
+    /** Adds a request class with nothing counted yet, so that its metrics exist from the start. */
+    public void addClass(String requestClass) {
+        responsesOf(requestClass);
     }
 
-    /** The class is there to be asked for, with nothing counted yet. */
-    public void knows(String requestClass) {
-        classes.computeIfAbsent(requestClass, name -> new long[3]);
+    /** A request of this class had its final answer. */
+    public void answered(String requestClass, Response response) {
+        int kind = response.kind().ordinal();
+        responses[kind]++;
+        responsesOf(requestClass)[kind]++;
     }
 
-    public void answered(String requestClass, Response answer) {
-        long[] ofClass = classes.computeIfAbsent(requestClass, name -> new long[3]);
-        if (answer instanceof Response.Served) {
-            served++;
-            ofClass[0]++;
-        } else if (answer instanceof Response.Rejected) {
-            refused++;
-            ofClass[1]++;
-        } else {
-            failed++;
-            ofClass[2]++;
-        }
+    private long[] responsesOf(String requestClass) {
+        return responsesByClass.computeIfAbsent(requestClass, name -> newResponseCounts());
     }
 
-    /** Adds these to the figures that are told on the second address. */
+    private static void increment(Map<String, Long> counts, String name) {
+        counts.merge(name, 1L, Long::sum);
+    }
+
+    /** Adds what is published on the control address. */
     public void addTo(MetricsSnapshot.Builder metrics) {
-        classes.forEach((name, counts) -> metrics.add("served." + name, counts[0])
-                .add("refused." + name, counts[1])
-                .add("failed." + name, counts[2]));
+        responsesByClass.forEach((name, counts) -> metrics.add("served." + name, count(counts, Response.Kind.SERVED))
+                .add("refused." + name, count(counts, Response.Kind.REJECTED))
+                .add("failed." + name, count(counts, Response.Kind.FAILED)));
         metrics.add("attempts", written.get());
-        metrics.add(
-                "rules_broken",
-                rulesBroken.values().stream().mapToLong(Long::longValue).sum());
-        rulesBroken.forEach((rule, count) -> metrics.add("rule_broken." + rule, count));
-        clientsEnded.forEach((why, count) -> metrics.add("clients_ended." + why, count));
-        retried.forEach((after, count) -> metrics.add("retried_after." + after, count));
-        for (AttemptVerdict why : AttemptVerdict.values()) {
-            if (why != AttemptVerdict.MAY_BEGIN) {
-                metrics.add("held_back." + name(why), heldBack[why.ordinal()]);
+        metrics.add("rules_broken", sum(invariantViolations));
+        invariantViolations.forEach((rule, count) -> metrics.add("rule_broken." + rule, count));
+        clientsEnded.forEach((reason, count) -> metrics.add("clients_ended." + reason, count));
+        retriesByPreviousEnd.forEach((end, count) -> metrics.add("retried_after." + end, count));
+        for (AttemptVerdict reason : AttemptVerdict.values()) {
+            if (reason != AttemptVerdict.MAY_BEGIN) {
+                metrics.add("held_back." + metricName(reason), attemptsHeldBack[reason.ordinal()]);
             }
         }
         metrics.add("reloads_ok", reloadsOk).add("reloads_failed", reloadsFailed);
     }
 
-    private static String name(Enum<?> value) {
-        return value.name().toLowerCase(Locale.ROOT);
+    private static long count(long[] counts, Response.Kind kind) {
+        return counts[kind.ordinal()];
+    }
+
+    private static long sum(Map<String, Long> counts) {
+        long sum = 0;
+        for (long count : counts.values()) {
+            sum += count;
+        }
+        return sum;
+    }
+
+    private static String metricName(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT);
     }
 
-    /** One line, names and values. */
+    /**
+     * One line of names and values, for the clients' counter commands and the log; its form is read by other programs.
+     */
     @Override
     public String toString() {
-        StringBuilder line = new StringBuilder("taken=" + taken + " served=" + served + " refused=" + refused
-                + " failed=" + failed + " abandoned=" + abandoned + " overdue=" + overdue + " malformed=" + malformed
-                + " sent=" + sent + " probes=" + probes + " client_connections=" + clientsOpened
-                + " clients_turned_away=" + clientsTurnedAway
-                + " clients_shut_out=" + shutOut + " clients_idled_out=" + clientsIdledOut + " host_connections="
-                + hostsOpened
-                + " host_connections_spare=" + hostsSpare + " host_connections_not_up=" + hostsNotUp
-                + " list_calls=" + listCalls + " list_calls_failed=" + listCallsFailed);
+        StringBuilder line = new StringBuilder();
+        appendRequests(line);
+        appendConnections(line);
+        appendAttempts(line);
+        line.append(" clients_ended=").append(clientsEnded);
+        line.append(" retried_after=").append(retriesByPreviousEnd);
+        line.append(" rules_broken=").append(invariantViolations);
+        return line.toString();
+    }
+
+    private void appendRequests(StringBuilder line) {
+        line.append("taken=").append(requestsAccepted);
+        line.append(" served=").append(count(responses, Response.Kind.SERVED));
+        line.append(" refused=").append(count(responses, Response.Kind.REJECTED));
+        line.append(" failed=").append(count(responses, Response.Kind.FAILED));
+        line.append(" abandoned=").append(requestsAbandoned);
+        line.append(" overdue=").append(requestsOverdue);
+        line.append(" malformed=").append(malformed);
+        line.append(" sent=").append(attemptsSent);
+        line.append(" probes=").append(healthChecksSent);
+    }
+
+    private void appendConnections(StringBuilder line) {
+        line.append(" client_connections=").append(clientsOpened);
+        line.append(" clients_turned_away=").append(clientsTurnedAway);
+        line.append(" clients_shut_out=").append(shutOut);
+        line.append(" clients_idled_out=").append(clientsIdledOut);
+        line.append(" host_connections=").append(hostsOpened);
+        line.append(" host_connections_spare=").append(hostsSpare);
+        line.append(" host_connections_not_up=").append(hostsNotUp);
+        line.append(" list_calls=").append(listCalls);
+        line.append(" list_calls_failed=").append(listCallsFailed);
+    }
+
+    private void appendAttempts(StringBuilder line) {
         for (ConnectionEnd end : ConnectionEnd.values()) {
-            line.append(" ended_").append(name(end)).append('=').append(ends[end.ordinal()]);
+            append(line, " ended_", end, attemptEnds);
         }
-        for (AttemptVerdict why : AttemptVerdict.values()) {
-            if (why != AttemptVerdict.MAY_BEGIN) {
-                line.append(" held_back_").append(name(why)).append('=').append(heldBack[why.ordinal()]);
+        for (AttemptVerdict reason : AttemptVerdict.values()) {
+            if (reason != AttemptVerdict.MAY_BEGIN) {
+                append(line, " held_back_", reason, attemptsHeldBack);
             }
         }
-        line.append(" clients_ended=")
-                .append(clientsEnded)
-                .append(" retried_after=")
-                .append(retried);
-        line.append(" rules_broken=").append(rulesBroken);
-        return line.toString();
+    }
+
+    private static void append(StringBuilder line, String prefix, Enum<?> constant, long[] counts) {
+        line.append(prefix).append(metricName(constant)).append('=').append(counts[constant.ordinal()]);
     }
 }
--- a/src/main/java/mintstair/stats/HeapFloor.java
+++ b/src/main/java/mintstair/stats/HeapFloor.java
@@ -1,22 +1,25 @@
 package mintstair.stats;
 
 /**
- * The least of the heap that was seen in use since it was last taken: close to what is alive where a collection fell into that
- * time, a bound from above on it otherwise. It is what must stay flat over a long day. Sampled, as the virtual machine's beans
- * that tell it exactly cost a start of their own, on the loop. Kept on the loop.
+ * The smallest heap use that was sampled since the last read. Where a garbage collection fell into that time, this is
+ * close to the size of the live objects, else an upper bound of it; it must not grow over a long day. The heap is
+ * sampled as the platform's memory beans, which report it exactly, take too long to start. Not safe for use by several
+ * threads.
  */
 public final class HeapFloor {
-    private long least = Long.MAX_VALUE;
+    private static final long NONE = Long.MAX_VALUE;
 
-    /** @param used bytes in use now, garbage included */
-    public void sample(long used) {
-        least = Math.min(least, used);
+    private long smallestBytes = NONE;
+
+    /** Takes one sample: the bytes in use now, garbage included. */
+    public void sample(long usedBytes) {
+        smallestBytes = Math.min(smallestBytes, usedBytes);
     }
 
-    /** Bytes; 0 where nothing was sampled since the last call. */
+    /** Returns the smallest sample in bytes and begins anew; 0 where there was no sample since the last call. */
     public long take() {
-        long taken = least == Long.MAX_VALUE ? 0 : least;
-        least = Long.MAX_VALUE;
-        return taken;
+        long smallest = smallestBytes == NONE ? 0 : smallestBytes;
+        smallestBytes = NONE;
+        return smallest;
     }
 }
--- a/src/main/java/mintstair/stats/MetricsSnapshot.java
+++ b/src/main/java/mintstair/stats/MetricsSnapshot.java
@@ -4,21 +4,22 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One moment's figures, for the people on call; nothing in it changes any more. */
+/** The values of all metrics at one moment, in the order in which they were added. Immutable. */
 public final class MetricsSnapshot {
     private static final String PREFIX = "svc.";
+
     private final Map<String, Long> values;
 
     private MetricsSnapshot(Map<String, Long> values) {
         this.values = Collections.unmodifiableMap(values);
     }
 
-    /** A figure by its name, {@code served.lobby-read}; 0 where it is not known. */
+    /** The value of a metric by its name without prefix, such as {@code served.lobby-read}; 0 where there is none. */
     public long value(String name) {
         return values.getOrDefault(name, 0L);
     }
 
-    /** A line each, name and value. */
+    /** One line for each metric: {@code svc.NAME=VALUE}. */
     @Override
     public String toString() {
         StringBuilder lines = new StringBuilder();
@@ -27,15 +28,17 @@
         return lines.toString();
     }
 
-    /** Adds up the figures of all fronts. */
+    /** Collects values; those that are added under the same name by several parts are summed. For use by one thread. */
     public static final class Builder {
         private final Map<String, Long> values = new LinkedHashMap<>();
 
+        /** Adds to the metric of this name, which is 0 at first. */
         public Builder add(String name, long value) {
             values.merge(name, value, Long::sum);
             return this;
         }
 
+        /** A snapshot of what was added up to now. */
         public MetricsSnapshot build() {
             return new MetricsSnapshot(new LinkedHashMap<>(values));
         }
--- a/src/test/java/mintstair/front/DrainTest.java
+++ b/src/test/java/mintstair/front/DrainTest.java
@@ -88,11 +88,13 @@
             loop.execute(front::drain);
             client.send(true, "id=" + id + ",c=write,cluster=1", 300);
             Program.await(() -> front.unread.get() > 0, "the network thread to have read it");
-            long taken = counters.taken;
+            long taken = counters.requestsAccepted();
             blocked.countDown();
             String answer = client.answer();
             assertEquals(
-                    true, counters.taken > taken && !answer.equals("nothing"), "taken and cut off without an answer");
+                    true,
+                    counters.requestsAccepted() > taken && !answer.equals("nothing"),
+                    "taken and cut off without an answer");
         } catch (IOException e) {
             throw new AssertionError("cut off", e);
         }
--- a/src/test/java/mintstair/serve/ConnectionEndsTest.java
+++ b/src/test/java/mintstair/serve/ConnectionEndsTest.java
@@ -189,7 +189,7 @@
             host.end(n, n % 2 == 1);
             assertEquals("failed", client.answer(), "after " + n + " fifths");
         }
-        assertEquals(4, service.counters.sent);
+        assertEquals(4, service.counters.attemptsSent());
     }
 
     /** An idle connection that its host closed, or reset, before the next request is not used for it. */
@@ -205,7 +205,7 @@
             host.end(n, n % 2 == 1);
             assertEquals("served i" + n, client.answer());
         }
-        assertEquals(4, service.counters.sent);
+        assertEquals(4, service.counters.attemptsSent());
     }
 
     /** A reset long after a request has ended, with nothing out on the connection, ends no other request. */
@@ -252,6 +252,9 @@
                 // It was not read: the client sends it again elsewhere.
             }
         }
-        assertEquals(answered, service.counters.taken, "what was read has its answer, nothing else was sent on");
+        assertEquals(
+                answered,
+                service.counters.requestsAccepted(),
+                "what was read has its answer, nothing else was sent on");
     }
 }
--- a/src/test/java/mintstair/serve/GoneClientsTest.java
+++ b/src/test/java/mintstair/serve/GoneClientsTest.java
@@ -101,7 +101,7 @@
             client.close();
         }
         awaitNextToBeFirst(late);
-        assertEquals(301, service.counters.taken);
+        assertEquals(301, service.counters.requestsAccepted());
     }
 
     /** Held as there is no primary: when one is listed, only those whose clients are still there are sent. */
@@ -162,7 +162,7 @@
         Program.await(() -> service.front.connections() < clients, "the network thread to have seen the end");
         blocked.countDown();
         assertEquals("served next", client().ask(true, "id=next,c=write,cluster=1", 15_000));
-        assertEquals(2, service.counters.sent, "attempts");
+        assertEquals(2, service.counters.attemptsSent(), "attempts");
     }
 
     /** Sends much at once and goes: what its first answer was waited for is the most that is begun. */
--- a/src/test/java/mintstair/stats/CountersTest.java
+++ b/src/test/java/mintstair/stats/CountersTest.java
@@ -37,7 +37,7 @@
 
     @Test
     void responsesAreCountedInTotalAndByClass() {
-        counters.knows("read");
+        counters.addClass("read");
         counters.answered("read", new Response.Served("host", new byte[0]));
         counters.answered("read", new Response.Rejected(5));
         counters.answered("write", new Response.Rejected(5));
@@ -66,9 +66,9 @@
 
     @Test
     void violationsAreCountedByRuleAndInTotal() {
-        counters.ruleBroken("sent_twice");
-        counters.ruleBroken("sent_twice");
-        counters.ruleBroken("answered_late");
+        counters.invariantViolated("sent_twice");
+        counters.invariantViolated("sent_twice");
+        counters.invariantViolated("answered_late");
 
         assertEquals(3, snapshot().value("rules_broken"));
         assertEquals(2, snapshot().value("rule_broken.sent_twice"));
