--- a/src/main/java/mintstair/front/RequestRules.java
+++ b/src/main/java/mintstair/front/RequestRules.java
@@ -66,7 +66,7 @@
             throw new ProtocolException("unknown cluster " + cluster);
         }
         // Nothing is held for longer than its class allows, whatever a client says that it would wait.
-        long longest = dispatcher.classes().deadline(requestClass);
+        long longest = dispatcher.classes().deadlineMicros(requestClass);
         long wait = patience == null ? longest : Math.min(longest, number("the deadline", patience) * 1000);
         if (wait < 1) {
             throw new ProtocolException("the deadline must be 1 ms or more");
--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -19,6 +19,7 @@
 import mintstair.request.Response;
 import mintstair.request.ResponseListener;
 import mintstair.request.Statement;
+import mintstair.routing.RequestClasses;
 import mintstair.routing.RequestRouter;
 import mintstair.routing.RouterAction;
 import mintstair.routing.RouterEvent;
@@ -78,8 +79,8 @@
     }
 
     /** What is known of classes; a front asks before it submits. */
-    public RequestRouter classes() {
-        return router;
+    public RequestClasses classes() {
+        return router.classes();
     }
 
     /** Whether some host of this cluster was ever listed. */
@@ -198,7 +199,7 @@
 
     private void tick() {
         alarmAt = Long.MAX_VALUE;
-        carryOut(router.tick(loop.now()));
+        carryOut(router.fireTimers(loop.now()));
     }
 
     private void overdue(Taken t) {
@@ -225,7 +226,7 @@
         } finally {
             working = false;
         }
-        long next = router.nextTick();
+        long next = router.nextTimerMicros();
         if (next < alarmAt) {
             if (alarm != null) {
                 alarm.cancel(false);
@@ -285,7 +286,9 @@
             neverSent(sentAt, d, true);
             return;
         }
-        long until = d.until() == 0 ? t.exchange.deadlineMicros() : Math.min(d.until(), t.exchange.deadlineMicros());
+        long until = d.abandonAtMicros() == 0
+                ? t.exchange.deadlineMicros()
+                : Math.min(d.abandonAtMicros(), t.exchange.deadlineMicros());
         AttemptVerdict verdict = router.mayBegin(sentAt, d, t.exchange, until);
         if (verdict != AttemptVerdict.MAY_BEGIN) {
             counters.heldBack(verdict);
@@ -298,7 +301,7 @@
         }
         boolean[] ended = new boolean[1];
         Backend.Attempt sent = backend.send(
-                d.host(), t.exchange.request().statement(), d.writeBy(), until, new Backend.AttemptListener() {
+                d.host(), t.exchange.request().statement(), d.beginByMicros(), until, new Backend.AttemptListener() {
                     @Override
                     public void end(HostReply reply) {
                         ended[0] = true;
--- /dev/null
+++ b/src/main/java/mintstair/routing/DecisionMapper.java
@@ -0,0 +1,113 @@
+package mintstair.routing;
+
+import java.util.ArrayList;
+import java.util.List;
+import mintstair.decision.AttemptOutcome;
+import mintstair.decision.AttemptResult;
+import mintstair.decision.EndpointEntry;
+import mintstair.decision.EndpointState;
+import mintstair.decision.EndpointUpdateType;
+import mintstair.decision.Positions;
+import mintstair.decision.ReplicationStatus;
+import mintstair.decision.RoutingRequest;
+import mintstair.request.ConnectionEnd;
+import mintstair.request.EndpointList;
+import mintstair.request.HostReport;
+import mintstair.request.ProxyRequest;
+import mintstair.request.ReplicationRole;
+
+/** The one place that translates from the terms of the network side into those of the decision module. */
+final class DecisionMapper {
+    private static final int NO_TENANT = -1;
+
+    private DecisionMapper() {}
+
+    /** What each end of a connection means to the decisions. */
+    static AttemptOutcome outcome(ConnectionEnd end) {
+        return switch (end) {
+            case SERVED, SERVED_AND_MORE -> AttemptOutcome.SUCCESS;
+            case MISS -> AttemptOutcome.MISDIRECTED;
+            case HOST_ERROR, REPORT_UNREADABLE -> AttemptOutcome.ERROR;
+            case TURNED_AWAY -> AttemptOutcome.OVERLOADED;
+            case CONNECT_FAILED, CONNECT_TIMEOUT, BROKEN_BEFORE_WRITTEN -> AttemptOutcome.UNREACHABLE;
+            case BROKEN_AFTER_WRITTEN, GARBLED -> AttemptOutcome.CONNECTION_RESET;
+            case TIMED_OUT -> AttemptOutcome.TIMEOUT;
+            case CALLED_OFF -> AttemptOutcome.CANCELLED;
+            case NEVER_SENT -> AttemptOutcome.NOT_SENT;
+        };
+    }
+
+    static AttemptResult result(RouterEvent.AttemptEnded event, AttemptOutcome outcome) {
+        return new AttemptResult(
+                event.request(),
+                event.attempt(),
+                event.host(),
+                outcome,
+                event.latencyMicros(),
+                event.requestOver(),
+                event.report().role(),
+                event.report().position());
+    }
+
+    /** The status that a host reported; null where it reported no role. */
+    static ReplicationStatus status(HostReport report) {
+        if (report.role() == ReplicationRole.UNKNOWN) {
+            return null;
+        }
+        return new ReplicationStatus(report.position(), report.role());
+    }
+
+    static RoutingRequest request(long nowMicros, long number, int classIndex, ProxyRequest request) {
+        return new RoutingRequest(
+                number,
+                classIndex,
+                request.cluster(),
+                request.session(),
+                NO_TENANT,
+                request.clientRetry(),
+                request.timeoutMicros(),
+                tokenAgeMicros(nowMicros, request.minimumPositionMicros()),
+                request.stickyHost());
+    }
+
+    /** How long ago the commit was that a read must see, or {@link Positions#UNKNOWN} where it need see none. */
+    private static long tokenAgeMicros(long nowMicros, long minimumPositionMicros) {
+        if (minimumPositionMicros == HostReport.UNKNOWN) {
+            return Positions.UNKNOWN;
+        }
+        long ageMicros = nowMicros - minimumPositionMicros;
+        // A clock that is ahead can give a commit just the negative age that stands for "no token"; it is a token all
+        // the same.
+        return ageMicros == Positions.UNKNOWN ? ageMicros - 1 : ageMicros;
+    }
+
+    static EndpointUpdateType updateType(EndpointList list, boolean cached) {
+        if (cached) {
+            return EndpointUpdateType.CACHED;
+        }
+        return list.whole() ? EndpointUpdateType.SNAPSHOT : EndpointUpdateType.DELTA;
+    }
+
+    static List<EndpointEntry> endpoints(EndpointList list) {
+        List<EndpointEntry> endpoints = new ArrayList<>();
+        for (EndpointList.Entry entry : list.entries()) {
+            endpoints.add(new EndpointEntry(
+                    entry.host(),
+                    entry.primary(),
+                    entry.zone(),
+                    entry.cluster(),
+                    state(entry.state()),
+                    entry.size(),
+                    entry.started()));
+        }
+        return endpoints;
+    }
+
+    static EndpointState state(EndpointList.State state) {
+        return switch (state) {
+            case SERVING -> EndpointState.SERVING;
+            case DRAINING -> EndpointState.DRAINING;
+            case REMOVED -> EndpointState.REMOVED;
+        };
+    }
+}
