--- a/src/main/java/mintstair/front/ClientSession.java
+++ b/src/main/java/mintstair/front/ClientSession.java
@@ -194,7 +194,7 @@
             record.ended();
             front.left(this);
             if (exchange != null) {
-                front.dispatcher.clientGone(exchange);
+                front.dispatcher.clientDisconnected(exchange);
             }
         });
     }
@@ -229,7 +229,7 @@
         }
         Exchange open = exchange;
         exchange = null;
-        front.dispatcher.clientGone(open);
+        front.dispatcher.clientDisconnected(open);
         endingSince = now;
         finish();
     }
--- /dev/null
+++ b/src/main/java/mintstair/proxy/AttemptSender.java
@@ -0,0 +1,179 @@
+package mintstair.proxy;
+
+import mintstair.request.AttemptVerdict;
+import mintstair.request.ConnectionEnd;
+import mintstair.request.HostReply;
+import mintstair.request.HostReport;
+import mintstair.request.Response;
+import mintstair.routing.RequestRouter;
+import mintstair.routing.RouterAction;
+import mintstair.routing.RouterEvent;
+import mintstair.stats.Counters;
+
+/**
+ * Sends attempts to the backend, and takes to their requests and to the router what comes back. To be used on the event
+ * loop only.
+ */
+final class AttemptSender {
+    private final EventLoop loop;
+    private final RequestRouter router;
+    private final RouterDriver driver;
+    private final Backend backend;
+    private final RequestTable requests;
+    private final RequestCompletion completion;
+    private final Counters counters;
+
+    AttemptSender(
+            EventLoop loop,
+            RequestRouter router,
+            RouterDriver driver,
+            Backend backend,
+            RequestTable requests,
+            RequestCompletion completion,
+            Counters counters) {
+        this.loop = loop;
+        this.router = router;
+        this.driver = driver;
+        this.backend = backend;
+        this.requests = requests;
+        this.completion = completion;
+        this.counters = counters;
+    }
+
+    /** Starts the attempt, unless it may no longer begin; its end is reported to the router either way. */
+    void send(RouterAction.Send action) {
+        AcceptedRequest request = requests.get(action.request());
+        long nowMicros = loop.now();
+        if (request == null) {
+            reportNotSent(nowMicros, action, true);
+            return;
+        }
+        if (!request.exchange().isWanted()) {
+            // The connection was closed, and the event that reports it still waits for this thread.
+            completion.clientDisconnected(request.exchange());
+        }
+        long abandonAtMicros = abandonAtMicros(action, request.exchange().deadlineMicros());
+        AttemptVerdict verdict = router.mayBegin(nowMicros, action, request.exchange(), abandonAtMicros);
+        if (verdict != AttemptVerdict.MAY_BEGIN) {
+            counters.heldBack(verdict);
+            reportNotSent(nowMicros, action, request.exchange().isOver());
+            return;
+        }
+        countSent(action, request);
+        new SentAttempt(action, request, nowMicros, abandonAtMicros).start();
+    }
+
+    private static long abandonAtMicros(RouterAction.Send action, long deadlineMicros) {
+        return action.abandonAtMicros() == 0 ? deadlineMicros : Math.min(action.abandonAtMicros(), deadlineMicros);
+    }
+
+    private void countSent(RouterAction.Send action, AcceptedRequest request) {
+        counters.attemptSent();
+        if (action.attempt() > 0) {
+            counters.retried(request.hasAttempts() ? null : request.lastEnd());
+        }
+    }
+
+    private void reportNotSent(long nowMicros, RouterAction.Send action, boolean requestOver) {
+        reportEnded(nowMicros, action, ConnectionEnd.NEVER_SENT, 0, requestOver, HostReport.NONE);
+    }
+
+    private void reportEnded(
+            long nowMicros,
+            RouterAction.Send action,
+            ConnectionEnd end,
+            long latencyMicros,
+            boolean requestOver,
+            HostReport report) {
+        driver.handle(
+                nowMicros,
+                new RouterEvent.AttemptEnded(
+                        action.request(), action.attempt(), action.host(), end, latencyMicros, requestOver, report));
+    }
+
+    /** An attempt between the call that sends it and its end. */
+    private final class SentAttempt implements Backend.AttemptListener {
+        private final RouterAction.Send action;
+        private final AcceptedRequest request;
+        private final long sentAtMicros;
+        private final long abandonAtMicros;
+        private boolean ended;
+
+        SentAttempt(RouterAction.Send action, AcceptedRequest request, long sentAtMicros, long abandonAtMicros) {
+            this.action = action;
+            this.request = request;
+            this.sentAtMicros = sentAtMicros;
+            this.abandonAtMicros = abandonAtMicros;
+        }
+
+        void start() {
+            Backend.Attempt attempt = backend.send(
+                    action.host(),
+                    request.exchange().request().statement(),
+                    action.beginByMicros(),
+                    abandonAtMicros,
+                    this);
+            if (!ended) {
+                request.addAttempt(action.attempt(), attempt);
+            }
+        }
+
+        @Override
+        public AttemptVerdict mayBegin(long nowMicros) {
+            return router.mayBegin(nowMicros, action, request.exchange(), abandonAtMicros);
+        }
+
+        @Override
+        public void begun(long nowMicros, long timeoutMicros) {
+            driver.execute(router.attemptStarted(nowMicros, action, timeoutMicros));
+        }
+
+        @Override
+        public void part(byte[] bytes, Runnable consumed) {
+            Backend.Attempt attempt = request.attempt(action.attempt());
+            if (!request.isStreaming() && !request.exchange().isOver()) {
+                startStreaming(attempt);
+            }
+            if (request.isStreaming(attempt)) {
+                request.exchange().part(bytes, consumed);
+            } else {
+                // Another attempt of the request was faster.
+                consumed.run();
+                attempt.cancel();
+            }
+        }
+
+        /** With its first part this reply becomes the only possible answer, and no deadline applies to it any more. */
+        private void startStreaming(Backend.Attempt attempt) {
+            request.startStreaming(attempt);
+            request.cancelDeadlineGuard();
+            completion.responseStarted(request);
+            // The host has done its work. How fast the client reads is no sign of the host's health, and does not use
+            // its capacity.
+            long nowMicros = loop.now();
+            reportEnded(nowMicros, action, ConnectionEnd.SERVED, nowMicros - sentAtMicros, true, HostReport.NONE);
+        }
+
+        @Override
+        public void end(HostReply reply) {
+            ended = true;
+            boolean streamed = request.attemptEnded(action.attempt(), reply.end());
+            counters.attemptEnded(reply.end());
+            if (reply.end().isServed() && (streamed || !request.isStreaming())) {
+                completion.answer(request, new Response.Served(action.host(), reply.body()));
+            } else if (streamed && !request.exchange().isOver()) {
+                completion.streamBroken(request);
+            }
+            long nowMicros = loop.now();
+            boolean over = request.exchange().isOver();
+            if (over) {
+                requests.close(request);
+            }
+            if (!streamed) {
+                // The end of a streamed one was reported with its first part.
+                boolean requestOver = over || request.isStreaming();
+                reportEnded(nowMicros, action, reply.end(), nowMicros - sentAtMicros, requestOver, reply.report());
+            }
+        }
+    }
+}
--- a/src/main/java/mintstair/proxy/Backend.java
+++ b/src/main/java/mintstair/proxy/Backend.java
@@ -5,48 +5,58 @@
 import mintstair.request.HostReply;
 import mintstair.request.Statement;
 
-/** The db hosts as the dispatcher sees them; every call and every ending happens on the loop. */
+/**
+ * The database hosts as the dispatcher sees them. All calls, in both directions, are made on the event loop. Times are
+ * microseconds on its clock.
+ */
 public interface Backend {
     /** Takes what comes back for something that was sent. */
     interface AttemptListener {
-        /** Its one ending. */
+        /** It ended. Called exactly once, possibly before the call that sent it returns. */
         void end(HostReply reply);
 
-        /** Whether it may begin now; asked when a connection for it is there, right before it is written. */
-        default AttemptVerdict mayBegin(long now) {
+        /** Whether it may begin now; asked when it has a connection, right before it is written. */
+        default AttemptVerdict mayBegin(long nowMicros) {
             return AttemptVerdict.MAY_BEGIN;
         }
 
-        /** It is about to be written, and its host is told to work for so many microseconds at most. */
-        default void begun(long now, long wait) {}
+        /** It is about to be written, with {@code timeoutMicros} as the time that its host may take. */
+        default void begun(long nowMicros, long timeoutMicros) {}
 
-        /** A part of an answer too long to be held, in order, before the end; {@code taken} is run when it has gone on. */
-        default void part(byte[] bytes, Runnable taken) {
-            taken.run();
+        /**
+         * A part of a reply that is streamed as it is too long to be buffered; parts come in order, before the end.
+         *
+         * @param consumed to be run when the part has been passed on, so that more is read
+         */
+        default void part(byte[] bytes, Runnable consumed) {
+            consumed.run();
         }
     }
 
-    /** Something that was sent and may be called off. */
+    /** Something that was sent. */
     interface Attempt {
-        /** Stops waiting; it ends as called off, or as never sent. */
+        /** Stops waiting for it: it ends as cancelled, or as never sent. Does nothing where it has ended. */
         void cancel();
     }
 
     /**
-     * Sends the statement to a host by {@code writeBy} or not at all, and stops waiting at {@code until};
-     * {@code listener} gets exactly one ending.
+     * Sends a statement to a host.
+     *
+     * @param writeByMicros when it must be written at the latest; else it is not sent
+     * @param abandonAtMicros when to stop waiting for the reply
+     * @param listener gets exactly one end
      */
-    Attempt send(String host, Statement statement, long writeBy, long until, AttemptListener listener);
+    Attempt send(String host, Statement statement, long writeByMicros, long abandonAtMicros, AttemptListener listener);
 
-    /** Asks a host for its report; {@code listener} gets exactly one ending. */
+    /** Sends a health check to a host; {@code listener} gets exactly one end. */
     void probe(String host, AttemptListener listener);
 
-    /** Which hosts there are, or what changed of them. */
+    /** The endpoint list, or changes to it. */
     void listed(EndpointList list);
 
     /**
-     * Ends as never sent what waits for a connection to a host that is listed as leaving or gone; called once what the list tells
-     * has become known to whoever decides, so that it is decided anew.
+     * Ends as never sent what waits for a connection to a host that is draining or removed. Called after the router has
+     * been given the same list, so that it decides anew on what ends here.
      */
     void failQueuedForUnavailable();
 }
--- a/src/main/java/mintstair/proxy/EventLoop.java
+++ b/src/main/java/mintstair/proxy/EventLoop.java
@@ -7,69 +7,87 @@
 import java.util.function.LongSupplier;
 import mintstair.time.MonotonicClock;
 
-/** The one thread on which every decision is taken and every pool and session is kept. */
+/**
+ * The one thread on which all decisions are made and all pools and sessions are kept. Its methods may be called on any
+ * thread. Tasks that wait are not bounded in number.
+ *
+ * <p>A task that throws is counted and reported, and does not keep others from being run. After {@link #close} tasks
+ * are discarded.
+ */
 public final class EventLoop implements AutoCloseable {
-    private final ScheduledThreadPoolExecutor thread;
+    private static final String THREAD_NAME = "loop";
+
+    private final ScheduledThreadPoolExecutor executor;
     private final LongSupplier clock;
     private final AtomicLong failures = new AtomicLong();
-    private long latest;
 
-    /** A loop on a clock that nobody can set: Unix time at its start, and what has passed since. */
+    /** Guarded by {@code this}. */
+    private long latestMicros;
+
+    /** Starts a loop on a monotonic clock: Unix time at its start, and the time that has passed since. */
     public EventLoop() {
         this(new MonotonicClock());
     }
 
-    /** A loop on a clock that tells microseconds. */
+    /** Starts a loop on a clock that reads microseconds. */
     public EventLoop(LongSupplier clock) {
         this.clock = clock;
-        thread = new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "loop"));
-        thread.setRemoveOnCancelPolicy(true);
-        // What the network still has to say after the end is of no interest.
-        thread.setRejectedExecutionHandler((task, ended) -> {});
+        executor = new ScheduledThreadPoolExecutor(1, task -> new Thread(task, THREAD_NAME));
+        executor.setRemoveOnCancelPolicy(true);
+        // Network threads may still report events after the end; nothing needs them.
+        executor.setRejectedExecutionHandler((task, closed) -> {});
     }
 
-    /** Microseconds on the loop's clock, which never goes back; on any thread. */
+    /** The time in microseconds on the loop's clock, which never goes back. */
     public synchronized long now() {
-        latest = Math.max(latest, clock.getAsLong());
-        return latest;
+        latestMicros = Math.max(latestMicros, clock.getAsLong());
+        return latestMicros;
     }
 
-    /** Runs the task behind those that are waiting; on any thread. */
+    /** Runs the task after those that were submitted before. */
     public void execute(Runnable task) {
-        thread.execute(() -> run(task));
+        executor.execute(() -> run(task));
     }
 
-    /** Runs the task at this time, or soon where it has passed; on any thread. */
-    public Future<?> at(long time, Runnable task) {
-        return thread.schedule(() -> run(task), Math.max(0, time - now()), TimeUnit.MICROSECONDS);
+    /** Runs the task at this time of the loop's clock, or soon where it has passed; the result can cancel it. */
+    public Future<?> at(long timeMicros, Runnable task) {
+        long delayMicros = Math.max(0, timeMicros - now());
+        return executor.schedule(() -> run(task), delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    /** Runs the task again and again, so many microseconds after its last run, whatever became of that. */
-    public void every(long period, Runnable task) {
-        at(now() + period, () -> {
+    /**
+     * Runs the task for ever, each time {@code periodMicros} after the last run has ended, even where that has failed.
+     */
+    public void every(long periodMicros, Runnable task) {
+        at(now() + periodMicros, () -> {
             run(task);
-            every(period, task);
+            every(periodMicros, task);
         });
     }
 
-    /** How many tasks failed with what nobody expected: faults of the program. */
+    /** How many tasks threw an exception or error; each is a fault of the program. */
     public long failures() {
         return failures.get();
     }
 
-    /** One task that goes wrong must not take all other clients' answers with it, and must not go unseen. */
+    /** A failed task must neither end the loop, on which all clients depend, nor go unnoticed. */
     private void run(Runnable task) {
         try {
             task.run();
-        } catch (Throwable e) {
+        } catch (Throwable failure) {
             failures.incrementAndGet();
-            System.err.println("unexpected: " + e);
-            e.printStackTrace();
+            report(failure);
         }
     }
 
+    /** Writes the line that operators search the log for, and the stack trace. */
+    private static void report(Throwable failure) {
+        System.err.println("unexpected: " + failure);
+        failure.printStackTrace();
+    }
+
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- /dev/null
+++ b/src/main/java/mintstair/proxy/HealthCheckSender.java
@@ -0,0 +1,33 @@
+package mintstair.proxy;
+
+import mintstair.request.HostReply;
+import mintstair.routing.RouterEvent;
+import mintstair.stats.Counters;
+
+/** Sends health checks to the backend, and their results to the router. To be used on the event loop only. */
+final class HealthCheckSender {
+    private final EventLoop loop;
+    private final RouterDriver driver;
+    private final Backend backend;
+    private final Counters counters;
+
+    HealthCheckSender(EventLoop loop, RouterDriver driver, Backend backend, Counters counters) {
+        this.loop = loop;
+        this.driver = driver;
+        this.backend = backend;
+        this.counters = counters;
+    }
+
+    void send(String host) {
+        long sentAtMicros = loop.now();
+        counters.healthCheckSent();
+        backend.probe(host, reply -> ended(host, sentAtMicros, reply));
+    }
+
+    private void ended(String host, long sentAtMicros, HostReply reply) {
+        long nowMicros = loop.now();
+        driver.handle(
+                nowMicros,
+                new RouterEvent.HealthCheckEnded(host, reply.end(), nowMicros - sentAtMicros, reply.report()));
+    }
+}
--- a/src/main/java/mintstair/serve/ProtocolService.java
+++ b/src/main/java/mintstair/serve/ProtocolService.java
@@ -77,7 +77,7 @@
     /** Takes what discovery, or the registry in its place, tells; {@code old} where that is what it knew at the last run; on the loop. */
     void told(EndpointList list, boolean old) {
         lines = list.whole() ? list.entries().size() : lines;
-        dispatcher.listed(list, old);
+        dispatcher.endpointsUpdated(list, old);
         if (!told && !old) {
             told = true;
             loop.at(loop.now() + POLLED_AFTER, () -> listKnown.complete(null));
@@ -94,7 +94,7 @@
             former.pace(pace());
         }
         hosts.times(env.connectTimeout, env.connectionIdle);
-        dispatcher.settings(env);
+        dispatcher.applySettings(env);
     }
 
     /**
@@ -141,12 +141,12 @@
 
     /** Takes a list from elsewhere than discovery; on the loop. */
     void listed(EndpointList list) {
-        dispatcher.listed(list, false);
+        dispatcher.endpointsUpdated(list, false);
     }
 
     /** How many proxies there are, as far as this one knows; on the loop. */
     void proxies(RouterEvent.FleetSizeChanged proxies) {
-        dispatcher.proxies(proxies);
+        dispatcher.fleetSizeChanged(proxies);
     }
 
     /** Makes the front of a service. */
@@ -162,7 +162,7 @@
         loop.execute(() -> {
             if (known != null) {
                 lines = known.entries().size();
-                dispatcher.listed(known, old);
+                dispatcher.endpointsUpdated(known, old);
             }
             if (discovery != null) {
                 this.discovery = discovery;
--- a/src/main/java/mintstair/serve/WarmUp.java
+++ b/src/main/java/mintstair/serve/WarmUp.java
@@ -91,7 +91,7 @@
             hosts.add(new EndpointList.Entry(
                     "r" + i, "127.0.0.1:" + i, "z", 1, EndpointList.State.SERVING, PRIMARY.equals("r" + i), 1, 0));
         }
-        dispatcher.listed(new EndpointList(1, true, hosts), false);
+        dispatcher.endpointsUpdated(new EndpointList(1, true, hosts), false);
         for (int i = 0; i < AT_ONCE; i++) {
             next();
         }
--- a/src/test/java/mintstair/front/DrainTest.java
+++ b/src/test/java/mintstair/front/DrainTest.java
@@ -60,7 +60,7 @@
                     new Dispatcher(loop, new RequestRouter(loop.now(), 1, env), new Mute(), counters, line -> {});
             EndpointList.Entry primary =
                     new EndpointList.Entry("p", "127.0.0.1:9", "z", 1, EndpointList.State.SERVING, true, 1, 0);
-            loop.execute(() -> dispatcher.listed(new EndpointList(1, true, List.of(primary)), false));
+            loop.execute(() -> dispatcher.endpointsUpdated(new EndpointList(1, true, List.of(primary)), false));
             PgFront front = new PgFront(loop, dispatcher, transport, counters, 10);
             int port = front.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
             for (int i = 0; i < 20; i++) {
--- a/src/test/java/mintstair/proxy/DispatcherTest.java
+++ b/src/test/java/mintstair/proxy/DispatcherTest.java
@@ -122,7 +122,7 @@
         dispatcher = new Dispatcher(loop, router, backend, new Counters(), line -> {});
         EndpointList.Entry primary =
                 new EndpointList.Entry(PRIMARY, "127.0.0.1:9", "z", 1, EndpointList.State.SERVING, true, 1, 0);
-        onLoop(() -> dispatcher.listed(new EndpointList(1, true, List.of(primary)), false));
+        onLoop(() -> dispatcher.endpointsUpdated(new EndpointList(1, true, List.of(primary)), false));
     }
 
     @AfterEach
@@ -246,7 +246,7 @@
             Exchange exchange = submitWrite();
             onlyAttempt().listener.part(BODY, () -> {});
 
-            dispatcher.clientGone(exchange);
+            dispatcher.clientDisconnected(exchange);
 
             assertTrue(onlyAttempt().cancelled);
             assertFalse(dispatcher.isOpen("id"));
--- a/src/test/java/mintstair/proxy/EventLoopTest.java
+++ b/src/test/java/mintstair/proxy/EventLoopTest.java
@@ -10,48 +10,56 @@
 import mintstair.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
-/** The loop's clock is no wall clock, and a task that goes wrong is neither the end of the next ones nor unseen. */
+/** The loop's clock does not follow changes of the wall clock, and a task that fails is reported and stops no other. */
 class EventLoopTest {
-    private static final long HOUR = 3_600_000_000L;
-    private static final long START = 1_700_000_000_000_000L;
+    private static final long HOUR_MICROS = 3_600_000_000L;
+    private static final long START_MICROS = 1_700_000_000_000_000L;
+    private static final long TIMEOUT_SECONDS = 20;
 
     @Test
-    void wallClockThatIsSetMovesNothing() {
-        AtomicLong wall = new AtomicLong(START);
+    void clockIgnoresChangesOfTheWallClock() {
+        AtomicLong wallMicros = new AtomicLong(START_MICROS);
         AtomicLong nanos = new AtomicLong();
-        try (EventLoop loop = new EventLoop(new MonotonicClock(wall::get, nanos::get))) {
-            assertEquals(START, loop.now());
-            wall.addAndGet(-HOUR);
+        try (EventLoop loop = new EventLoop(new MonotonicClock(wallMicros::get, nanos::get))) {
+            assertEquals(START_MICROS, loop.now());
+
+            wallMicros.addAndGet(-HOUR_MICROS);
             nanos.addAndGet(5_000_000);
-            assertEquals(START + 5_000, loop.now());
-            wall.addAndGet(3 * HOUR);
+            assertEquals(START_MICROS + 5_000, loop.now());
+
+            wallMicros.addAndGet(3 * HOUR_MICROS);
             nanos.addAndGet(5_000_000);
-            assertEquals(START + 10_000, loop.now());
+            assertEquals(START_MICROS + 10_000, loop.now());
         }
     }
 
-    /** Held up between its first two readings, for longer than the bound of a read may be. */
+    /**
+     * The pause, between the first two readings of the clock, is longer than the difference that a reading may have.
+     */
     @Test
-    void clockThatIsStartedByAThreadThatIsHeldUpIsNotLate() {
+    void clockIsExactWhenItsThreadWasPausedDuringItsStart() {
         AtomicLong nanos = new AtomicLong();
         AtomicInteger readings = new AtomicInteger();
-        MonotonicClock clock = new MonotonicClock(() -> START + nanos.get() / 1_000, () -> {
+
+        MonotonicClock clock = new MonotonicClock(() -> START_MICROS + nanos.get() / 1_000, () -> {
             if (readings.incrementAndGet() == 2) {
                 nanos.addAndGet(150_000_000);
             }
             return nanos.addAndGet(1_000);
         });
-        long wall = START + nanos.get() / 1_000;
-        assertTrue(Math.abs(clock.getAsLong() - wall) < 1_000, "off by " + (clock.getAsLong() - wall));
+
+        long wallMicros = START_MICROS + nanos.get() / 1_000;
+        long differenceMicros = clock.getAsLong() - wallMicros;
+        assertTrue(Math.abs(differenceMicros) < 1_000, "off by " + differenceMicros);
     }
 
     @Test
-    void taskThatGoesWrongIsRunAgainAndCounted() throws Exception {
+    void periodicTaskThatFailsRunsAgainAndItsFailuresAreCounted() throws Exception {
         AtomicInteger runs = new AtomicInteger();
-        CountDownLatch again = new CountDownLatch(3);
+        CountDownLatch threeRuns = new CountDownLatch(3);
         try (EventLoop loop = new EventLoop()) {
             loop.every(1_000, () -> {
-                again.countDown();
+                threeRuns.countDown();
                 if (runs.incrementAndGet() == 1) {
                     throw new IllegalStateException("as the test wants it");
                 }
@@ -59,7 +67,8 @@
                     throw new AssertionError("as the test wants it");
                 }
             });
-            assertTrue(again.await(20, TimeUnit.SECONDS));
+
+            assertTrue(threeRuns.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
             assertEquals(2, loop.failures());
         }
     }
