--- a/src/test/java/mintstair/pins/MetricNamesTest.java
+++ b/src/test/java/mintstair/pins/MetricNamesTest.java
@@ -117,7 +117,7 @@
         }
         counters.retried(null);
         for (InvariantMonitor.Violation rule : InvariantMonitor.Violation.values()) {
-            counters.ruleBroken(rule.name().toLowerCase(java.util.Locale.ROOT));
+            counters.invariantViolated(rule.name().toLowerCase(java.util.Locale.ROOT));
         }
         MetricsSnapshot.Builder sum = new MetricsSnapshot.Builder();
         counters.addTo(sum);
