--- a/src/test/java/mintstair/proxy/DispatcherTest.java
+++ b/src/test/java/mintstair/proxy/DispatcherTest.java
@@ -5,15 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import mintstair.config.InstanceSettings;
-import mintstair.config.Json;
 import mintstair.program.Program;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.EndpointList;
@@ -24,7 +20,7 @@
 import mintstair.request.Response;
 import mintstair.request.ResponseListener;
 import mintstair.request.Statement;
-import mintstair.routing.RequestRouter;
+import mintstair.routing.RouterFixtures;
 import mintstair.stats.Counters;
 import mintstair.stats.MetricsSnapshot;
 import org.junit.jupiter.api.AfterEach;
@@ -115,13 +111,8 @@
 
     @BeforeEach
     void startWithAPrimary() throws Exception {
-        String settings = Program.SETTINGS.replace("PROBING", "false");
-        InstanceSettings instance =
-                new InstanceSettings((Map<?, ?>) Json.read(settings.getBytes(StandardCharsets.UTF_8)));
-        RequestRouter router = new RequestRouter(loop.now(), 1, instance);
-        dispatcher = new Dispatcher(loop, router, backend, new Counters(), line -> {});
-        EndpointList.Entry primary =
-                new EndpointList.Entry(PRIMARY, "127.0.0.1:9", "z", 1, EndpointList.State.SERVING, true, 1, 0);
+        dispatcher = new Dispatcher(loop, RouterFixtures.router(loop.now()), backend, new Counters(), line -> {});
+        EndpointList.Entry primary = RouterFixtures.primary(PRIMARY, EndpointList.State.SERVING);
         onLoop(() -> dispatcher.endpointsUpdated(new EndpointList(1, true, List.of(primary)), false));
     }
 
