--- a/src/main/java/mintstair/front/ClientSession.java
+++ b/src/main/java/mintstair/front/ClientSession.java
@@ -195,7 +195,7 @@
             record.ended();
             front.left(this);
             if (exchange != null) {
-                front.dispatcher.clientGone(exchange);
+                front.dispatcher.clientDisconnected(exchange);
             }
         });
     }
@@ -230,7 +230,7 @@
         }
         Exchange open = exchange;
         exchange = null;
-        front.dispatcher.clientGone(open);
+        front.dispatcher.clientDisconnected(open);
         endingSince = now;
         finish();
     }
--- a/src/test/java/mintstair/front/DrainTest.java
+++ b/src/test/java/mintstair/front/DrainTest.java
@@ -61,7 +61,7 @@
                     new Dispatcher(loop, new RequestRouter(loop.now(), 1, env), new Mute(), counters, line -> {});
             EndpointList.Entry primary =
                     new EndpointList.Entry("p", "127.0.0.1:9", "z", 1, EndpointList.State.SERVING, true, 1, 0);
-            loop.execute(() -> dispatcher.listed(new EndpointList(1, true, List.of(primary)), false));
+            loop.execute(() -> dispatcher.endpointsUpdated(new EndpointList(1, true, List.of(primary)), false));
             PgFront front = new PgFront(loop, dispatcher, transport, counters, 10);
             int port = front.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
             for (int i = 0; i < 20; i++) {
@@ -89,11 +89,13 @@
             loop.execute(front::drain);
             client.send(true, "id=" + id + ",c=write,cluster=1", 300);
             Program.await(() -> front.unread.get() > 0, "the network thread to have read it");
-            long taken = counters.taken;
+            long taken = counters.requestsAccepted();
             blocked.countDown();
             String answer = client.answer();
             assertEquals(
-                    true, counters.taken > taken && !answer.equals("nothing"), "taken and cut off without an answer");
+                    true,
+                    counters.requestsAccepted() > taken && !answer.equals("nothing"),
+                    "taken and cut off without an answer");
         } catch (IOException e) {
             throw new AssertionError("cut off", e);
         }
