--- a/src/main/java/mintstair/decision/AttemptObserver.java
+++ b/src/main/java/mintstair/decision/AttemptObserver.java
@@ -87,10 +87,10 @@
     }
 
     private void observeRole(long now, Endpoint endpoint, AttemptResult result) {
-        switch (result.role()) {
-            case PRIMARY -> primaries.claimedPrimary(endpoint, now);
-            case REPLICA -> primaries.claimedReplica(endpoint, now);
-            case UNKNOWN -> {}
+        if (result.role() == ReplicationRole.PRIMARY) {
+            primaries.claimedPrimary(endpoint, now);
+        } else if (result.role() == ReplicationRole.REPLICA) {
+            primaries.claimedReplica(endpoint, now);
         }
     }
 
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -87,6 +87,10 @@
                 load,
                 tokens,
                 actions);
+        subscribeIfAsked();
+    }
+
+    private void subscribeIfAsked() {
         if (settings.subscribe()) {
             subscription.start();
         }
--- a/src/test/java/mintstair/pins/CommandNamesTest.java
+++ b/src/test/java/mintstair/pins/CommandNamesTest.java
@@ -116,17 +116,23 @@
         try (ProgramRun run = new ProgramRun("", arguments(words))) {
             int status = run.exit();
             String err = run.err();
-            String kind = err.isEmpty()
-                    ? "-"
-                    : err.lines().count() > 1 || !err.startsWith("mintstair: ")
-                            ? "more: " + err
-                            : err.startsWith("mintstair: usage: ") || err.startsWith("mintstair: registry: show | ")
-                                    ? "usage"
-                                    : "error";
+            String kind = kind(err);
             return status + " | " + kind + " |" + words;
         }
     }
 
+    /** What standard error has: nothing, one line of usage, one line of another error, or more than that. */
+    private static String kind(String err) {
+        if (err.isEmpty()) {
+            return "-";
+        }
+        if (err.lines().count() > 1 || !err.startsWith("mintstair: ")) {
+            return "more: " + err;
+        }
+        boolean usage = err.startsWith("mintstair: usage: ") || err.startsWith("mintstair: registry: show | ");
+        return usage ? "usage" : "error";
+    }
+
     private List<String> outcomes(List<String> lines) throws IOException, InterruptedException {
         List<String> outcomes = new ArrayList<>();
         for (String line : lines) {
--- a/src/test/java/mintstair/pins/SettingNamesTest.java
+++ b/src/test/java/mintstair/pins/SettingNamesTest.java
@@ -157,12 +157,19 @@
             Object json = json(resource);
             objects(json).get(path).put("unknownKey", 1.0);
             String read = read(reader, json);
-            String what = read.equals(whole) ? "ignored" : read.startsWith("error: ") ? "refused" : "taken";
-            found.add((path.isEmpty() ? "(file)" : path) + " " + what);
+            found.add((path.isEmpty() ? "(file)" : path) + " " + effect(read, whole));
         }
         return found;
     }
 
+    /** What an unknown key has done to a file that reads as {@code whole} without it. */
+    private static String effect(String read, String whole) {
+        if (read.equals(whole)) {
+            return "ignored";
+        }
+        return read.startsWith("error: ") ? "refused" : "taken";
+    }
+
     @Test
     void configurationHasTheseKeys() throws IOException {
         Names.assertSame("/pins/config-keys.txt", known(NodeConfig::read, CONFIG));
