--- a/src/main/java/mintstair/pcap/Connections.java
+++ b/src/main/java/mintstair/pcap/Connections.java
@@ -123,9 +123,22 @@
             Listener listener,
             Losses losses)
             throws IOException {
+        List<CaptureSource> sources = files.stream().map(CaptureSource::ofFile).toList();
+        readSources(sources, merge, clocks, isServerPort, listener, losses);
+    }
+
+    /** Reads captures, of memory too, as {@link #read} reads files. */
+    static void readSources(
+            List<CaptureSource> sources,
+            boolean merge,
+            Supplier<LongUnaryOperator> clocks,
+            IntPredicate isServerPort,
+            Listener listener,
+            Losses losses)
+            throws IOException {
         Connections all = new Connections(isServerPort, listener, losses);
         IpPackets packets = new IpPackets(losses);
-        try (FrameStream in = new FrameStream(files, merge, clocks, losses)) {
+        try (FrameStream in = new FrameStream(sources, merge, clocks, losses)) {
             for (Capture.Frame frame = in.next(); frame != null; frame = in.next()) {
                 all.newest = frame.nanos();
                 Segment segment = all.segment(frame, packets);
--- a/src/main/java/mintstair/pcap/FrameStream.java
+++ b/src/main/java/mintstair/pcap/FrameStream.java
@@ -1,7 +1,6 @@
 package mintstair.pcap;
 
 import java.io.IOException;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongUnaryOperator;
@@ -33,18 +32,19 @@
         }
     }
 
-    private final List<Path> waiting;
+    private final List<CaptureSource> waiting;
     private final List<Source> open = new ArrayList<>();
     private final LongUnaryOperator clock;
     private final Losses losses;
 
     /** {@code clocks} gives a time line of its own for each file that is merged, one for all that follow each other. */
-    FrameStream(List<Path> files, boolean merge, Supplier<LongUnaryOperator> clocks, Losses losses) throws IOException {
+    FrameStream(List<CaptureSource> files, boolean merge, Supplier<LongUnaryOperator> clocks, Losses losses)
+            throws IOException {
         this.losses = losses;
         waiting = new ArrayList<>(merge ? List.of() : files);
         clock = merge ? null : clocks.get();
         try {
-            for (Path file : merge ? files : List.<Path>of()) {
+            for (CaptureSource file : merge ? files : List.<CaptureSource>of()) {
                 add(file, clocks.get());
             }
         } catch (IOException e) {
@@ -53,8 +53,8 @@
         }
     }
 
-    private void add(Path file, LongUnaryOperator on) throws IOException {
-        Source source = new Source(Capture.open(file), on);
+    private void add(CaptureSource file, LongUnaryOperator on) throws IOException {
+        Source source = new Source(Capture.open(file.open()), on);
         open.add(source);
         source.advance(losses);
     }
--- a/src/test/java/mintstair/pcap/CaptureTest.java
+++ b/src/test/java/mintstair/pcap/CaptureTest.java
@@ -69,22 +69,17 @@
         }
     }
 
+    /** Reads a capture from memory: a file for each of some thousand captures took most of the time of these tests. */
     private static Heard hear(byte[] file) throws IOException {
-        Path path = Files.createTempFile("mintstair", ".pcap");
-        try {
-            Files.write(path, file);
-            Heard heard = new Heard();
-            Connections.read(
-                    List.of(path),
-                    false,
-                    LongUnaryOperator::identity,
-                    port -> port == Frames.PORT,
-                    heard,
-                    heard.losses);
-            return heard;
-        } finally {
-            Files.delete(path);
-        }
+        Heard heard = new Heard();
+        Connections.readSources(
+                List.of(() -> new ByteArrayInputStream(file)),
+                false,
+                LongUnaryOperator::identity,
+                port -> port == Frames.PORT,
+                heard,
+                heard.losses);
+        return heard;
     }
 
     private static byte[] tcp(int sequence, int flags, byte[] payload) {
