--- a/src/main/java/mintstair/Main.java
+++ b/src/main/java/mintstair/Main.java
@@ -15,7 +15,7 @@
 import mintstair.config.RegistryConfig;
 import mintstair.control.MembersCommand;
 import mintstair.log.NonBlockingOutput;
-import mintstair.pcap.Replay;
+import mintstair.pcap.SerialReplay;
 import mintstair.registry.RegistryCommand;
 import mintstair.serve.Proxy;
 import mintstair.serve.ReloadSignal;
@@ -105,7 +105,7 @@
                 port == null ? to.getPort() : NodeConfig.address("any:" + port).getPort();
         Path file = Path.of(args.get(args.size() - 1));
         try {
-            System.out.println(new Replay(to, mongo).play(file, captured));
+            System.out.println(new SerialReplay(to, mongo).play(file, captured));
         } catch (NoSuchFileException e) {
             throw new ConfigException(file + ": no such file");
         } catch (IOException e) {
--- a/src/main/java/mintstair/pcap/FrameStream.java
+++ b/src/main/java/mintstair/pcap/FrameStream.java
@@ -1,51 +1,66 @@
 package mintstair.pcap;
 
+import java.io.Closeable;
 import java.io.IOException;
+import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Deque;
 import java.util.List;
 import java.util.function.LongUnaryOperator;
 import java.util.function.Supplier;
 
 /**
- * The frames of several files on repaired time lines: one file after the other, as rotated ones follow each other, or merged by
- * time, as files of several proxies lie beside each other. Holds one frame of each open file.
+ * The frames of several captures with repaired timestamps: one capture after the other, as rotated files follow
+ * each other, or merged by time, as the files of several proxies do. Holds one frame of each open capture. Not safe
+ * for use by several threads.
  */
-final class FrameStream implements AutoCloseable {
-    /** A file that is open, and its next frame. */
-    private static final class Source {
-        final Capture capture;
+final class FrameStream implements Closeable {
+    private final Deque<CaptureSource> pending = new ArrayDeque<>();
+    private final List<OpenCapture> open = new ArrayList<>();
+    private final LongUnaryOperator sequentialClock;
+    private final DropCounters drops;
+
+    /** An open capture and its next frame, null at its end. */
+    private static final class OpenCapture {
+        final CaptureReader reader;
         final LongUnaryOperator clock;
-        Capture.Frame next;
+        CapturedFrame next;
 
-        Source(Capture capture, LongUnaryOperator clock) {
-            this.capture = capture;
+        OpenCapture(CaptureReader reader, LongUnaryOperator clock) {
+            this.reader = reader;
             this.clock = clock;
         }
 
-        void advance(Losses losses) throws IOException {
-            Capture.Frame frame = capture.next();
-            next = frame == null
-                    ? null
-                    : new Capture.Frame(
-                            clock.applyAsLong(frame.nanos()), frame.linkType(), frame.data(), frame.length());
-            losses.add(Losses.Reason.FILE_DAMAGED, frame == null && capture.damage() != null ? 1 : 0);
+        void advance(DropCounters drops) throws IOException {
+            try {
+                CapturedFrame frame = reader.next();
+                next = frame == null ? null : frame.withTimestamp(clock.applyAsLong(frame.timestampNanos()));
+            } catch (MalformedCaptureException e) {
+                // The frames before the damage are valid; the rest of this capture is given up, and the others go on.
+                next = null;
+                drops.count(DropCounters.Reason.FILE_DAMAGED);
+            }
         }
     }
 
-    private final List<CaptureSource> waiting;
-    private final List<Source> open = new ArrayList<>();
-    private final LongUnaryOperator clock;
-    private final Losses losses;
-
-    /** {@code clocks} gives a time line of its own for each file that is merged, one for all that follow each other. */
-    FrameStream(List<CaptureSource> files, boolean merge, Supplier<LongUnaryOperator> clocks, Losses losses)
+    /**
+     * Opens the captures: all of them where they are merged, else the first with the first call of {@link #next}.
+     *
+     * @param clocks maps recorded timestamps: one for each capture that is merged, or one for all that follow each
+     *     other
+     */
+    FrameStream(List<CaptureSource> captures, boolean merge, Supplier<LongUnaryOperator> clocks, DropCounters drops)
             throws IOException {
-        this.losses = losses;
-        waiting = new ArrayList<>(merge ? List.of() : files);
-        clock = merge ? null : clocks.get();
+        this.drops = drops;
+        if (!merge) {
+            pending.addAll(captures);
+            sequentialClock = clocks.get();
+            return;
+        }
+        sequentialClock = null;
         try {
-            for (CaptureSource file : merge ? files : List.<CaptureSource>of()) {
-                add(file, clocks.get());
+            for (CaptureSource capture : captures) {
+                open(capture, clocks.get());
             }
         } catch (IOException e) {
             close();
@@ -53,38 +68,52 @@
         }
     }
 
-    private void add(CaptureSource file, LongUnaryOperator on) throws IOException {
-        Source source = new Source(Capture.open(file.open()), on);
-        open.add(source);
-        source.advance(losses);
+    private void open(CaptureSource source, LongUnaryOperator clock) throws IOException {
+        OpenCapture capture = new OpenCapture(CaptureReader.open(source), clock);
+        open.add(capture);
+        capture.advance(drops);
     }
 
-    /** The next frame of all, or null at the end. */
-    Capture.Frame next() throws IOException {
+    /**
+     * Returns the next frame of all captures, or null at the end.
+     *
+     * @throws MalformedCaptureException where a further file is no capture at all
+     */
+    CapturedFrame next() throws IOException {
         while (true) {
-            Source earliest = null;
-            for (Source each : open) {
-                earliest = each.next != null && (earliest == null || each.next.nanos() < earliest.next.nanos())
-                        ? each
-                        : earliest;
-            }
+            OpenCapture earliest = earliest();
             if (earliest != null) {
-                Capture.Frame frame = earliest.next;
-                earliest.advance(losses);
+                CapturedFrame frame = earliest.next;
+                earliest.advance(drops);
                 return frame;
             }
-            if (waiting.isEmpty()) {
+            if (pending.isEmpty()) {
                 return null;
             }
             close();
-            add(waiting.remove(0), clock);
+            open(pending.remove(), sequentialClock);
         }
     }
 
+    /** The capture with the earliest frame, the first of them where several are equal; null where none has one. */
+    private OpenCapture earliest() {
+        OpenCapture earliest = null;
+        for (OpenCapture capture : open) {
+            if (capture.next != null && (earliest == null || isBefore(capture, earliest))) {
+                earliest = capture;
+            }
+        }
+        return earliest;
+    }
+
+    private static boolean isBefore(OpenCapture first, OpenCapture second) {
+        return first.next.timestampNanos() < second.next.timestampNanos();
+    }
+
     @Override
     public void close() throws IOException {
-        for (Source each : open) {
-            each.capture.close();
+        for (OpenCapture capture : open) {
+            capture.reader.close();
         }
         open.clear();
     }
--- a/src/main/java/mintstair/pcap/PcapWriter.java
+++ b/src/main/java/mintstair/pcap/PcapWriter.java
@@ -7,44 +7,61 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Writes connections to one classic pcap file that stops growing at a bound. Not safe for use by several threads. */
+/**
+ * Writes connections to one classic pcap file, which stops growing at a limit. Times are Unix microseconds. Not
+ * safe for use by several threads.
+ */
 public final class PcapWriter implements AutoCloseable {
+    private static final int WRITE_BUFFER_BYTES = 32 * 1024;
+
     private final OutputStream out;
-    private long left;
+    private long remainingBytes;
+
+    /**
+     * Creates the file.
+     *
+     * @param maxBytes from the first record on that would make the file larger, nothing is written
+     */
+    public PcapWriter(Path file, long maxBytes) throws IOException {
+        out = new BufferedOutputStream(Files.newOutputStream(file), WRITE_BUFFER_BYTES);
+        remainingBytes = maxBytes;
+        write(TcpPacketEncoder.fileHeader());
+    }
 
-    /** {@code most}: the file stops growing before this many bytes. */
-    public PcapWriter(Path file, long most) throws IOException {
-        out = new BufferedOutputStream(Files.newOutputStream(file), 32 * 1024);
-        left = most;
-        write(TcpConversation.head());
+    /** Begins a connection that a client made at this time. */
+    public Conversation begin(long timeMicros, InetSocketAddress client, InetSocketAddress server) throws IOException {
+        TcpPacketEncoder packets = new TcpPacketEncoder(client, server, this::write);
+        packets.open(timeMicros);
+        return new Conversation(packets);
     }
 
     /** One connection in the file. */
-    public final class Conversation {
-        private final TcpConversation records;
+    public static final class Conversation {
+        private final TcpPacketEncoder packets;
 
-        /** Begins a connection that a client made at this time, in Unix microseconds. */
-        public Conversation(long time, InetSocketAddress client, InetSocketAddress proxy) throws IOException {
-            records = new TcpConversation(client, proxy, PcapWriter.this::write);
-            records.begin(time);
+        private Conversation(TcpPacketEncoder packets) {
+            this.packets = packets;
         }
 
-        public void said(long time, boolean byClient, byte[] bytes) throws IOException {
-            records.said(time, byClient, bytes);
+        /** Writes bytes that one side sent. */
+        public void sent(long timeMicros, boolean fromClient, byte[] bytes) throws IOException {
+            packets.send(timeMicros, fromClient, bytes);
         }
 
-        public void ended(long time) throws IOException {
-            records.ended(time);
+        /** Writes the end of the connection. */
+        public void ended(long timeMicros) throws IOException {
+            packets.close(timeMicros);
         }
     }
 
     private void write(byte[] bytes) throws IOException {
-        left -= bytes.length;
-        if (left >= 0) {
+        remainingBytes -= bytes.length;
+        if (remainingBytes >= 0) {
             out.write(bytes);
         }
     }
 
+    /** Hands what was written to the operating system. */
     public void flush() throws IOException {
         out.flush();
     }
--- a/src/main/java/mintstair/pcap/Rotation.java
+++ b/src/main/java/mintstair/pcap/Rotation.java
@@ -6,72 +6,82 @@
 import java.util.List;
 
 /**
- * When a recording goes on in a new file, and which old ones give way, without I/O. Files of earlier runs count, too. Sizes in bytes,
- * times in microseconds. Not safe for use by several threads.
+ * Decides when a recording goes on in a new file, and which old files are deleted. Without I/O; files of earlier
+ * runs count, too. Times are microseconds of any clock. Not safe for use by several threads.
  */
 public final class Rotation {
-    private record Old(String name, long bytes) {}
+    private record ClosedFile(String name, long bytes) {}
 
-    private final long fileBytes;
-    private final long fileMicros;
-    private final long totalBytes;
-    private final Deque<Old> old = new ArrayDeque<>();
-    private long oldBytes;
-    private String current;
-    private long bytes;
-    private long since;
+    private final long maxFileBytes;
+    private final long maxFileAgeMicros;
+    private final long maxTotalBytes;
+    private final Deque<ClosedFile> closedFiles = new ArrayDeque<>();
+    private long closedBytes;
+    private String currentName;
+    private long currentBytes;
+    private long currentSinceMicros;
 
-    /** A file is closed before it is larger or older than this; all together stay within {@code totalBytes}. */
-    public Rotation(long fileBytes, long fileMicros, long totalBytes) {
-        if (fileBytes < 1 || fileMicros < 1 || totalBytes < fileBytes) {
+    /**
+     * Creates a policy.
+     *
+     * @param maxFileBytes a file is closed before it is larger
+     * @param maxFileAgeMicros a file is closed at this age
+     * @param maxTotalBytes of all files together; room for one whole file at least
+     * @throws IllegalArgumentException where a limit is out of range
+     */
+    public Rotation(long maxFileBytes, long maxFileAgeMicros, long maxTotalBytes) {
+        if (maxFileBytes < 1 || maxFileAgeMicros < 1 || maxTotalBytes < maxFileBytes) {
             throw new IllegalArgumentException(
                     "a file's bytes and age must be above 0, and all may hold one file at least");
         }
-        this.fileBytes = fileBytes;
-        this.fileMicros = fileMicros;
-        this.totalBytes = totalBytes;
+        this.maxFileBytes = maxFileBytes;
+        this.maxFileAgeMicros = maxFileAgeMicros;
+        this.maxTotalBytes = maxTotalBytes;
     }
 
-    /** A file of an earlier run; to be told of from the oldest on. */
-    public void found(String name, long size) {
-        old.add(new Old(name, size));
-        oldBytes += size;
+    /** Adds a file that is not written any more, such as one of an earlier run; from the oldest on. */
+    public void addClosedFile(String name, long bytes) {
+        closedFiles.add(new ClosedFile(name, bytes));
+        closedBytes += bytes;
     }
 
-    /** Whether a record of so many bytes goes to a new file. One that is larger than a file may be has a file of its own. */
-    public boolean isDue(long now, int next) {
-        return current == null || now - since >= fileMicros || bytes + next > fileBytes && bytes > 0;
+    /** Whether a record of {@code recordBytes} goes to a new file. One larger than a file has a file of its own. */
+    public boolean isDue(long nowMicros, int recordBytes) {
+        if (currentName == null) {
+            return true;
+        }
+        boolean tooOld = nowMicros - currentSinceMicros >= maxFileAgeMicros;
+        boolean tooLarge = currentBytes + recordBytes > maxFileBytes && currentBytes > 0;
+        return tooOld || tooLarge;
     }
 
-    /** A new file was begun. */
-    public void begun(String name, long now) {
-        if (current != null) {
-            found(current, bytes);
-        }
-        current = name;
-        bytes = 0;
-        since = now;
+    /** A new file was begun; the one before it is closed. */
+    public void fileStarted(String name, long nowMicros) {
+        closeCurrentFile();
+        currentName = name;
+        currentBytes = 0;
+        currentSinceMicros = nowMicros;
     }
 
-    /** The newest file can't be written any further: whatever comes next goes to a new one. */
-    public void abandon() {
-        if (current != null) {
-            found(current, bytes);
-            current = null;
+    /** The current file, if there is one, is not written any more: the next record is due for a new one. */
+    public void closeCurrentFile() {
+        if (currentName != null) {
+            addClosedFile(currentName, currentBytes);
+            currentName = null;
         }
     }
 
-    /** So many bytes were written to the newest file. */
-    public void wrote(int n) {
-        bytes += n;
+    /** Bytes were written to the current file. */
+    public void bytesWritten(int bytes) {
+        currentBytes += bytes;
     }
 
-    /** The files that are to be deleted for the newest to have its room, from the oldest on; they are forgotten. */
-    public List<String> toDelete() {
+    /** Removes and returns the files to be deleted for the current one to have its room, from the oldest on. */
+    public List<String> removeExcessFiles() {
         List<String> names = new ArrayList<>();
-        while (!old.isEmpty() && oldBytes + fileBytes > totalBytes) {
-            Old oldest = old.poll();
-            oldBytes -= oldest.bytes;
+        while (!closedFiles.isEmpty() && closedBytes + maxFileBytes > maxTotalBytes) {
+            ClosedFile oldest = closedFiles.remove();
+            closedBytes -= oldest.bytes;
             names.add(oldest.name);
         }
         return names;
--- a/src/main/java/mintstair/serve/LogRecorder.java
+++ b/src/main/java/mintstair/serve/LogRecorder.java
@@ -41,7 +41,7 @@
     }
 
     private Recorder.Conversation begin(InetSocketAddress client, InetSocketAddress server) {
-        if (!sampler.takes(connections++)) {
+        if (!sampler.isSampled(connections++)) {
             return Recorder.Conversation.NONE;
         }
         TrafficLog.Conversation to = config.digests()
@@ -50,7 +50,7 @@
         return new Recorder.Conversation() {
             @Override
             public void said(boolean byClient, byte[] bytes) {
-                to.said(byClient, bytes);
+                to.sent(byClient, bytes);
             }
 
             @Override
--- a/src/main/java/mintstair/serve/PcapRecorder.java
+++ b/src/main/java/mintstair/serve/PcapRecorder.java
@@ -45,13 +45,13 @@
     @Override
     public Conversation begin(InetSocketAddress client, InetSocketAddress proxy) {
         PcapWriter.Conversation[] begun = new PcapWriter.Conversation[1];
-        attempt(time -> begun[0] = file.new Conversation(time, client, proxy));
+        attempt(time -> begun[0] = file.begin(time, client, proxy));
         return begun[0] == null
                 ? Conversation.NONE
                 : new Conversation() {
                     @Override
                     public void said(boolean byClient, byte[] bytes) {
-                        attempt(time -> begun[0].said(time, byClient, bytes));
+                        attempt(time -> begun[0].sent(time, byClient, bytes));
                     }
 
                     @Override
--- a/src/main/java/mintstair/traffic/ExchangeDecoder.java
+++ b/src/main/java/mintstair/traffic/ExchangeDecoder.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
-import mintstair.pcap.Losses;
+import mintstair.pcap.DropCounters;
 import mintstair.wire.Framer;
 import mintstair.wire.ProtocolException;
 
@@ -50,7 +50,7 @@
     }
 
     private final int connection;
-    private final Losses losses;
+    private final DropCounters losses;
     private final Consumer<RecordedExchange> out;
     private final Framer asked;
     private final Framer answered;
@@ -59,7 +59,8 @@
     /** Requests, and commands that are none, in the order in which they came. */
     protected final ArrayDeque<Open> open = new ArrayDeque<>();
 
-    ExchangeDecoder(int connection, Framer asked, Framer answered, Losses losses, Consumer<RecordedExchange> out) {
+    ExchangeDecoder(
+            int connection, Framer asked, Framer answered, DropCounters losses, Consumer<RecordedExchange> out) {
         this.connection = connection;
         this.asked = asked;
         this.answered = answered;
@@ -88,7 +89,7 @@
                 }
             }
         } catch (ProtocolException e) {
-            losses.add(Losses.Reason.NO_MESSAGE, 1);
+            losses.add(DropCounters.Reason.NO_MESSAGE, 1);
             lost(byClient);
         }
     }
--- a/src/main/java/mintstair/traffic/MongoExchangeDecoder.java
+++ b/src/main/java/mintstair/traffic/MongoExchangeDecoder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import mintstair.pcap.Losses;
+import mintstair.pcap.DropCounters;
 import mintstair.wire.MongoFramer;
 import mintstair.wire.MongoMessage;
 import mintstair.wire.ProtocolException;
@@ -17,7 +17,7 @@
     /** What differs from run to run though the value is the same. */
     private static final List<String> NOTES = List.of("lastWrite", "localTime", "operationTime", "$clusterTime");
 
-    MongoExchangeDecoder(int connection, Losses losses, Consumer<RecordedExchange> out) {
+    MongoExchangeDecoder(int connection, DropCounters losses, Consumer<RecordedExchange> out) {
         super(connection, new MongoFramer(), new MongoFramer(), losses, out);
     }
 
--- a/src/main/java/mintstair/traffic/PgExchangeDecoder.java
+++ b/src/main/java/mintstair/traffic/PgExchangeDecoder.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.function.Consumer;
-import mintstair.pcap.Losses;
+import mintstair.pcap.DropCounters;
 import mintstair.wire.Framer;
 import mintstair.wire.PgFramer;
 
@@ -21,7 +21,7 @@
     private long comeBack;
     private long heardAt;
 
-    PgExchangeDecoder(int connection, boolean fromStart, Losses losses, Consumer<RecordedExchange> out) {
+    PgExchangeDecoder(int connection, boolean fromStart, DropCounters losses, Consumer<RecordedExchange> out) {
         super(
                 connection,
                 fromStart ? new PgFramer.OfClient() : PgFramer.OfClient.started(),
--- a/src/main/java/mintstair/traffic/Recording.java
+++ b/src/main/java/mintstair/traffic/Recording.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import mintstair.pcap.Connections;
-import mintstair.pcap.Losses;
+import mintstair.pcap.DropCounters;
+import mintstair.pcap.TcpFlowHandler;
+import mintstair.pcap.TcpFlowReader;
 
 /** The exchanges of a capture, in one pass: each is given out when its answer is whole, or can't come any more. */
 public final class Recording {
@@ -19,11 +20,11 @@
     }
 
     private final Map<Integer, Protocol> ports;
-    private final Losses losses;
+    private final DropCounters losses;
     private final Consumer<RecordedExchange> out;
     private int connections;
 
-    private Recording(Map<Integer, Protocol> ports, Losses losses, Consumer<RecordedExchange> out) {
+    private Recording(Map<Integer, Protocol> ports, DropCounters losses, Consumer<RecordedExchange> out) {
         this.ports = ports;
         this.losses = losses;
         this.out = out;
@@ -39,33 +40,32 @@
             boolean merge,
             Supplier<TimeLine> lines,
             Map<Integer, Protocol> ports,
-            Losses losses,
+            DropCounters losses,
             Consumer<RecordedExchange> out)
             throws IOException {
         Recording all = new Recording(ports, losses, out);
-        Connections.read(files, merge, () -> lines.get()::place, ports::containsKey, all::opened, losses);
+        new TcpFlowReader(ports::containsKey, all::opened, losses).readFiles(files, merge, () -> lines.get()::place);
         return all.connections;
     }
 
-    private Connections.Connection opened(
-            long nanos, InetSocketAddress client, InetSocketAddress server, boolean fromStart) {
+    private TcpFlowHandler opened(long nanos, InetSocketAddress client, InetSocketAddress server, boolean fromStart) {
         int number = connections++;
         ExchangeDecoder talk = ports.get(server.getPort()) == Protocol.MONGODB
                 ? new MongoExchangeDecoder(number, losses, out)
                 : new PgExchangeDecoder(number, fromStart, losses, out);
-        return new Connections.Connection() {
+        return new TcpFlowHandler() {
             @Override
-            public void said(long at, boolean byClient, byte[] bytes, int from, int to) {
+            public void bytesReceived(long at, boolean byClient, byte[] bytes, int from, int to) {
                 talk.said(at, byClient, bytes, from, to);
             }
 
             @Override
-            public void lost(long at, boolean byClient) {
+            public void streamLost(long at, boolean byClient) {
                 talk.lost(byClient);
             }
 
             @Override
-            public void ended(long at) {
+            public void flowClosed(long at) {
                 talk.end();
             }
         };
--- a/src/main/java/mintstair/traffic/Replayer.java
+++ b/src/main/java/mintstair/traffic/Replayer.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import mintstair.pcap.Losses;
+import mintstair.pcap.DropCounters;
 import mintstair.time.WallClock;
 import mintstair.wire.PgWriter;
 import org.HdrHistogram.Histogram;
@@ -68,8 +68,8 @@
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             talk = protocol == Recording.Protocol.MONGODB
-                    ? new MongoExchangeDecoder(number, new Losses(), Replayer.this::answered)
-                    : new PgExchangeDecoder(number, true, new Losses(), Replayer.this::answered);
+                    ? new MongoExchangeDecoder(number, new DropCounters(), Replayer.this::answered)
+                    : new PgExchangeDecoder(number, true, new DropCounters(), Replayer.this::answered);
             key = channel.register(selector, SelectionKey.OP_CONNECT, this);
             if (protocol == Recording.Protocol.POSTGRESQL) {
                 say(STARTUP, now());
--- a/src/main/java/mintstair/traffic/TrafficCommand.java
+++ b/src/main/java/mintstair/traffic/TrafficCommand.java
@@ -16,7 +16,7 @@
 import java.util.stream.Collectors;
 import mintstair.config.ConfigException;
 import mintstair.config.NodeConfig;
-import mintstair.pcap.Losses;
+import mintstair.pcap.DropCounters;
 import mintstair.time.WallClock;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -114,7 +114,7 @@
         }
 
         /** All exchanges, in the order of their answers; more than there is room for is an error. */
-        List<RecordedExchange> exchanges(Losses losses) {
+        List<RecordedExchange> exchanges(DropCounters losses) {
             List<RecordedExchange> all = new ArrayList<>();
             long[] bytes = new long[1];
             read(losses, e -> {
@@ -143,7 +143,7 @@
             return text.isEmpty() ? "nothing" : text;
         }
 
-        int read(Losses losses, Consumer<RecordedExchange> out) {
+        int read(DropCounters losses, Consumer<RecordedExchange> out) {
             try {
                 return Recording.read(files, merge, this::line, ports(), losses, out);
             } catch (NoSuchFileException e) {
@@ -168,7 +168,7 @@
 
         @Override
         public Integer call() {
-            Losses losses = new Losses();
+            DropCounters losses = new DropCounters();
             Summary summary = new Summary();
             int connections = source.read(losses, summary::add);
             PrintWriter out = spec.commandLine().getOut();
@@ -207,7 +207,7 @@
 
         @Override
         public Integer call() {
-            Losses losses = new Losses();
+            DropCounters losses = new DropCounters();
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter lines = to.equals("-") ? out : writer(Path.of(to));
             try {
@@ -329,7 +329,7 @@
             } catch (IllegalArgumentException e) {
                 throw new ConfigException("traffic: " + e.getMessage());
             }
-            Losses losses = new Losses();
+            DropCounters losses = new DropCounters();
             List<RecordedExchange> recorded = source.exchanges(losses);
             PrintWriter out = spec.commandLine().getOut();
             try (Replayer replayer = new Replayer(
@@ -338,7 +338,7 @@
             }
         }
 
-        private int told(Replayer replayer, List<Replayer.Played> played, Losses losses, PrintWriter out) {
+        private int told(Replayer replayer, List<Replayer.Played> played, DropCounters losses, PrintWriter out) {
             Comparison comparison = new Comparison();
             played.stream()
                     .filter(p -> !p.planned().retry)
@@ -399,7 +399,7 @@
 
         @Override
         public Integer call() {
-            Losses losses = new Losses();
+            DropCounters losses = new DropCounters();
             Comparison comparison = Comparison.of(
                     new Source(List.of(first), ports, mongoPorts).exchanges(losses),
                     new Source(List.of(second), ports, mongoPorts).exchanges(losses));
--- a/src/test/java/mintstair/bench/TrafficBench.java
+++ b/src/test/java/mintstair/bench/TrafficBench.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.stream.Stream;
-import mintstair.pcap.Losses;
+import mintstair.pcap.DropCounters;
 import mintstair.pcap.PcapWriter;
-import mintstair.pcap.Replay;
+import mintstair.pcap.SerialReplay;
 import mintstair.program.Program;
 import mintstair.standin.Client;
 import mintstair.standin.MongoHost;
@@ -192,7 +192,7 @@
     /** What the files hold of the run, without the warming up. */
     private static List<RecordedExchange> read(Path folder, int port, Protocol protocol) throws IOException {
         List<RecordedExchange> all = new ArrayList<>();
-        Losses losses = new Losses();
+        DropCounters losses = new DropCounters();
         try (Stream<Path> files = Files.list(folder)) {
             Recording.read(
                     files.sorted().toList(),
@@ -240,7 +240,7 @@
             Path file = files.sorted().findFirst().orElseThrow();
             long begun = System.nanoTime();
             System.out.println("serial replay: "
-                    + new Replay(new InetSocketAddress("127.0.0.1", port), false).play(file, captured));
+                    + new SerialReplay(new InetSocketAddress("127.0.0.1", port), false).play(file, captured));
             figure("serial_replay_s", (System.nanoTime() - begun) / 1e9);
         }
     }
@@ -283,22 +283,21 @@
                 List<PcapWriter.Conversation> all = new ArrayList<>();
                 long time = 1_700_000_000_000_000L;
                 for (int c = 0; c < 200; c++) {
-                    PcapWriter.Conversation one = out
-                    .new Conversation(
+                    PcapWriter.Conversation one = out.begin(
                             time,
                             new InetSocketAddress("127.0.0.1", 10_000 + c),
                             new InetSocketAddress("127.0.0.1", 5433));
-                    one.said(time, true, Client.Pg.startup());
-                    one.said(time, false, new PgWriter().message('R', 0).ready().bytes());
+                    one.sent(time, true, Client.Pg.startup());
+                    one.sent(time, false, new PgWriter().message('R', 0).ready().bytes());
                     all.add(one);
                 }
                 for (; requests * 2_000 < GIGABYTE; requests++) {
                     PcapWriter.Conversation one = all.get((int) (requests % 200));
-                    one.said(
+                    one.sent(
                             time += 100,
                             true,
                             Client.Pg.query(Client.Pg.words(false, "id=" + requests + ",c=any,cluster=1", 500)));
-                    one.said(time += 100, false, answer);
+                    one.sent(time += 100, false, answer);
                 }
             }
             long begun = System.nanoTime();
--- a/src/test/java/mintstair/program/RegistryProgramTest.java
+++ b/src/test/java/mintstair/program/RegistryProgramTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import mintstair.pcap.Losses;
+import mintstair.pcap.DropCounters;
 import mintstair.registry.etcd.EtcdMember;
 import mintstair.standin.Client;
 import mintstair.standin.ConsulServer;
@@ -249,7 +249,7 @@
                     false,
                     () -> new TimeLine(Long.MAX_VALUE),
                     Map.of(at, Recording.Protocol.POSTGRESQL),
-                    new Losses(),
+                    new DropCounters(),
                     found::add);
             List<String> served = found.stream()
                     .filter(e -> e.id().startsWith("x") && e.result() == RecordedExchange.Result.SERVED)
--- a/src/test/java/mintstair/traffic/RecordingTest.java
+++ b/src/test/java/mintstair/traffic/RecordingTest.java
@@ -19,7 +19,7 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import mintstair.config.Json;
-import mintstair.pcap.Losses;
+import mintstair.pcap.DropCounters;
 import mintstair.pcap.PcapWriter;
 import mintstair.standin.Client;
 import mintstair.traffic.RecordedExchange.Result;
@@ -45,23 +45,23 @@
     private static final long BEGUN = 1_700_000_000_000_000L;
 
     private long now = BEGUN;
-    private final Losses losses = new Losses();
+    private final DropCounters losses = new DropCounters();
 
     /** What is said on one connection, a millisecond after the other. */
     private final class Said {
         final PcapWriter.Conversation to;
 
         Said(PcapWriter file, int port, InetSocketAddress server) throws IOException {
-            to = file.new Conversation(now, new InetSocketAddress("127.0.0.1", port), server);
+            to = file.begin(now, new InetSocketAddress("127.0.0.1", port), server);
         }
 
         Said asks(byte[] bytes) throws IOException {
-            to.said(now += 1_000, true, bytes);
+            to.sent(now += 1_000, true, bytes);
             return this;
         }
 
         Said answers(byte[] bytes) throws IOException {
-            to.said(now += 1_000, false, bytes);
+            to.sent(now += 1_000, false, bytes);
             return this;
         }
     }
