--- a/src/main/java/mintstair/traffic/Comparison.java
+++ b/src/main/java/mintstair/traffic/Comparison.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Deque;
 import java.util.EnumMap;
 import java.util.HashMap;
@@ -10,104 +9,152 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.concurrent.TimeUnit;
-import org.HdrHistogram.Histogram;
 
 /**
- * Requests of two recordings beside each other, by class: final answers, values, latencies, and the first divergence of each kind.
- * Without I/O.
+ * Compares the requests of two recordings by class: results, values, latencies, and the first divergence of each
+ * kind. Without I/O; not safe for use by several threads.
  */
 public final class Comparison {
-    /** How two exchanges of one request differ. */
+    /** How the two exchanges of one request differ. Operators see these names in lower case. */
     public enum Divergence {
+        /** The results differ. */
         ANSWER,
+        /** Both were served, with other values. */
         VALUE,
+        /** The request classes differ. */
         CLASS,
+        /** The second recording lacks the request. */
         ONLY_FIRST,
+        /** The first recording lacks the request. */
         ONLY_SECOND
     }
 
-    /** One class's figures; latencies of served requests in microseconds. */
-    private static final class OfClass {
-        final Histogram first = new Histogram(LONGEST, 2);
-        final Histogram second = new Histogram(LONGEST, 2);
+    /** The percentiles at which latencies are compared. */
+    private static final List<Double> PERCENTILES = List.of(50.0, 90.0, 99.0, 99.9);
+
+    private static final int P50 = PERCENTILES.indexOf(50.0);
+
+    /** Index of the 99th percentile in a row's latencies. */
+    static final int P99 = PERCENTILES.indexOf(99.0);
+
+    /** What is counted of one request class. */
+    private static final class ClassComparison {
+        final ServedLatency first = new ServedLatency();
+        final ServedLatency second = new ServedLatency();
         final Map<Divergence, Long> divergences = new EnumMap<>(Divergence.class);
         long same;
+
+        long count(Divergence kind) {
+            return divergences.getOrDefault(kind, 0L);
+        }
     }
 
-    private static final long LONGEST = TimeUnit.MINUTES.toMicros(10);
-    private final Map<String, OfClass> classes = new TreeMap<>();
+    /**
+     * One class of a report.
+     *
+     * @param name the class
+     * @param same requests that do not diverge
+     * @param answer requests with other results
+     * @param value requests with other values
+     * @param first latencies of the first recording in milliseconds, at {@link #percentiles}
+     * @param second latencies of the second recording in milliseconds, at {@link #percentiles}
+     */
+    public record Row(
+            String name,
+            long same,
+            long answer,
+            long value,
+            long onlyFirst,
+            long onlySecond,
+            List<Double> first,
+            List<Double> second) {}
+
+    private final Map<String, ClassComparison> classes = new TreeMap<>();
     private final Map<Divergence, String> firstOfKind = new EnumMap<>(Divergence.class);
     private final Map<Divergence, Long> counts = new EnumMap<>(Divergence.class);
     private long pairs;
 
-    /** Matches by what a request is (class, group, session, write or read, deadline, retry mark) and which of its like it is. */
+    /** Compares two recordings; requests are matched by what they are and by their order among equal ones. */
     public static Comparison of(List<RecordedExchange> first, List<RecordedExchange> second) {
-        Comparison c = new Comparison();
-        Map<String, Deque<RecordedExchange>> open = new HashMap<>();
-        for (RecordedExchange e : second) {
-            open.computeIfAbsent(likeness(e), k -> new ArrayDeque<>()).add(e);
+        Map<String, Deque<RecordedExchange>> unmatched = new HashMap<>();
+        for (RecordedExchange exchange : second) {
+            unmatched
+                    .computeIfAbsent(matchKey(exchange), absent -> new ArrayDeque<>())
+                    .add(exchange);
         }
-        for (RecordedExchange e : first) {
-            Deque<RecordedExchange> like = open.get(likeness(e));
-            c.add(e, like == null ? null : like.poll());
+        Comparison comparison = new Comparison();
+        for (RecordedExchange exchange : first) {
+            Deque<RecordedExchange> candidates = unmatched.get(matchKey(exchange));
+            comparison.add(exchange, candidates == null ? null : candidates.poll());
         }
-        open.values().forEach(rest -> rest.forEach(e -> c.add(null, e)));
-        return c;
+        unmatched.values().forEach(rest -> rest.forEach(exchange -> comparison.add(null, exchange)));
+        return comparison;
     }
 
-    private static String likeness(RecordedExchange e) {
-        return e.requestClass()
+    /** Equal for requests that are alike; of those the order counts. */
+    private static String matchKey(RecordedExchange exchange) {
+        return exchange.requestClass()
                 + ' '
-                + e.cluster()
+                + exchange.replicaSet()
                 + ' '
-                + e.session()
+                + exchange.session()
                 + ' '
-                + e.write()
+                + exchange.write()
                 + ' '
-                + e.deadlineMillis()
+                + exchange.timeoutMillis()
                 + ' '
-                + e.retry();
+                + exchange.retry();
     }
 
-    /** Adds one request's exchanges; one of them may be null where a recording lacks it. */
+    /** Adds the exchanges of one request; one of them may be null where a recording lacks it. */
     public void add(RecordedExchange first, RecordedExchange second) {
-        RecordedExchange any = first == null ? second : first;
-        OfClass of = classes.computeIfAbsent(any.requestClass(), n -> new OfClass());
-        latency(of.first, first);
-        latency(of.second, second);
-        Divergence d = first == null
-                ? Divergence.ONLY_SECOND
-                : second == null
-                        ? Divergence.ONLY_FIRST
-                        : !first.requestClass().equals(second.requestClass())
-                                ? Divergence.CLASS
-                                : first.result() != second.result()
-                                        ? Divergence.ANSWER
-                                        : first.digest() != second.digest() ? Divergence.VALUE : null;
-        pairs += first != null && second != null ? 1 : 0;
-        if (d == null) {
-            of.same++;
+        RecordedExchange either = first == null ? second : first;
+        ClassComparison byClass = classes.computeIfAbsent(either.requestClass(), absent -> new ClassComparison());
+        if (first != null) {
+            byClass.first.add(first);
+        }
+        if (second != null) {
+            byClass.second.add(second);
+        }
+        if (first != null && second != null) {
+            pairs++;
+        }
+        Divergence divergence = divergenceOf(first, second);
+        if (divergence == null) {
+            byClass.same++;
             return;
         }
-        of.divergences.merge(d, 1L, Long::sum);
-        counts.merge(d, 1L, Long::sum);
-        firstOfKind.computeIfAbsent(d, k -> words(first) + " / " + words(second));
+        byClass.divergences.merge(divergence, 1L, Long::sum);
+        counts.merge(divergence, 1L, Long::sum);
+        firstOfKind.computeIfAbsent(divergence, absent -> describe(first) + " / " + describe(second));
     }
 
-    private static void latency(Histogram to, RecordedExchange e) {
-        if (e != null && e.result() == RecordedExchange.Result.SERVED) {
-            to.recordValue(Math.max(0, Math.min(LONGEST, (e.answered() - e.asked()) / 1000)));
+    private static Divergence divergenceOf(RecordedExchange first, RecordedExchange second) {
+        if (first == null) {
+            return Divergence.ONLY_SECOND;
+        }
+        if (second == null) {
+            return Divergence.ONLY_FIRST;
         }
+        if (!first.requestClass().equals(second.requestClass())) {
+            return Divergence.CLASS;
+        }
+        if (first.result() != second.result()) {
+            return Divergence.ANSWER;
+        }
+        return first.digest() == second.digest() ? null : Divergence.VALUE;
     }
 
-    private static String words(RecordedExchange e) {
-        return e == null
-                ? "nothing"
-                : e.requestClass() + " " + e.id() + " " + e.result().name().toLowerCase(Locale.ROOT)
-                        + (e.digest() == 0 ? "" : " " + Long.toHexString(e.digest()));
+    private static String describe(RecordedExchange exchange) {
+        if (exchange == null) {
+            return "nothing";
+        }
+        String digest = exchange.digest() == 0 ? "" : " " + Long.toHexString(exchange.digest());
+        String result = exchange.result().name().toLowerCase(Locale.ROOT);
+        return exchange.requestClass() + " " + exchange.id() + " " + result + digest;
     }
 
+    /** How many requests both recordings have. */
     public long pairs() {
         return pairs;
     }
@@ -122,47 +169,36 @@
         return counts.isEmpty();
     }
 
-    /** One class's figures for a report; latencies in milliseconds at {@link #PERCENTILES}. */
-    public record Row(
-            String name,
-            long same,
-            long answer,
-            long value,
-            long onlyFirst,
-            long onlySecond,
-            List<Double> first,
-            List<Double> second) {}
-
-    /** Where latencies are told. */
-    public static final double[] PERCENTILES = {50, 90, 99, 99.9};
+    /** The percentiles that a row's latencies are given at. */
+    public static List<Double> percentiles() {
+        return PERCENTILES;
+    }
 
-    /** A row for each class. */
+    /** A row for each class, in the order of their names. */
     public List<Row> rows() {
         List<Row> rows = new ArrayList<>();
-        classes.forEach((name, c) -> rows.add(new Row(
-                name.isEmpty() ? "(none)" : name,
-                c.same,
-                of(c, Divergence.ANSWER),
-                of(c, Divergence.VALUE),
-                of(c, Divergence.ONLY_FIRST),
-                of(c, Divergence.ONLY_SECOND),
-                latencies(c.first),
-                latencies(c.second))));
+        classes.forEach((name, byClass) -> rows.add(new Row(
+                ClassLabels.of(name),
+                byClass.same,
+                byClass.count(Divergence.ANSWER),
+                byClass.count(Divergence.VALUE),
+                byClass.count(Divergence.ONLY_FIRST),
+                byClass.count(Divergence.ONLY_SECOND),
+                latencies(byClass.first),
+                latencies(byClass.second))));
         return rows;
     }
 
-    private static List<Double> latencies(Histogram h) {
-        return Arrays.stream(PERCENTILES)
-                .mapToObj(p -> h.getValueAtPercentile(p) / 1e3)
-                .toList();
+    private static List<Double> latencies(ServedLatency latency) {
+        return PERCENTILES.stream().map(latency::percentileMillis).toList();
     }
 
-    /** The first divergence of each kind, in words. */
+    /** The first divergence of each kind, described. */
     public List<String> firstOfEachKind() {
-        List<String> words = new ArrayList<>();
-        firstOfKind.forEach(
-                (kind, text) -> words.add(kind.name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + text));
-        return words;
+        List<String> described = new ArrayList<>();
+        firstOfKind.forEach((kind, text) ->
+                described.add(kind.name().toLowerCase(Locale.ROOT).replace('_', ' ') + ": " + text));
+        return described;
     }
 
     /** A table by class, then the first divergence of each kind. */
@@ -179,25 +215,25 @@
                 "only 2nd",
                 "p50/p99 ms of the first",
                 "p50/p99 ms of the second"));
-        classes.forEach((name, c) -> text.append(String.format(
-                Locale.ROOT,
-                "%-20s %9d %9d %9d %9d %9d %14.2f /%7.2f %14.2f /%7.2f%n",
-                name.isEmpty() ? "(none)" : name,
-                c.same,
-                of(c, Divergence.ANSWER),
-                of(c, Divergence.VALUE),
-                of(c, Divergence.ONLY_FIRST),
-                of(c, Divergence.ONLY_SECOND),
-                c.first.getValueAtPercentile(50) / 1e3,
-                c.first.getValueAtPercentile(99) / 1e3,
-                c.second.getValueAtPercentile(50) / 1e3,
-                c.second.getValueAtPercentile(99) / 1e3)));
+        rows().forEach(row -> text.append(tableLine(row)));
         firstOfEachKind()
-                .forEach(words -> text.append("first by ").append(words).append(System.lineSeparator()));
+                .forEach(described -> text.append("first by ").append(described).append(System.lineSeparator()));
         return text.toString();
     }
 
-    private static long of(OfClass c, Divergence kind) {
-        return c.divergences.getOrDefault(kind, 0L);
+    private static String tableLine(Row row) {
+        return String.format(
+                Locale.ROOT,
+                "%-20s %9d %9d %9d %9d %9d %14.2f /%7.2f %14.2f /%7.2f%n",
+                row.name,
+                row.same,
+                row.answer,
+                row.value,
+                row.onlyFirst,
+                row.onlySecond,
+                row.first.get(P50),
+                row.first.get(P99),
+                row.second.get(P50),
+                row.second.get(P99));
     }
 }
--- a/src/main/java/mintstair/traffic/ExchangeDecoder.java
+++ b/src/main/java/mintstair/traffic/ExchangeDecoder.java
@@ -2,195 +2,151 @@
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
-import java.util.HashMap;
+import java.util.Deque;
 import java.util.Iterator;
-import java.util.Map;
 import java.util.function.Consumer;
-import java.util.regex.Pattern;
 import mintstair.pcap.DropCounters;
 import mintstair.wire.Framer;
 import mintstair.wire.ProtocolException;
 
 /**
- * One connection of a recording, read as a protocol: requests wait for their answers in the order of the protocol. What can't be
- * read any more ends there; what is open then has no answer. Bounded: of more open requests than a front takes, the oldest are
- * given out without an answer.
+ * Decodes one connection into exchanges: requests wait for their responses as the protocol matches them. Where a
+ * direction can't be decoded any more, it ends, and pending requests are given out without a response. So is the
+ * oldest where more are pending than a front allows. Not safe for use by several threads.
  */
 abstract class ExchangeDecoder {
-    private static final int MOST_OPEN = 1_024;
-    private static final Pattern NUMBER = Pattern.compile("\\d{1,15}");
-
-    /** What is known of a request before its answer; {@code null} in {@link #asked} for a command that is no request. */
-    static final class Open {
-        final long nanos;
-        final byte[] message;
-        final boolean write;
-        final String session;
-        final Map<String, String> values;
-        final long deadline;
-        /** What an answer names it by, where the protocol has that. */
-        final int number;
-
-        Open(
-                long nanos,
-                byte[] message,
-                boolean write,
-                String session,
-                Map<String, String> values,
-                long deadline,
-                int number) {
-            this.nanos = nanos;
-            this.message = message;
-            this.write = write;
-            this.session = session;
-            this.values = values;
-            this.deadline = deadline;
-            this.number = number;
-        }
-    }
+    private static final int MAX_PENDING_REQUESTS = 1_024;
 
     private final int connection;
-    private final DropCounters losses;
-    private final Consumer<RecordedExchange> out;
-    private final Framer asked;
-    private final Framer answered;
-    private boolean askedOver;
-    private boolean answeredOver;
-    /** Requests, and commands that are none, in the order in which they came. */
-    protected final ArrayDeque<Open> open = new ArrayDeque<>();
-
+    private final DropCounters drops;
+    private final Consumer<RecordedExchange> output;
+    private final Framer clientFramer;
+    private final Framer serverFramer;
+    private final Deque<PendingRequest> pending = new ArrayDeque<>();
+    private boolean clientEnded;
+    private boolean serverEnded;
+
+    /**
+     * Creates a decoder.
+     *
+     * @param connection the number that exchanges have
+     * @param clientFramer splits what the client sends into messages
+     * @param serverFramer splits what the server sends into messages
+     * @param output takes each exchange once it is complete
+     */
     ExchangeDecoder(
-            int connection, Framer asked, Framer answered, DropCounters losses, Consumer<RecordedExchange> out) {
+            int connection,
+            Framer clientFramer,
+            Framer serverFramer,
+            DropCounters drops,
+            Consumer<RecordedExchange> output) {
         this.connection = connection;
-        this.asked = asked;
-        this.answered = answered;
-        this.losses = losses;
-        this.out = out;
+        this.clientFramer = clientFramer;
+        this.serverFramer = serverFramer;
+        this.drops = drops;
+        this.output = output;
+    }
+
+    /** Creates the decoder of a protocol; see the constructor. */
+    static ExchangeDecoder create(
+            Recording.Protocol protocol,
+            int connection,
+            boolean fromStart,
+            DropCounters drops,
+            Consumer<RecordedExchange> output) {
+        return switch (protocol) {
+            case POSTGRESQL -> new PgExchangeDecoder(connection, fromStart, drops, output);
+            case MONGODB -> new MongoExchangeDecoder(connection, drops, output);
+        };
     }
 
-    /** A whole message of the client's. */
-    protected abstract void asked(long nanos, byte[] message);
+    /** A whole message of the client. */
+    protected abstract void onClientMessage(long timestampNanos, byte[] message);
 
-    /** A whole message, or a part of a long one, of the server's. */
-    protected abstract void answered(long nanos, byte[] message);
+    /** A whole message of the server, or a part of a long one. */
+    protected abstract void onServerMessage(long timestampNanos, byte[] message);
 
-    final void said(long nanos, boolean byClient, byte[] bytes, int from, int to) {
-        if (byClient ? askedOver : answeredOver) {
+    /** Completes requests whose response was whole, though the connection ended with it. */
+    protected void onEnd() {}
+
+    /** Takes the next bytes of a direction, {@code from} to {@code to - 1} of the array. */
+    final void feed(long timestampNanos, boolean fromClient, byte[] bytes, int from, int to) {
+        if (fromClient ? clientEnded : serverEnded) {
             return;
         }
-        Framer framer = byClient ? asked : answered;
+        Framer framer = fromClient ? clientFramer : serverFramer;
         framer.feed(ByteBuffer.wrap(bytes, from, to - from));
         try {
-            for (byte[] m = framer.next(); m != null; m = framer.next()) {
-                if (byClient) {
-                    asked(nanos, m);
+            for (byte[] message = framer.next(); message != null; message = framer.next()) {
+                if (fromClient) {
+                    onClientMessage(timestampNanos, message);
                 } else {
-                    answered(nanos, m);
+                    onServerMessage(timestampNanos, message);
                 }
             }
         } catch (ProtocolException e) {
-            losses.add(DropCounters.Reason.NO_MESSAGE, 1);
-            lost(byClient);
+            drops.count(DropCounters.Reason.NO_MESSAGE);
+            streamLost(fromClient);
         }
     }
 
-    final void lost(boolean byClient) {
-        askedOver |= byClient;
-        answeredOver |= !byClient;
-        if (!byClient) {
-            // Which answer belongs to which request can't be told any more.
-            giveUp();
+    /** A direction can't be followed any more. */
+    final void streamLost(boolean fromClient) {
+        if (fromClient) {
+            clientEnded = true;
+            return;
         }
+        serverEnded = true;
+        // Which response belongs to which request is unknown from here on.
+        completeAllWithoutResponse();
     }
 
-    /** Nothing more comes: what is open has no answer. */
+    /** The connection ended. */
     final void end() {
-        if (!answeredOver) {
-            ending();
-        }
-        giveUp();
-        askedOver = true;
-        answeredOver = true;
-    }
-
-    /** Tells what has its answer though the connection ended with it. */
-    protected void ending() {}
-
-    private void giveUp() {
-        for (Open each : open) {
-            tell(each, 0, RecordedExchange.Result.NONE, 0, 0);
+        if (!serverEnded) {
+            onEnd();
         }
-        open.clear();
+        completeAllWithoutResponse();
+        clientEnded = true;
+        serverEnded = true;
     }
 
-    protected final void opened(Open request) {
-        if (open.size() >= MOST_OPEN) {
-            tell(open.poll(), 0, RecordedExchange.Result.NONE, 0, 0);
-        }
-        open.add(request);
-    }
-
-    /** The open request of this number, which is taken out, or null. */
-    protected final Open take(int number) {
-        for (Iterator<Open> each = open.iterator(); each.hasNext(); ) {
-            Open request = each.next();
-            if (request.number == number) {
-                each.remove();
-                return request;
-            }
+    private void completeAllWithoutResponse() {
+        for (PendingRequest request : pending) {
+            complete(request, ExchangeResponse.NONE);
         }
-        return null;
+        pending.clear();
     }
 
-    protected final void tell(
-            Open request, long answeredAt, RecordedExchange.Result result, long comeBack, long digest) {
-        if (request.values == null) {
-            return;
+    /** Adds a request, or a command that has a response but gives no exchange. */
+    protected final void addPending(PendingRequest request) {
+        if (pending.size() >= MAX_PENDING_REQUESTS) {
+            complete(pending.remove(), ExchangeResponse.NONE);
         }
-        Map<String, String> v = request.values;
-        out.accept(new RecordedExchange(
-                connection,
-                request.nanos,
-                answeredAt,
-                v.getOrDefault("id", ""),
-                v.getOrDefault("c", ""),
-                (int) number(v.get("cluster"), 0),
-                request.session,
-                request.write,
-                "1".equals(v.get("r")),
-                request.deadline,
-                number(v.get("after"), -1),
-                result,
-                comeBack,
-                digest,
-                request.message));
+        pending.add(request);
     }
 
-    protected static long number(String text, long otherwise) {
-        return text != null && NUMBER.matcher(text).matches() ? Long.parseLong(text) : otherwise;
+    /** Removes and returns the oldest pending request, or null. */
+    protected final PendingRequest removeOldestPending() {
+        return pending.poll();
     }
 
-    /** Names and values of a comment; empty where it holds something else. */
-    protected static Map<String, String> comment(String text) {
-        Map<String, String> values = new HashMap<>();
-        for (String part : text.strip().split(",")) {
-            int equals = part.indexOf('=');
-            if (equals < 1) {
-                return Map.of();
+    /** Removes and returns the pending request of this id, or null. */
+    protected final PendingRequest removePending(int requestId) {
+        for (Iterator<PendingRequest> requests = pending.iterator(); requests.hasNext(); ) {
+            PendingRequest request = requests.next();
+            if (request.requestId() == requestId) {
+                requests.remove();
+                return request;
             }
-            values.put(
-                    part.substring(0, equals).strip(),
-                    part.substring(equals + 1).strip());
         }
-        return values;
+        return null;
     }
 
-    /** FNV-1a over 64 bits: the same for the same bytes in any run. */
-    protected static long digest(long before, byte[] bytes, int from, int to) {
-        long hash = before == 0 ? 0xcbf29ce484222325L : before;
-        for (int i = from; i < to; i++) {
-            hash = (hash ^ bytes[i] & 255) * 0x100000001b3L;
+    /** Gives out the exchange of a request that is not pending any more. */
+    protected final void complete(PendingRequest request, ExchangeResponse response) {
+        if (request.comment().isRequest()) {
+            output.accept(request.complete(connection, response));
         }
-        return hash;
     }
 }
--- a/src/main/java/mintstair/traffic/MongoExchangeDecoder.java
+++ b/src/main/java/mintstair/traffic/MongoExchangeDecoder.java
@@ -1,5 +1,6 @@
 package mintstair.traffic;
 
+import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -9,91 +10,92 @@
 import mintstair.wire.MongoMessage;
 import mintstair.wire.ProtocolException;
 import org.bson.BsonDocument;
+import org.bson.BsonValue;
 
-/** MongoDB's wire protocol: answers name what they answer. */
+/** Decodes MongoDB's wire protocol, in which a response names the request that it answers. */
 final class MongoExchangeDecoder extends ExchangeDecoder {
-    private static final List<String> WRITES = List.of("insert", "update", "delete");
-    private static final int OVERLOADED = 462;
-    /** What differs from run to run though the value is the same. */
-    private static final List<String> NOTES = List.of("lastWrite", "localTime", "operationTime", "$clusterTime");
+    private static final List<String> WRITE_COMMANDS = List.of("insert", "update", "delete");
+    /** The error code with which the front rejects a request. */
+    private static final int REJECTION_CODE = 462;
+    /** Fields that differ from run to run though the value is the same. */
+    private static final List<String> VARIABLE_FIELDS =
+            List.of("lastWrite", "localTime", "operationTime", "$clusterTime");
 
-    MongoExchangeDecoder(int connection, DropCounters losses, Consumer<RecordedExchange> out) {
-        super(connection, new MongoFramer(), new MongoFramer(), losses, out);
+    MongoExchangeDecoder(int connection, DropCounters drops, Consumer<RecordedExchange> output) {
+        super(connection, new MongoFramer(), new MongoFramer(), drops, output);
     }
 
     @Override
-    protected void asked(long nanos, byte[] bytes) {
-        MongoMessage m = MongoMessage.parse(bytes);
-        if ((m.flags() & MongoMessage.MORE_TO_COME) != 0) {
+    protected void onClientMessage(long timestampNanos, byte[] bytes) {
+        MongoMessage message = MongoMessage.parse(bytes);
+        if ((message.flags() & MongoMessage.MORE_TO_COME) != 0) {
             return;
         }
-        BsonDocument c = m.body();
-        Map<String, String> values = comment(c);
-        boolean request = values.containsKey("id");
-        opened(new Open(
-                nanos,
+        BsonDocument command = message.body();
+        CommentFields comment = commentOf(command);
+        addPending(new PendingRequest(
+                timestampNanos,
                 bytes,
-                WRITES.contains(c.getFirstKey()),
-                values.get("session"),
-                request ? values : null,
-                c.isNumber("maxTimeMS") ? c.getNumber("maxTimeMS").longValue() : 0,
-                m.requestId()));
+                WRITE_COMMANDS.contains(command.getFirstKey()),
+                comment.get(CommentFields.SESSION),
+                comment,
+                numberOrZero(command, "maxTimeMS"),
+                message.requestId()));
     }
 
-    private static Map<String, String> comment(BsonDocument c) {
-        if (c.isString("comment")) {
-            return comment(c.getString("comment").getValue());
+    private static CommentFields commentOf(BsonDocument command) {
+        if (command.isString("comment")) {
+            return CommentFields.parse(command.getString("comment").getValue());
+        }
+        if (!command.isDocument("comment")) {
+            return CommentFields.empty();
         }
         Map<String, String> values = new HashMap<>();
-        if (c.isDocument("comment")) {
-            c.getDocument("comment")
-                    .forEach((name, value) -> values.put(
-                            name,
-                            value.isString()
-                                    ? value.asString().getValue()
-                                    : value.isNumber()
-                                            ? Long.toString(value.asNumber().longValue())
-                                            : value.isDateTime()
-                                                    ? Long.toString(
-                                                            value.asDateTime().getValue())
-                                                    : value.isBoolean()
-                                                                    && value.asBoolean()
-                                                                            .getValue()
-                                                            ? "1"
-                                                            : ""));
+        command.getDocument("comment").forEach((name, value) -> values.put(name, text(value)));
+        return CommentFields.of(values);
+    }
+
+    private static String text(BsonValue value) {
+        if (value.isString()) {
+            return value.asString().getValue();
         }
-        return values;
+        if (value.isNumber()) {
+            return Long.toString(value.asNumber().longValue());
+        }
+        if (value.isDateTime()) {
+            return Long.toString(value.asDateTime().getValue());
+        }
+        return value.isBoolean() && value.asBoolean().getValue() ? CommentFields.TRUE : "";
+    }
+
+    private static long numberOrZero(BsonDocument document, String name) {
+        return document.isNumber(name) ? document.getNumber(name).longValue() : 0;
     }
 
     @Override
-    protected void answered(long nanos, byte[] bytes) {
-        MongoMessage m;
+    protected void onServerMessage(long timestampNanos, byte[] bytes) {
+        MongoMessage message;
         try {
-            m = MongoMessage.parse(bytes);
+            message = MongoMessage.parse(bytes);
         } catch (ProtocolException e) {
-            // A reply of the old kind, to hello: it answers no request.
+            // An OP_REPLY, which answers an old driver's hello and so no request.
             return;
         }
-        Open request = take(m.responseTo());
-        if (request == null) {
-            return;
+        PendingRequest request = removePending(message.responseTo());
+        if (request != null) {
+            complete(request, responseIn(message.body(), timestampNanos));
         }
-        BsonDocument body = m.body();
+    }
+
+    private static ExchangeResponse responseIn(BsonDocument body, long timestampNanos) {
         if (body.isNumber("ok") && body.getNumber("ok").doubleValue() == 1) {
-            NOTES.forEach(body::remove);
-            byte[] value = body.toJson().getBytes(java.nio.charset.StandardCharsets.UTF_8);
-            tell(request, nanos, RecordedExchange.Result.SERVED, 0, digest(0, value, 0, value.length));
-        } else if (body.isNumber("code") && body.getNumber("code").intValue() == OVERLOADED) {
-            tell(
-                    request,
-                    nanos,
-                    RecordedExchange.Result.REFUSED,
-                    body.isNumber("retryAfterMS")
-                            ? body.getNumber("retryAfterMS").longValue()
-                            : 0,
-                    0);
-        } else {
-            tell(request, nanos, RecordedExchange.Result.FAILED, 0, 0);
+            VARIABLE_FIELDS.forEach(body::remove);
+            byte[] value = body.toJson().getBytes(StandardCharsets.UTF_8);
+            return ExchangeResponse.served(timestampNanos, ValueDigest.of(value));
+        }
+        if (body.isNumber("code") && body.getNumber("code").intValue() == REJECTION_CODE) {
+            return ExchangeResponse.refused(timestampNanos, numberOrZero(body, "retryAfterMS"));
         }
+        return ExchangeResponse.failed(timestampNanos);
     }
 }
--- a/src/main/java/mintstair/traffic/PgExchangeDecoder.java
+++ b/src/main/java/mintstair/traffic/PgExchangeDecoder.java
@@ -2,118 +2,159 @@
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.util.Map;
+import java.util.Set;
 import java.util.function.Consumer;
 import mintstair.pcap.DropCounters;
+import mintstair.traffic.RecordedExchange.Result;
 import mintstair.wire.Framer;
 import mintstair.wire.PgFramer;
 
-/** PostgreSQL's protocol: simple queries, answered in their order. Without the beginning of a connection it is entered at a query. */
+/**
+ * Decodes PostgreSQL's protocol: simple queries, answered in their order. A connection without its beginning is
+ * decoded from its first query on.
+ */
 final class PgExchangeDecoder extends ExchangeDecoder {
-    private static final int NO_NUMBER = 0;
-    private boolean started;
+    /** The protocol has no request ids: responses come in the order of the requests. */
+    private static final int NO_REQUEST_ID = 0;
+
+    private static final int PROTOCOL_MAJOR = 3;
+    private static final byte QUERY = 'Q';
+    private static final byte DATA_ROW = 'D';
+    private static final byte COMMAND_COMPLETE = 'C';
+    private static final byte ERROR_RESPONSE = 'E';
+    private static final byte READY_FOR_QUERY = 'Z';
+    /** Type and length. */
+    private static final int MESSAGE_HEADER_BYTES = 5;
+
+    private static final byte FIELD_CODE = 'C';
+    private static final byte FIELD_DETAIL = 'D';
+    /** too_many_connections, cannot_connect_now. */
+    private static final Set<String> REJECTION_CODES = Set.of("53300", "57P03");
+
+    private static final String INSERT = "INSERT ";
+
+    private boolean clientStarted;
     /** The first ReadyForQuery answers the start-up, though a query may have come with that. */
-    private boolean greeted;
+    private boolean serverStarted;
 
+    private long lastServerNanos;
+    /** What came of the response that is being read. */
+    private Result result = Result.NONE;
+
+    private long retryAfterMillis;
     private long digest;
-    private int valueLeft;
-    private RecordedExchange.Result result = RecordedExchange.Result.NONE;
-    private long comeBack;
-    private long heardAt;
-
-    PgExchangeDecoder(int connection, boolean fromStart, DropCounters losses, Consumer<RecordedExchange> out) {
-        super(
-                connection,
-                fromStart ? new PgFramer.OfClient() : PgFramer.OfClient.started(),
-                new PgFramer.OfHost(),
-                losses,
-                out);
-        started = !fromStart;
-        greeted = !fromStart;
+    private int remainingValueBytes;
+
+    PgExchangeDecoder(int connection, boolean fromStart, DropCounters drops, Consumer<RecordedExchange> output) {
+        super(connection, clientFramer(fromStart), new PgFramer.OfHost(), drops, output);
+        clientStarted = !fromStart;
+        serverStarted = !fromStart;
+    }
+
+    private static Framer clientFramer(boolean fromStart) {
+        return fromStart ? new PgFramer.OfClient() : PgFramer.OfClient.started();
     }
 
     @Override
-    protected void asked(long nanos, byte[] m) {
-        if (!started) {
-            started = ByteBuffer.wrap(m).getInt(4) >> 16 == 3;
+    protected void onClientMessage(long timestampNanos, byte[] message) {
+        if (!clientStarted) {
+            clientStarted = ByteBuffer.wrap(message).getInt(4) >> 16 == PROTOCOL_MAJOR;
             return;
         }
-        if (m[0] != 'Q') {
+        if (message[0] != QUERY) {
             return;
         }
-        String query = new String(m, 5, Math.max(0, m.length - 6), StandardCharsets.ISO_8859_1);
-        int from = query.lastIndexOf("/*");
-        int to = query.indexOf("*/", from + 2);
-        Map<String, String> values = from < 0 || to < 0 ? Map.of() : comment(query.substring(from + 2, to));
-        boolean request = values.containsKey("id");
-        int quote = query.indexOf('\'');
-        int close = query.indexOf('\'', quote + 1);
-        opened(new Open(
-                nanos,
-                m,
-                query.stripLeading().regionMatches(true, 0, "INSERT ", 0, 7),
-                quote < 0 || close < 0 ? null : query.substring(quote + 1, close),
-                request ? values : null,
-                number(values.get("d"), 0),
-                NO_NUMBER));
+        int queryLength = Math.max(0, message.length - MESSAGE_HEADER_BYTES - 1);
+        String query = new String(message, MESSAGE_HEADER_BYTES, queryLength, StandardCharsets.ISO_8859_1);
+        CommentFields comment = commentOf(query);
+        addPending(new PendingRequest(
+                timestampNanos,
+                message,
+                query.stripLeading().regionMatches(true, 0, INSERT, 0, INSERT.length()),
+                firstLiteral(query),
+                comment,
+                comment.number(CommentFields.TIMEOUT, 0),
+                NO_REQUEST_ID));
     }
 
-    /** After a fatal error no ReadyForQuery comes. */
-    @Override
-    protected void ending() {
-        if (result == RecordedExchange.Result.REFUSED || result == RecordedExchange.Result.FAILED) {
-            Open request = open.poll();
-            if (request != null) {
-                tell(request, heardAt, result, comeBack, 0);
-            }
-        }
+    private static CommentFields commentOf(String query) {
+        int start = query.lastIndexOf("/*");
+        int end = query.indexOf("*/", start + 2);
+        return start < 0 || end < 0 ? CommentFields.empty() : CommentFields.parse(query.substring(start + 2, end));
+    }
+
+    /** The first quoted text of a statement, which names the session; null where there is none. */
+    private static String firstLiteral(String query) {
+        int opening = query.indexOf('\'');
+        int closing = query.indexOf('\'', opening + 1);
+        return opening < 0 || closing < 0 ? null : query.substring(opening + 1, closing);
     }
 
     @Override
-    protected void answered(long nanos, byte[] m) {
-        heardAt = nanos;
-        if (valueLeft > 0) {
-            digest = digest(digest, m, 0, m.length);
-            valueLeft -= m.length;
+    protected void onServerMessage(long timestampNanos, byte[] message) {
+        lastServerNanos = timestampNanos;
+        if (remainingValueBytes > 0) {
+            digest = ValueDigest.append(digest, message);
+            remainingValueBytes -= message.length;
             return;
         }
-        switch (m[0]) {
-            case 'D' -> {
-                // Of a long one this is the head; its column's bytes begin behind the count and the length.
-                digest = digest(0, m, Math.min(m.length, Framer.LONG_HEAD), m.length);
-                valueLeft = Math.max(0, 1 + ByteBuffer.wrap(m).getInt(1) - m.length);
+        switch (message[0]) {
+            case DATA_ROW -> readRow(message);
+            case COMMAND_COMPLETE -> result = Result.SERVED;
+            case ERROR_RESPONSE -> readError(message);
+            case READY_FOR_QUERY -> finishResponse(timestampNanos);
+            default -> {
+                // The other messages say nothing of the result.
             }
-            case 'C' -> result = RecordedExchange.Result.SERVED;
-            case 'E' -> error(m);
-            case 'Z' -> {
-                Open request = greeted ? open.poll() : null;
-                greeted = true;
-                if (request != null) {
-                    boolean served = result == RecordedExchange.Result.SERVED;
-                    tell(request, nanos, result, comeBack, served ? digest : 0);
-                }
-                result = RecordedExchange.Result.NONE;
-                comeBack = 0;
-                digest = 0;
-            }
-            default -> {}
         }
     }
 
-    private void error(byte[] m) {
-        result = RecordedExchange.Result.FAILED;
-        for (int at = 5; at < m.length && m[at] != 0; ) {
-            int end = at + 1;
-            while (end < m.length && m[end] != 0) {
+    /** Of a long row this is the head, whose column begins behind the count of columns and its length. */
+    private void readRow(byte[] message) {
+        digest = ValueDigest.of(message, Math.min(message.length, Framer.LONG_HEAD));
+        int wholeLength = 1 + ByteBuffer.wrap(message).getInt(1);
+        remainingValueBytes = Math.max(0, wholeLength - message.length);
+    }
+
+    private void readError(byte[] message) {
+        result = Result.FAILED;
+        int position = MESSAGE_HEADER_BYTES;
+        while (position < message.length && message[position] != 0) {
+            int end = position + 1;
+            while (end < message.length && message[end] != 0) {
                 end++;
             }
-            String text = new String(m, at + 1, end - at - 1, StandardCharsets.ISO_8859_1);
-            if (m[at] == 'C' && (text.equals("53300") || text.equals("57P03"))) {
-                result = RecordedExchange.Result.REFUSED;
-            } else if (m[at] == 'D') {
-                comeBack = number(text, 0);
+            String text = new String(message, position + 1, end - position - 1, StandardCharsets.ISO_8859_1);
+            if (message[position] == FIELD_CODE && REJECTION_CODES.contains(text)) {
+                result = Result.REFUSED;
+            } else if (message[position] == FIELD_DETAIL) {
+                retryAfterMillis = CommentFields.parseNumber(text, 0);
             }
-            at = end + 1;
+            position = end + 1;
+        }
+    }
+
+    private void finishResponse(long timestampNanos) {
+        PendingRequest request = serverStarted ? removeOldestPending() : null;
+        serverStarted = true;
+        if (request != null) {
+            long servedDigest = result == Result.SERVED ? digest : 0;
+            complete(request, new ExchangeResponse(timestampNanos, result, retryAfterMillis, servedDigest));
+        }
+        result = Result.NONE;
+        retryAfterMillis = 0;
+        digest = 0;
+    }
+
+    /** After a fatal error no ReadyForQuery comes. */
+    @Override
+    protected void onEnd() {
+        if (result != Result.REFUSED && result != Result.FAILED) {
+            return;
+        }
+        PendingRequest request = removeOldestPending();
+        if (request != null) {
+            complete(request, new ExchangeResponse(lastServerNanos, result, retryAfterMillis, 0));
         }
     }
 }
--- a/src/main/java/mintstair/traffic/Recording.java
+++ b/src/main/java/mintstair/traffic/Recording.java
@@ -9,65 +9,86 @@
 import java.util.function.Supplier;
 import mintstair.pcap.DropCounters;
 import mintstair.pcap.TcpFlowHandler;
+import mintstair.pcap.TcpFlowListener;
 import mintstair.pcap.TcpFlowReader;
 
-/** The exchanges of a capture, in one pass: each is given out when its answer is whole, or can't come any more. */
+/**
+ * Reads the exchanges of captures in one pass: each is given out when its response is whole, or can't come any
+ * more.
+ */
 public final class Recording {
-    /** What is spoken on a port. */
+    /** What clients speak to a port. Operators give these names on the command line. */
     public enum Protocol {
+        /** PostgreSQL's protocol, version 3. */
         POSTGRESQL,
+        /** MongoDB's wire protocol. */
         MONGODB
     }
 
-    private final Map<Integer, Protocol> ports;
-    private final DropCounters losses;
-    private final Consumer<RecordedExchange> out;
-    private int connections;
-
-    private Recording(Map<Integer, Protocol> ports, DropCounters losses, Consumer<RecordedExchange> out) {
-        this.ports = ports;
-        this.losses = losses;
-        this.out = out;
-    }
+    private Recording() {}
 
     /**
-     * Reads files that follow each other, as rotated ones do, or, with {@code merge}, lie beside each other, as those of several
-     * proxies do. {@code ports} are those that clients connected to. Times are those of {@code lines}, one for all files or, with
-     * {@code merge}, one for each. Returns how many connections there were.
+     * Reads captures to their ends.
+     *
+     * @param files that follow each other, as rotated ones do
+     * @param merge whether the files lie beside each other instead, as those of several proxies do
+     * @param timeLines one for all files, or one for each file that is merged; exchanges have their times
+     * @param ports the ports that clients connected to, and what they speak
+     * @param drops counts what can't be used
+     * @param output takes each exchange
+     * @return how many connections there were
+     * @throws IOException where a file can't be read, or is no capture
      */
     public static int read(
             List<Path> files,
             boolean merge,
-            Supplier<TimeLine> lines,
+            Supplier<TimeLine> timeLines,
             Map<Integer, Protocol> ports,
-            DropCounters losses,
-            Consumer<RecordedExchange> out)
+            DropCounters drops,
+            Consumer<RecordedExchange> output)
             throws IOException {
-        Recording all = new Recording(ports, losses, out);
-        new TcpFlowReader(ports::containsKey, all::opened, losses).readFiles(files, merge, () -> lines.get()::place);
-        return all.connections;
+        ConnectionDecoders decoders = new ConnectionDecoders(ports, drops, output);
+        TcpFlowReader reader = new TcpFlowReader(ports::containsKey, decoders, drops);
+        reader.readFiles(files, merge, () -> timeLines.get()::toMonotonic);
+        return decoders.connections;
+    }
+
+    /** Gives each connection a decoder and a number. */
+    private static final class ConnectionDecoders implements TcpFlowListener {
+        private final Map<Integer, Protocol> ports;
+        private final DropCounters drops;
+        private final Consumer<RecordedExchange> output;
+        private int connections;
+
+        ConnectionDecoders(Map<Integer, Protocol> ports, DropCounters drops, Consumer<RecordedExchange> output) {
+            this.ports = ports;
+            this.drops = drops;
+            this.output = output;
+        }
+
+        @Override
+        public TcpFlowHandler flowOpened(
+                long timestampNanos, InetSocketAddress client, InetSocketAddress server, boolean startCaptured) {
+            Protocol protocol = ports.get(server.getPort());
+            int connection = connections++;
+            return new DecodedConnection(ExchangeDecoder.create(protocol, connection, startCaptured, drops, output));
+        }
     }
 
-    private TcpFlowHandler opened(long nanos, InetSocketAddress client, InetSocketAddress server, boolean fromStart) {
-        int number = connections++;
-        ExchangeDecoder talk = ports.get(server.getPort()) == Protocol.MONGODB
-                ? new MongoExchangeDecoder(number, losses, out)
-                : new PgExchangeDecoder(number, fromStart, losses, out);
-        return new TcpFlowHandler() {
-            @Override
-            public void bytesReceived(long at, boolean byClient, byte[] bytes, int from, int to) {
-                talk.said(at, byClient, bytes, from, to);
-            }
+    private record DecodedConnection(ExchangeDecoder decoder) implements TcpFlowHandler {
+        @Override
+        public void bytesReceived(long timestampNanos, boolean fromClient, byte[] bytes, int from, int to) {
+            decoder.feed(timestampNanos, fromClient, bytes, from, to);
+        }
 
-            @Override
-            public void streamLost(long at, boolean byClient) {
-                talk.lost(byClient);
-            }
+        @Override
+        public void streamLost(long timestampNanos, boolean fromClient) {
+            decoder.streamLost(fromClient);
+        }
 
-            @Override
-            public void flowClosed(long at) {
-                talk.end();
-            }
-        };
+        @Override
+        public void flowClosed(long timestampNanos) {
+            decoder.end();
+        }
     }
 }
--- a/src/main/java/mintstair/traffic/Redactor.java
+++ b/src/main/java/mintstair/traffic/Redactor.java
@@ -14,117 +14,136 @@
 import mintstair.wire.ProtocolException;
 
 /**
- * Puts digests of the same length in the places of values in one direction of a PostgreSQL connection, so that a recording can be
- * handed on: in hexadecimal literals of statements, and in rows. Digests are keyed: the same value has the same digest within a run
- * of the program, and can't be guessed without the key. What is no message any more is left out as a whole. Not safe for use by several
+ * Replaces values in one direction of a PostgreSQL connection by digests of the same length, so that a recording
+ * can be handed on: in hexadecimal literals of statements, and in rows. Digests are keyed (SHA-256 of the key and
+ * the value, extended by counters): equal values have equal digests under one key, and short values can't be
+ * guessed without it. Bytes that are no message are left out, and all that follow them. Not safe for use by several
  * threads.
  */
 public final class Redactor implements UnaryOperator<byte[]> {
-    private static final Pattern LITERAL = Pattern.compile("'\\\\x([0-9a-fA-F]*)'");
-    private static final int BLOCK = 32;
-    private static final byte[] NOTHING = new byte[0];
+    private static final Pattern HEX_LITERAL = Pattern.compile("'\\\\x([0-9a-fA-F]*)'");
+    private static final int DIGEST_BYTES = 32;
+    private static final int PROTOCOL_MAJOR = 3;
+    private static final byte QUERY = 'Q';
+    private static final byte DATA_ROW = 'D';
+    private static final byte[] NO_BYTES = new byte[0];
+
     private final byte[] key;
-    private final boolean ofClient;
+    private final boolean fromClient;
     private final Framer framer;
-    private final MessageDigest sha;
+    private final MessageDigest sha256 = newSha256();
     private boolean started;
     private boolean broken;
-    private int valueLeft;
-    private byte[] base;
+    private int remainingValueBytes;
 
-    private Redactor(byte[] key, boolean ofClient) {
+    private Redactor(byte[] key, boolean fromClient) {
         this.key = key.clone();
-        this.ofClient = ofClient;
-        framer = ofClient ? new PgFramer.OfClient() : new PgFramer.OfHost();
+        this.fromClient = fromClient;
+        framer = fromClient ? new PgFramer.OfClient() : new PgFramer.OfHost();
+    }
+
+    private static MessageDigest newSha256() {
         try {
-            sha = MessageDigest.getInstance("SHA-256");
+            return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("every Java platform has SHA-256", e);
         }
     }
 
-    /** For what clients, or the proxy as a client of hosts, say. */
+    /** For what a client sends, or the proxy as a client of hosts. */
     public static Redactor ofClient(byte[] key) {
         return new Redactor(key, true);
     }
 
-    /** For what the proxy, or a host, answers. */
+    /** For what the proxy sends to clients, or a host to the proxy. */
     public static Redactor ofServer(byte[] key) {
         return new Redactor(key, false);
     }
 
+    /** Takes the next bytes; returns the redacted messages that are whole with them. */
     @Override
     public byte[] apply(byte[] bytes) {
         if (broken) {
-            return NOTHING;
+            return NO_BYTES;
         }
-        ByteArrayOutputStream out = new ByteArrayOutputStream(bytes.length);
+        ByteArrayOutputStream redacted = new ByteArrayOutputStream(bytes.length);
         framer.feed(ByteBuffer.wrap(bytes));
         try {
-            for (byte[] m = framer.next(); m != null; m = framer.next()) {
-                out.writeBytes(ofClient ? statement(m) : answer(m));
+            for (byte[] message = framer.next(); message != null; message = framer.next()) {
+                redacted.writeBytes(fromClient ? redactStatement(message) : redactRow(message));
             }
         } catch (ProtocolException e) {
+            // Where the next message begins is unknown: values in what follows can't be found.
             broken = true;
         }
-        return out.toByteArray();
+        return redacted.toByteArray();
     }
 
-    private byte[] statement(byte[] m) {
+    private byte[] redactStatement(byte[] message) {
         if (!started) {
-            started = m.length >= 8 && ByteBuffer.wrap(m).getInt(4) >> 16 == 3;
-            return m;
+            started = message.length >= 8 && ByteBuffer.wrap(message).getInt(4) >> 16 == PROTOCOL_MAJOR;
+            return message;
         }
-        if (m[0] != 'Q') {
-            return m;
+        if (message[0] != QUERY) {
+            return message;
         }
-        String text = new String(m, StandardCharsets.ISO_8859_1);
-        Matcher literal = LITERAL.matcher(text);
-        StringBuilder changed = new StringBuilder(text.length());
-        int at = 0;
+        String text = new String(message, StandardCharsets.ISO_8859_1);
+        Matcher literal = HEX_LITERAL.matcher(text);
+        StringBuilder redacted = new StringBuilder(text.length());
+        int copied = 0;
         while (literal.find()) {
-            byte[] digits = literal.group(1).getBytes(StandardCharsets.ISO_8859_1);
-            base(digits, 0, digits.length);
-            StringBuilder digest = new StringBuilder();
-            for (int i = 0; digest.length() < digits.length; i++) {
-                digest.append(HexFormat.of().formatHex(block(i)));
-            }
-            changed.append(text, at, literal.start(1)).append(digest, 0, digits.length);
-            at = literal.end(1);
+            redacted.append(text, copied, literal.start(1)).append(hexDigest(literal.group(1)));
+            copied = literal.end(1);
         }
-        return changed.append(text, at, text.length()).toString().getBytes(StandardCharsets.ISO_8859_1);
+        redacted.append(text, copied, text.length());
+        return redacted.toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** A row's value, where it is there whole; of a longer one, which comes in parts, nothing remains but its length. */
-    private byte[] answer(byte[] m) {
-        if (valueLeft > 0) {
-            valueLeft -= m.length;
-            return new byte[m.length];
+    /** A digest of as many hexadecimal digits. */
+    private String hexDigest(String digits) {
+        byte[] value = digits.getBytes(StandardCharsets.ISO_8859_1);
+        byte[] valueDigest = keyedDigest(value, 0);
+        StringBuilder hex = new StringBuilder();
+        for (int counter = 0; hex.length() < digits.length(); counter++) {
+            hex.append(HexFormat.of().formatHex(block(valueDigest, counter)));
         }
-        if (m[0] != 'D') {
-            return m;
+        return hex.substring(0, digits.length());
+    }
+
+    /**
+     * A value of a row that comes whole gets a digest; one that comes in parts is replaced by zeros of its length.
+     */
+    private byte[] redactRow(byte[] message) {
+        if (remainingValueBytes > 0) {
+            remainingValueBytes -= message.length;
+            return new byte[message.length];
         }
-        valueLeft = Math.max(0, 1 + ByteBuffer.wrap(m).getInt(1) - m.length);
-        byte[] changed = m.clone();
-        for (int at = Framer.LONG_HEAD; at < m.length; at += BLOCK) {
-            if (at == Framer.LONG_HEAD) {
-                base(m, at, m.length);
-            }
-            System.arraycopy(block(at), 0, changed, at, Math.min(BLOCK, m.length - at));
+        if (message[0] != DATA_ROW) {
+            return message;
+        }
+        int wholeLength = 1 + ByteBuffer.wrap(message).getInt(1);
+        remainingValueBytes = Math.max(0, wholeLength - message.length);
+        if (message.length <= Framer.LONG_HEAD) {
+            return message.clone();
+        }
+        byte[] redacted = message.clone();
+        byte[] valueDigest = keyedDigest(message, Framer.LONG_HEAD);
+        for (int position = Framer.LONG_HEAD; position < message.length; position += DIGEST_BYTES) {
+            int length = Math.min(DIGEST_BYTES, message.length - position);
+            System.arraycopy(block(valueDigest, position), 0, redacted, position, length);
         }
-        return changed;
+        return redacted;
     }
 
-    /** All that follows depends on the whole value. */
-    private void base(byte[] bytes, int from, int to) {
-        sha.update(key);
-        sha.update(bytes, from, to - from);
-        base = sha.digest();
+    private byte[] keyedDigest(byte[] bytes, int from) {
+        sha256.update(key);
+        sha256.update(bytes, from, bytes.length - from);
+        return sha256.digest();
     }
 
-    private byte[] block(int number) {
-        sha.update(base);
-        sha.update(ByteBuffer.allocate(4).putInt(number).array());
-        return sha.digest();
+    private byte[] block(byte[] valueDigest, int counter) {
+        sha256.update(valueDigest);
+        sha256.update(ByteBuffer.allocate(Integer.BYTES).putInt(counter).array());
+        return sha256.digest();
     }
 }
--- a/src/main/java/mintstair/traffic/ReplaySchedule.java
+++ b/src/main/java/mintstair/traffic/ReplaySchedule.java
@@ -1,140 +1,108 @@
 package mintstair.traffic;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
+import java.util.concurrent.TimeUnit;
+import mintstair.traffic.RecordedExchange.Result;
+import mintstair.traffic.ScheduledRequest.State;
 
 /**
- * When each request of a replay is sent, on which connection and with what token, without I/O. Open-loop: each request has its time
- * by the recording's distances, and a late answer holds up nothing but the reads of its own session that follow the write it answers.
- * A connection that is still busy then is left alone, and a further one opened. All times are nanoseconds since the replay began,
- * handed in by the one thread that uses it.
+ * Decides when each request of a replay is sent, on which connection and with which position token, without I/O.
+ * Open-loop: each request has its time by the distances of the recording, and a late response delays nothing but
+ * the reads of its own session that follow the write it answers. Where a connection is still busy when its next
+ * request is due, a further one is opened. Times are nanoseconds since the replay began, given by the one thread
+ * that uses it.
  *
- * <p>A read of a session that follows a write is sent with a token of when that write was answered in the replay: it asks for what
- * its session has really written. Where the write never was answered in time for the read to be of use, the read is not sent, and
- * that is told.
+ * <p>A read of a session that follows a write is sent with a token of when that write was answered in the replay:
+ * it asks for what its session has really written. Where the write is not answered before the read's deadline, the
+ * read is not sent, and ends as {@link State#TOO_LATE}.
  */
 public final class ReplaySchedule {
-    private static final long MILLI = 1_000_000;
-    private static final long STAGGER = 250_000;
-    private static final long USUAL_DEADLINE = 5_000 * MILLI;
+    /** Between copies of one request. */
+    private static final long COPY_INTERVAL_NANOS = 250_000;
 
-    /** What became of a request of the schedule. */
-    public enum Fate {
-        WAITING,
-        SENT,
-        ANSWERED,
-        TOO_LATE
-    }
-
-    /** One request to be sent. */
-    public static final class Planned {
-        public final int number;
-        public final RecordedExchange recorded;
-        /** Which of the times it is played, from 0; sessions are renamed by it. */
-        public final int copy;
-        /** Whether it is a retry made by the replay itself. */
-        public final boolean retry;
-        /** When it is due, and when it was sent, -1 for not yet. */
-        public final long due;
-
-        public long sent = -1;
-        public Fate fate = Fate.WAITING;
-        public RecordedExchange.Result result = RecordedExchange.Result.NONE;
-        Planned follows;
-        long answeredAt = -1;
-        private List<Planned> followers;
-        Lane lane;
-
-        Planned(int number, RecordedExchange recorded, int copy, boolean retry, long due) {
-            this.number = number;
-            this.recorded = recorded;
-            this.copy = copy;
-            this.retry = retry;
-            this.due = due;
-        }
-
-        private long giveUpAt() {
-            return due + (recorded.deadlineMillis() > 0 ? recorded.deadlineMillis() * MILLI : USUAL_DEADLINE);
-        }
-    }
+    private static final Comparator<ScheduledRequest> BY_DUE_TIME =
+            Comparator.comparingLong(ScheduledRequest::dueNanos).thenComparingInt(ScheduledRequest::number);
 
-    /** A connection of the replay: the recorded one's, or a further one while that is busy. */
-    public static final class Lane {
-        public final int number;
-        private final Family family;
-        private Planned busy;
+    /** Send this request now, on this connection and with this token. */
+    public record Dispatch(ScheduledRequest request, ReplayConnection connection, PositionToken token) {}
 
-        Lane(int number, Family family) {
-            this.number = number;
-            this.family = family;
-        }
-    }
-
-    /** The connections that stand in for one recorded connection. */
-    private static final class Family {
-        final List<Lane> lanes = new ArrayList<>();
-        final ArrayDeque<Lane> idle = new ArrayDeque<>();
-    }
+    private final ReplayOptions options;
+    private final List<ScheduledRequest> requests = new ArrayList<>();
+    private final PriorityQueue<ScheduledRequest> waiting = new PriorityQueue<>(BY_DUE_TIME);
+    private final Map<Long, ReplayConnection.Pool> poolsByRecordedConnection = new HashMap<>();
+    /** Reads whose write was answered since the last call of {@link #due}. */
+    private final List<Dispatch> released = new ArrayList<>();
 
-    /** Send this now, on this connection; {@code afterNanos} since the replay began is the token, or -1 for none, -2 for the recorded one moved on. */
-    public record Send(Planned request, Lane lane, long afterNanos) {
-        public static final long NO_TOKEN = -1;
-        public static final long MOVED_ON = -2;
-    }
+    private final int firstAttempts;
+    private int connections;
+    /** Requests that were sent and not answered, and reads that wait for a write. */
+    private int unfinished;
 
-    private final ReplayOptions options;
-    private final List<Planned> all = new ArrayList<>();
-    private final PriorityQueue<Planned> waiting =
-            new PriorityQueue<>(Comparator.<Planned>comparingLong(p -> p.due).thenComparingInt(p -> p.number));
-    private final Map<Long, Family> families = new HashMap<>();
-    private final List<Send> freed = new ArrayList<>();
-    private int lanes;
-    private int open;
     private int retries;
-    private int firstTries;
-    private int retriesRefused;
+    private int retriesRejected;
 
-    /** Plans the exchanges, in any order. */
+    /** Plans the exchanges of a recording, in any order. */
     public ReplaySchedule(List<RecordedExchange> recorded, ReplayOptions options) {
         this.options = options;
+        plan(recorded);
+        firstAttempts = requests.size();
+    }
+
+    private void plan(List<RecordedExchange> recorded) {
         List<RecordedExchange> sorted = new ArrayList<>(recorded);
-        sorted.sort(Comparator.comparingLong(RecordedExchange::asked));
+        sorted.sort(Comparator.comparingLong(RecordedExchange::requestNanos));
         if (sorted.isEmpty()) {
             return;
         }
-        long first = sorted.get(0).asked();
-        long begin = first + (long) (options.from() * 1e9);
-        Map<String, List<Planned>> writes = new HashMap<>();
-        for (RecordedExchange e : sorted) {
-            if (!options.takes(e, first)) {
+        long firstRequestNanos = sorted.get(0).requestNanos();
+        long beginNanos = options.beginNanos(firstRequestNanos);
+        Map<String, List<ScheduledRequest>> writesBySession = new HashMap<>();
+        for (RecordedExchange exchange : sorted) {
+            if (!options.includes(exchange, firstRequestNanos)) {
                 continue;
             }
-            long due = (long) ((e.asked() - begin) / options.speed());
-            for (int copy = 0; copy < options.times(); copy++) {
-                Planned p = new Planned(all.size(), e, copy, false, due + copy * STAGGER);
-                String session = e.session() == null ? null : e.session() + ' ' + copy;
-                if (session != null && !e.write()) {
-                    p.follows = lastAnswered(writes.get(session), e.asked());
-                } else if (session != null) {
-                    writes.computeIfAbsent(session, s -> new ArrayList<>()).add(p);
-                }
-                all.add(p);
-                waiting.add(p);
+            long dueNanos = (long) ((exchange.requestNanos() - beginNanos) / options.speed());
+            for (int copy = 0; copy < options.copies(); copy++) {
+                plan(exchange, copy, dueNanos + copy * COPY_INTERVAL_NANOS, writesBySession);
             }
         }
-        firstTries = all.size();
     }
 
-    /** The session's newest write whose answer came before this time. */
-    private static Planned lastAnswered(List<Planned> writes, long asked) {
-        for (int i = writes == null ? -1 : writes.size() - 1; i >= 0; i--) {
-            RecordedExchange w = writes.get(i).recorded;
-            if (w.answered() > 0 && w.answered() <= asked) {
+    private void plan(
+            RecordedExchange recorded, int copy, long dueNanos, Map<String, List<ScheduledRequest>> writesBySession) {
+        String session = recorded.session() == null ? null : recorded.session() + ' ' + copy;
+        ScheduledRequest precedingWrite = null;
+        if (session != null && !recorded.write()) {
+            List<ScheduledRequest> writes = writesBySession.getOrDefault(session, List.of());
+            precedingWrite = lastAnsweredBefore(recorded.requestNanos(), writes);
+        }
+        ScheduledRequest request = add(recorded, copy, false, dueNanos, precedingWrite);
+        if (session != null && recorded.write()) {
+            writesBySession
+                    .computeIfAbsent(session, absent -> new ArrayList<>())
+                    .add(request);
+        }
+    }
+
+    private ScheduledRequest add(
+            RecordedExchange recorded, int copy, boolean retry, long dueNanos, ScheduledRequest precedingWrite) {
+        ScheduledRequest request =
+                new ScheduledRequest(requests.size(), recorded, copy, retry, dueNanos, precedingWrite);
+        requests.add(request);
+        waiting.add(request);
+        return request;
+    }
+
+    /** The newest write whose response was recorded before this time, or null. */
+    private static ScheduledRequest lastAnsweredBefore(long recordedNanos, List<ScheduledRequest> writes) {
+        for (int i = writes.size() - 1; i >= 0; i--) {
+            long responseNanos = writes.get(i).recorded().responseNanos();
+            if (responseNanos > 0 && responseNanos <= recordedNanos) {
                 return writes.get(i);
             }
         }
@@ -142,130 +110,135 @@
     }
 
     /** What is to be sent at this time. */
-    public List<Send> due(long now) {
-        List<Send> sends = new ArrayList<>(freed);
-        freed.clear();
-        while (!waiting.isEmpty() && waiting.peek().due <= now) {
-            Planned p = waiting.poll();
-            if (p.fate != Fate.WAITING) {
+    public List<Dispatch> due(long nowNanos) {
+        List<Dispatch> dispatches = new ArrayList<>(released);
+        released.clear();
+        while (!waiting.isEmpty() && waiting.peek().dueNanos() <= nowNanos) {
+            ScheduledRequest request = waiting.remove();
+            if (request.state() != State.WAITING) {
                 continue;
             }
-            if (p.follows != null && p.follows.fate != Fate.ANSWERED) {
-                hold(p, now);
+            ScheduledRequest write = request.precedingWrite();
+            if (write == null || write.state() == State.ANSWERED) {
+                dispatches.add(dispatch(request, nowNanos));
             } else {
-                sends.add(send(p, now));
+                waitForWrite(request, write, nowNanos);
             }
         }
-        return sends;
+        return dispatches;
     }
 
-    /** It is sent with the answer that it waits for, or not at all. */
-    private void hold(Planned p, long now) {
-        if (p.follows.fate == Fate.TOO_LATE || now >= p.giveUpAt()) {
-            tooLate(p);
+    private void waitForWrite(ScheduledRequest read, ScheduledRequest write, long nowNanos) {
+        if (write.state() == State.TOO_LATE || nowNanos >= read.deadlineNanos()) {
+            giveUp(read);
             return;
         }
-        if (p.follows.followers == null) {
-            p.follows.followers = new ArrayList<>();
-        }
-        p.follows.followers.add(p);
-        open++;
+        write.addFollower(read);
+        unfinished++;
     }
 
-    private void tooLate(Planned p) {
-        p.fate = Fate.TOO_LATE;
-        if (p.followers != null) {
-            for (Planned follower : p.followers) {
-                open--;
-                tooLate(follower);
-            }
-            p.followers = null;
+    private void giveUp(ScheduledRequest request) {
+        request.markTooLate();
+        for (ScheduledRequest follower : request.removeFollowers()) {
+            unfinished--;
+            giveUp(follower);
         }
     }
 
-    private Send send(Planned p, long now) {
-        Family family =
-                families.computeIfAbsent((long) p.recorded.connection() * options.times() + p.copy, f -> new Family());
-        Lane lane = family.idle.poll();
-        if (lane == null) {
-            lane = new Lane(lanes++, family);
-            family.lanes.add(lane);
+    private Dispatch dispatch(ScheduledRequest request, long nowNanos) {
+        ReplayConnection connection = acquireConnection(request);
+        request.markSent(nowNanos, connection);
+        unfinished++;
+        return new Dispatch(request, connection, tokenOf(request));
+    }
+
+    private ReplayConnection acquireConnection(ScheduledRequest request) {
+        long poolKey = (long) request.recorded().connection() * options.copies() + request.copy();
+        ReplayConnection.Pool pool =
+                poolsByRecordedConnection.computeIfAbsent(poolKey, absent -> new ReplayConnection.Pool());
+        ReplayConnection idle = pool.acquire();
+        return idle != null ? idle : new ReplayConnection(connections++, pool);
+    }
+
+    private static PositionToken tokenOf(ScheduledRequest request) {
+        if (request.recorded().minimumPositionMillis() < 0) {
+            return PositionToken.NONE;
         }
-        lane.busy = p;
-        p.lane = lane;
-        p.sent = now;
-        p.fate = Fate.SENT;
-        open++;
-        return new Send(
-                p,
-                lane,
-                p.recorded.afterMillis() < 0
-                        ? Send.NO_TOKEN
-                        : p.follows == null ? Send.MOVED_ON : p.follows.answeredAt);
+        ScheduledRequest write = request.precedingWrite();
+        return write == null ? PositionToken.RECORDED : new PositionToken.AfterWrite(write.answeredNanos());
     }
 
-    /** The final answer to a request, or {@link RecordedExchange.Result#NONE} where none will come. */
-    public void answered(Planned p, long now, RecordedExchange.Result result, long retryAfterMillis) {
-        if (p.fate != Fate.SENT) {
+    /**
+     * Takes the final response to a request.
+     *
+     * @param result {@link Result#NONE} where none will come; the connection is not used again then
+     * @param retryAfterMillis with a rejection, after which time a retry may be sent
+     */
+    public void answered(ScheduledRequest request, long nowNanos, Result result, long retryAfterMillis) {
+        if (request.state() != State.SENT) {
             return;
         }
-        p.fate = Fate.ANSWERED;
-        p.result = result;
-        p.answeredAt = now;
-        open--;
-        p.lane.busy = null;
-        if (result != RecordedExchange.Result.NONE) {
-            p.lane.family.idle.push(p.lane);
+        request.markAnswered(nowNanos, result);
+        unfinished--;
+        if (result != Result.NONE) {
+            request.connection().release();
         }
-        List<Planned> followers = p.followers == null ? List.of() : p.followers;
-        p.followers = null;
-        for (Planned follower : followers) {
-            open--;
-            if (now < follower.giveUpAt()) {
-                freed.add(send(follower, now));
+        for (ScheduledRequest follower : request.removeFollowers()) {
+            unfinished--;
+            if (nowNanos < follower.deadlineNanos()) {
+                released.add(dispatch(follower, nowNanos));
             } else {
-                tooLate(follower);
+                giveUp(follower);
             }
         }
-        if (options.liveRetries() && result == RecordedExchange.Result.REFUSED) {
-            retry(p, now + Math.max(0, retryAfterMillis) * MILLI);
+        if (options.liveRetries() && result == Result.REFUSED) {
+            long delayNanos = TimeUnit.MILLISECONDS.toNanos(Math.max(0, retryAfterMillis));
+            retry(request, nowNanos + delayNanos);
         }
     }
 
-    private void retry(Planned p, long at) {
-        if (retries + 1 > firstTries * options.retryBudget() || at >= p.giveUpAt()) {
-            retriesRefused++;
+    private void retry(ScheduledRequest request, long dueNanos) {
+        boolean withinBudget = retries + 1 <= firstAttempts * options.retryBudget();
+        if (!withinBudget || dueNanos >= request.deadlineNanos()) {
+            retriesRejected++;
             return;
         }
         retries++;
-        Planned again = new Planned(all.size(), p.recorded, p.copy, true, at);
-        again.follows = p.follows;
-        all.add(again);
-        waiting.add(again);
+        add(request.recorded(), request.copy(), true, dueNanos, request.precedingWrite());
     }
 
-    /** When something is due next, or {@code Long.MAX_VALUE}. */
-    public long wakeAt() {
-        return !freed.isEmpty() ? Long.MIN_VALUE : waiting.isEmpty() ? Long.MAX_VALUE : waiting.peek().due;
+    /** When {@link #due} is to be called next, or {@code Long.MAX_VALUE}. */
+    public long nextDueNanos() {
+        if (!released.isEmpty()) {
+            return Long.MIN_VALUE;
+        }
+        return waiting.isEmpty() ? Long.MAX_VALUE : waiting.peek().dueNanos();
     }
 
-    /** Whether all has been sent and answered, or given up. */
-    public boolean isOver() {
-        return waiting.isEmpty() && open == 0 && freed.isEmpty();
+    /** Whether all requests were answered or given up. */
+    public boolean isFinished() {
+        return waiting.isEmpty() && unfinished == 0 && released.isEmpty();
     }
 
     /** All requests, in the order in which they were planned; retries last. */
-    public List<Planned> all() {
-        return all;
+    public List<ScheduledRequest> requests() {
+        return requests;
+    }
+
+    /** How many requests were not sent, as their write had no response in time. */
+    public long notSent() {
+        return requests.stream()
+                .filter(request -> request.state() == State.TOO_LATE)
+                .count();
     }
 
     /** How many connections were needed. */
-    public int lanes() {
-        return lanes;
+    public int connections() {
+        return connections;
     }
 
     /** How many retries there were no budget or time for. */
-    public int retriesRefused() {
-        return retriesRefused;
+    public int retriesRejected() {
+        return retriesRejected;
     }
 }
--- a/src/main/java/mintstair/traffic/Replayer.java
+++ b/src/main/java/mintstair/traffic/Replayer.java
@@ -2,255 +2,212 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
-import java.nio.channels.SocketChannel;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
+import java.util.concurrent.TimeUnit;
 import mintstair.pcap.DropCounters;
-import mintstair.time.WallClock;
 import mintstair.wire.PgWriter;
 import org.HdrHistogram.Histogram;
 
 /**
- * Plays a schedule to a front: sends what is due, reads what comes, tells the schedule. One thread, which waits for the network or
- * for the next time, and for the last two milliseconds of it without sleeping.
+ * Plays a schedule to a front: sends what is due, and hands the responses to the schedule. Uses the calling thread
+ * alone, which waits for the network or the next due time, and spins for the last two milliseconds before it, as a
+ * timer is not precise enough. Plays once.
  */
 public final class Replayer implements AutoCloseable {
-    private static final long MILLI = 1_000_000;
-    private static final long SPIN = 2 * MILLI;
-    /** Behind its deadline a request is given up after this. */
-    private static final long PATIENCE = 1_000 * MILLI;
-
-    private static final byte[] STARTUP = new PgWriter()
-            .packet(196608, "user", "web", "database", "orders", "")
+    private static final long SPIN_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
+    private static final long MAX_SELECT_MILLIS = 100;
+    private static final long DEFAULT_TIMEOUT_MILLIS = 5_000;
+    /** A response that comes this long behind the client's timeout is still counted. */
+    private static final long GRACE_MILLIS = 1_000;
+
+    private static final long MAX_LATENESS_MICROS = TimeUnit.MINUTES.toMicros(1);
+    private static final int LATENESS_DIGITS = 3;
+    private static final int READ_BUFFER_BYTES = 256 * 1024;
+    private static final int PG_PROTOCOL_VERSION_3 = 196_608;
+    private static final byte[] PG_STARTUP = new PgWriter()
+            .packet(PG_PROTOCOL_VERSION_3, "user", "web", "database", "orders", "")
             .bytes();
 
-    /** One request as it was recorded, and as it went in the replay. */
-    public record Played(ReplaySchedule.Planned planned, RecordedExchange replayed) {}
+    /** One request as it was scheduled, and its exchange in the replay. */
+    public record Played(ScheduledRequest scheduled, RecordedExchange replayed) {}
+
+    /** A request that was sent and has no response yet. */
+    private record OutstandingRequest(ScheduledRequest request, FrontConnection connection, long deadlineNanos) {}
 
-    private final InetSocketAddress to;
+    private final InetSocketAddress front;
     private final Recording.Protocol protocol;
+    private final String idPrefix;
     private final ReplaySchedule schedule;
-    private final Rewriting rewriting;
-    private final String run;
+    private final ReplayClock clock;
+    private final RequestRewriter rewriter;
     private final Selector selector;
-    private final Map<ReplaySchedule.Lane, Link> links = new HashMap<>();
-    private final PriorityQueue<Sent> deadlines = new PriorityQueue<>((a, b) -> Long.compare(a.until, b.until));
-    private final Map<String, Sent> open = new HashMap<>();
-    private final List<Played> played = new ArrayList<>();
-    private final Histogram lateness = new Histogram(60_000_000, 3);
-    private final ByteBuffer in = ByteBuffer.allocate(256 * 1024);
-    private final long firstAsked;
-    private long begun;
-    private long begunMillis;
-
-    /** What is out. */
-    private record Sent(ReplaySchedule.Planned planned, Link link, long until) {}
-
-    /** One connection to the front. */
-    private final class Link {
-        final SocketChannel channel;
-        final SelectionKey key;
-        final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
-        final ExchangeDecoder talk;
-        boolean broken;
-        boolean refused;
-
-        Link(int number) throws IOException {
-            channel = SocketChannel.open();
-            channel.configureBlocking(false);
-            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            talk = protocol == Recording.Protocol.MONGODB
-                    ? new MongoExchangeDecoder(number, new DropCounters(), Replayer.this::answered)
-                    : new PgExchangeDecoder(number, true, new DropCounters(), Replayer.this::answered);
-            key = channel.register(selector, SelectionKey.OP_CONNECT, this);
-            if (protocol == Recording.Protocol.POSTGRESQL) {
-                say(STARTUP, now());
-            }
-            try {
-                if (channel.connect(to)) {
-                    key.interestOps(SelectionKey.OP_READ);
-                }
-            } catch (IOException e) {
-                refused = true;
-            }
-        }
-
-        void say(byte[] bytes, long now) {
-            out.add(ByteBuffer.wrap(bytes));
-            talk.said(now, true, bytes, 0, bytes.length);
-        }
-
-        void flush() throws IOException {
-            while (channel.isConnected() && !out.isEmpty()) {
-                channel.write(out.peek());
-                if (out.peek().hasRemaining()) {
-                    key.interestOps(SelectionKey.OP_READ | SelectionKey.OP_WRITE);
-                    return;
-                }
-                out.poll();
-            }
-            if (channel.isConnected()) {
-                key.interestOps(SelectionKey.OP_READ);
-            }
-        }
-
-        void ready() throws IOException {
-            if (key.isConnectable() && channel.finishConnect()) {
-                key.interestOps(SelectionKey.OP_READ);
-            }
-            flush();
-            if (key.isReadable()) {
-                in.clear();
-                int n = channel.read(in);
-                if (n < 0) {
-                    throw new IOException("closed by the front");
-                }
-                talk.said(now(), false, in.array(), 0, n);
-            }
-        }
-
-        /** What is open on it has no answer. */
-        void end() {
-            if (!broken) {
-                broken = true;
-                key.cancel();
-                try {
-                    channel.close();
-                } catch (IOException e) {
-                    // It is closed all the same.
-                }
-                talk.end();
-            }
-        }
-    }
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
+    private final Map<ReplayConnection, FrontConnection> connections = new HashMap<>();
+    private final Map<String, OutstandingRequest> outstandingById = new HashMap<>();
+    /** Requests that have their response by now, too. */
+    private final PriorityQueue<OutstandingRequest> byDeadline =
+            new PriorityQueue<>(Comparator.comparingLong(OutstandingRequest::deadlineNanos));
 
-    /** Plays these exchanges; {@code run} begins each id, so that none is used twice. */
+    private final List<Played> played = new ArrayList<>();
+    private final Histogram latenessMicros = new Histogram(MAX_LATENESS_MICROS, LATENESS_DIGITS);
+
+    /**
+     * Prepares a replay.
+     *
+     * @param recorded the exchanges, in any order
+     * @param front the address that requests are sent to
+     * @param idPrefix begins the id of each request, so that no id is used in two replays
+     */
     public Replayer(
             List<RecordedExchange> recorded,
             ReplayOptions options,
-            InetSocketAddress to,
+            InetSocketAddress front,
             Recording.Protocol protocol,
-            String run)
+            String idPrefix)
             throws IOException {
-        this.to = to;
+        this.front = front;
         this.protocol = protocol;
-        this.run = run;
+        this.idPrefix = idPrefix;
         schedule = new ReplaySchedule(recorded, options);
-        rewriting = protocol == Recording.Protocol.MONGODB ? new Rewriting.Mongo() : new Rewriting.Pg();
-        firstAsked =
-                recorded.stream().mapToLong(RecordedExchange::asked).min().orElse(0) + (long) (options.from() * 1e9);
+        rewriter = RequestRewriter.of(protocol);
+        long firstRequestNanos = recorded.stream()
+                .mapToLong(RecordedExchange::requestNanos)
+                .min()
+                .orElse(0);
+        clock = new ReplayClock(options.beginNanos(firstRequestNanos));
         selector = Selector.open();
     }
 
-    private long now() {
-        return System.nanoTime() - begun;
-    }
-
-    /** Plays to the end; returns each request with what came of it, in the order of the answers. */
+    /** Plays to the end; returns each request that was sent with its exchange, in the order of the responses. */
     public List<Played> play() throws IOException {
-        begun = System.nanoTime();
-        begunMillis = WallClock.millis();
-        while (!schedule.isOver()) {
-            for (ReplaySchedule.Send send : schedule.due(now())) {
-                send(send);
+        clock.start();
+        while (!schedule.isFinished()) {
+            for (ReplaySchedule.Dispatch dispatch : schedule.due(clock.nanos())) {
+                send(dispatch);
             }
-            long wake = Math.min(schedule.wakeAt(), deadlines.isEmpty() ? Long.MAX_VALUE : deadlines.peek().until);
-            long left = wake - now();
-            if (left > SPIN) {
-                selector.select(Math.min(100, (left - SPIN) / MILLI + 1));
-            } else {
-                selector.selectNow();
-                Thread.onSpinWait();
-            }
-            for (SelectionKey key : selector.selectedKeys()) {
-                Link link = (Link) key.attachment();
-                try {
-                    link.ready();
-                } catch (IOException e) {
-                    link.end();
-                }
-            }
-            selector.selectedKeys().clear();
-            giveUp();
+            awaitNetworkOrDueTime();
+            handleReadyConnections();
+            closeConnectionsBehindDeadline();
         }
         return played;
     }
 
-    private void send(ReplaySchedule.Send send) throws IOException {
-        ReplaySchedule.Planned p = send.request();
-        Link link = links.get(send.lane());
-        if (link == null || link.broken) {
-            link = new Link(send.lane().number);
-            links.put(send.lane(), link);
+    private void awaitNetworkOrDueTime() throws IOException {
+        long nextDeadlineNanos = byDeadline.isEmpty() ? Long.MAX_VALUE : byDeadline.peek().deadlineNanos;
+        long remainingNanos = Math.min(schedule.nextDueNanos(), nextDeadlineNanos) - clock.nanos();
+        if (remainingNanos > SPIN_NANOS) {
+            long sleepMillis = TimeUnit.NANOSECONDS.toMillis(remainingNanos - SPIN_NANOS) + 1;
+            selector.select(Math.min(MAX_SELECT_MILLIS, sleepMillis));
+        } else {
+            selector.selectNow();
+            Thread.onSpinWait();
         }
-        long after = send.afterNanos() == ReplaySchedule.Send.NO_TOKEN
-                ? -1
-                : send.afterNanos() == ReplaySchedule.Send.MOVED_ON
-                        ? Math.min(
-                                begunMillis + now() / MILLI,
-                                p.recorded.afterMillis() + begunMillis - firstAsked / MILLI)
-                        : begunMillis + send.afterNanos() / MILLI + 1;
-        String id = run + Integer.toHexString(p.number);
-        Sent sent = new Sent(
-                p,
-                link,
-                p.sent
-                        + (p.recorded.deadlineMillis() > 0 ? p.recorded.deadlineMillis() * MILLI : PATIENCE * 5)
-                        + PATIENCE);
-        open.put(id, sent);
-        deadlines.add(sent);
-        link.say(rewriting.rewrite(p.recorded, id, p.copy, p.retry, after), now());
-        try {
-            if (link.refused) {
-                throw new IOException("refused");
+    }
+
+    private void handleReadyConnections() {
+        for (SelectionKey key : selector.selectedKeys()) {
+            FrontConnection connection = (FrontConnection) key.attachment();
+            try {
+                connection.onReady(readBuffer);
+            } catch (IOException e) {
+                connection.close();
             }
-            link.flush();
+        }
+        selector.selectedKeys().clear();
+    }
+
+    private void send(ReplaySchedule.Dispatch dispatch) throws IOException {
+        ScheduledRequest request = dispatch.request();
+        FrontConnection connection = openConnection(dispatch.connection());
+        long minimumPositionMillis = dispatch.token().toUnixMillis(request.recorded(), clock);
+        String id = idPrefix + Integer.toHexString(request.number());
+        OutstandingRequest outstanding = new OutstandingRequest(request, connection, deadlineNanos(request));
+        outstandingById.put(id, outstanding);
+        byDeadline.add(outstanding);
+        connection.enqueue(rewriter.rewrite(request, id, minimumPositionMillis));
+        try {
+            connection.flush();
         } catch (IOException e) {
-            link.end();
+            connection.close();
+        }
+        if (request.precedingWrite() == null) {
+            recordLateness(clock.nanos() - request.dueNanos());
+        }
+    }
+
+    private FrontConnection openConnection(ReplayConnection scheduled) throws IOException {
+        FrontConnection connection = connections.get(scheduled);
+        if (connection == null || connection.isClosed()) {
+            connection = connect(scheduled.number());
+            connections.put(scheduled, connection);
         }
-        if (p.follows == null) {
-            lateness.recordValue(Math.max(0, Math.min(60_000_000, (now() - p.due) / 1000)));
+        return connection;
+    }
+
+    private FrontConnection connect(int number) throws IOException {
+        ExchangeDecoder decoder = ExchangeDecoder.create(protocol, number, true, new DropCounters(), this::onExchange);
+        FrontConnection connection = new FrontConnection(selector, clock, decoder);
+        if (protocol == Recording.Protocol.POSTGRESQL) {
+            connection.enqueue(PG_STARTUP);
         }
+        connection.connect(front);
+        return connection;
+    }
+
+    private static long deadlineNanos(ScheduledRequest request) {
+        long recordedMillis = request.recorded().timeoutMillis();
+        long timeoutMillis = recordedMillis > 0 ? recordedMillis : DEFAULT_TIMEOUT_MILLIS;
+        return request.sentNanos() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis + GRACE_MILLIS);
+    }
+
+    private void recordLateness(long latenessNanos) {
+        long micros = TimeUnit.NANOSECONDS.toMicros(latenessNanos);
+        latenessMicros.recordValue(Math.max(0, Math.min(MAX_LATENESS_MICROS, micros)));
     }
 
-    /** The front's final answer, or the end of its connection without one. */
-    private void answered(RecordedExchange e) {
-        Sent sent = open.remove(e.id());
-        if (sent != null) {
-            played.add(new Played(sent.planned, e));
-            schedule.answered(sent.planned, now(), e.result(), e.retryAfterMillis());
+    /** The front's final response, or the end of its connection without one. */
+    private void onExchange(RecordedExchange replayed) {
+        OutstandingRequest outstanding = outstandingById.remove(replayed.id());
+        if (outstanding == null) {
+            return;
         }
+        played.add(new Played(outstanding.request, replayed));
+        schedule.answered(outstanding.request, clock.nanos(), replayed.result(), replayed.retryAfterMillis());
     }
 
-    private void giveUp() {
-        for (Sent next = deadlines.peek(); next != null && next.until <= now(); next = deadlines.peek()) {
-            deadlines.poll();
-            if (next.planned.fate == ReplaySchedule.Fate.SENT) {
-                next.link.end();
+    private void closeConnectionsBehindDeadline() {
+        while (!byDeadline.isEmpty() && byDeadline.peek().deadlineNanos <= clock.nanos()) {
+            OutstandingRequest expired = byDeadline.remove();
+            if (expired.request.state() == ScheduledRequest.State.SENT) {
+                expired.connection.close();
             }
         }
     }
 
-    /** How late requests left behind the schedule, in microseconds; those that wait for an answer are not counted. */
+    /**
+     * How late requests were sent, in microseconds behind their due times; those that waited for a write are not
+     * counted.
+     */
     public Histogram lateness() {
-        return lateness;
+        return latenessMicros;
     }
 
+    /** What was played. */
     public ReplaySchedule schedule() {
         return schedule;
     }
 
     @Override
     public void close() throws IOException {
-        links.values().forEach(Link::end);
+        connections.values().forEach(FrontConnection::close);
         selector.close();
     }
 }
--- a/src/main/java/mintstair/traffic/TimeLine.java
+++ b/src/main/java/mintstair/traffic/TimeLine.java
@@ -1,94 +1,101 @@
 package mintstair.traffic;
 
 /**
- * One monotone time line from a recording's clock, without I/O. A clock that jumps back is taken to have been set: all that
- * follows is moved on by as much, so that what came later stays later. A gap longer than {@code mostGap} is shortened to it, for
- * a replay that is not to wait for hours. Times that stand still stand still. All in nanoseconds. Not safe for use by several
- * threads.
+ * Maps timestamps of a recording's clock to a monotonic time line, without I/O. A clock that jumps back is assumed
+ * to have been set: all later timestamps are moved on by as much, so that what came later stays later. A gap longer
+ * than a limit is shortened to it, for a replay that is not to wait for hours. All times are nanoseconds. Not safe
+ * for use by several threads.
  */
 public final class TimeLine {
-    /** Frames may be written a little out of order by different processors: that is no clock that was set. */
-    static final long JITTER = 10_000_000;
+    /** Frames may be written a little out of order by different processors: up to this the clock was not set. */
+    static final long MAX_REORDERING_NANOS = 10_000_000;
 
-    private final long mostGap;
-    private long newest = Long.MIN_VALUE;
-    private long moved;
-    private long last;
-    private long setBack;
-    private long setBackBy;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
+    private final long maxGapNanos;
+    private boolean started;
+    private long newestRecorded;
+    private long lastMapped;
+    /** Added to recorded timestamps. */
+    private long shift;
+
+    private long clockSetBacks;
+    private long setBackNanos;
     private long outOfOrder;
-    private long gaps;
-    private long gapsBy;
-    private long stoodStill;
+    private long shortenedGaps;
+    private long shortenedNanos;
+    private long equalTimestamps;
 
-    /** {@code mostGap} is the longest time in which nothing may happen; {@code Long.MAX_VALUE} to leave gaps as they are. */
-    public TimeLine(long mostGap) {
-        if (mostGap <= 0) {
+    /**
+     * Creates a time line.
+     *
+     * @param maxGapNanos the longest time in which nothing may happen; {@code Long.MAX_VALUE} leaves gaps as they
+     *     are
+     */
+    public TimeLine(long maxGapNanos) {
+        if (maxGapNanos <= 0) {
             throw new IllegalArgumentException("the longest gap must be above 0");
         }
-        this.mostGap = mostGap;
+        this.maxGapNanos = maxGapNanos;
     }
 
-    /** The place on the line of what the recording's clock gives this time; never before the one of the call before. */
-    public long place(long recorded) {
-        if (newest == Long.MIN_VALUE) {
-            newest = recorded;
-            last = recorded;
-            return recorded;
+    /** Maps the next timestamp; the result is never before that of the call before. */
+    public long toMonotonic(long recordedNanos) {
+        if (!started) {
+            started = true;
+            newestRecorded = recordedNanos;
+            lastMapped = recordedNanos;
+            return recordedNanos;
         }
-        long step = recorded - newest;
-        if (step < -JITTER) {
-            // The clock was set back: time goes on from where it was.
-            setBack++;
-            setBackBy -= step;
-            moved -= step;
-        } else if (step < 0) {
+        long step = recordedNanos - newestRecorded;
+        if (step < 0 && step >= -MAX_REORDERING_NANOS) {
             outOfOrder++;
-            return last;
-        } else if (step > mostGap) {
-            gaps++;
-            gapsBy += step - mostGap;
-            moved -= step - mostGap;
+            return lastMapped;
+        }
+        if (step < 0) {
+            clockSetBacks++;
+            setBackNanos -= step;
+            shift -= step;
+        } else if (step > maxGapNanos) {
+            shortenedGaps++;
+            shortenedNanos += step - maxGapNanos;
+            shift -= step - maxGapNanos;
         } else if (step == 0) {
-            stoodStill++;
+            equalTimestamps++;
         }
-        newest = recorded;
-        last = Math.max(last, recorded + moved);
-        return last;
+        newestRecorded = recordedNanos;
+        lastMapped = Math.max(lastMapped, recordedNanos + shift);
+        return lastMapped;
     }
 
     /** How often the clock was set back. */
-    public long setBack() {
-        return setBack;
+    public long clockSetBacks() {
+        return clockSetBacks;
     }
 
-    /** How often nothing happened for longer than the longest gap. */
-    public long gaps() {
-        return gaps;
+    /** How many gaps were shortened. */
+    public long shortenedGaps() {
+        return shortenedGaps;
     }
 
-    /** What was repaired, in words; empty where nothing was. */
-    public String repaired() {
+    /** What was repaired, for the operator; empty where nothing was. */
+    public String repairs() {
         StringBuilder text = new StringBuilder();
-        if (setBack > 0) {
-            text.append("set_back=")
-                    .append(setBack)
-                    .append(" by_ms=")
-                    .append(setBackBy / 1_000_000)
-                    .append(' ');
+        if (clockSetBacks > 0) {
+            text.append("set_back=").append(clockSetBacks).append(" by_ms=").append(setBackNanos / NANOS_PER_MILLI);
+            text.append(' ');
         }
         if (outOfOrder > 0) {
             text.append("out_of_order=").append(outOfOrder).append(' ');
         }
-        if (gaps > 0) {
-            text.append("gaps=")
-                    .append(gaps)
-                    .append(" shortened_by_ms=")
-                    .append(gapsBy / 1_000_000)
+        if (shortenedGaps > 0) {
+            text.append("gaps=").append(shortenedGaps);
+            text.append(" shortened_by_ms=")
+                    .append(shortenedNanos / NANOS_PER_MILLI)
                     .append(' ');
         }
-        if (stoodStill > 0) {
-            text.append("same_time=").append(stoodStill).append(' ');
+        if (equalTimestamps > 0) {
+            text.append("same_time=").append(equalTimestamps).append(' ');
         }
         return text.toString().strip();
     }
--- a/src/test/java/mintstair/bench/TrafficBench.java
+++ b/src/test/java/mintstair/bench/TrafficBench.java
@@ -180,10 +180,10 @@
                 new Replayer(all, ReplayOptions.ALL, new InetSocketAddress("127.0.0.1", port), protocol, run)) {
             List<Replayer.Played> played = replayer.play();
             Histogram latency = new Histogram(60_000_000, 3);
-            played.forEach(p -> latency.recordValue(
-                    Math.max(0, (p.replayed().answered() - p.replayed().asked()) / 1000)));
-            return new Run(played, replayer.lateness(), latency, (int)
-                    replayer.schedule().all().stream().filter(x -> x.sent < 0).count());
+            played.forEach(p -> latency.recordValue(Math.max(0, p.replayed().latencyNanos() / 1000)));
+            return new Run(played, replayer.lateness(), latency, (int) replayer.schedule().requests().stream()
+                    .filter(x -> x.sentNanos() < 0)
+                    .count());
         } catch (IOException e) {
             throw new CompletionException(e);
         }
@@ -216,7 +216,7 @@
         Histogram lateness = new Histogram(60_000_000, 3);
         int notSent = 0;
         for (Run run : replayed) {
-            run.played.forEach(p -> comparison.add(p.planned().recorded, p.replayed()));
+            run.played.forEach(p -> comparison.add(p.scheduled().recorded(), p.replayed()));
             lateness.add(run.lateness);
             notSent += run.notSent;
         }
