--- a/src/main/java/mintstair/pcap/TcpPacketEncoder.java
+++ b/src/main/java/mintstair/pcap/TcpPacketEncoder.java
@@ -35,7 +35,7 @@
 
     private static final int TCP_HEADER_BYTES = TcpSegment.MIN_HEADER_BYTES;
     private static final int TCP_CHECKSUM_OFFSET = 16;
-    private static final int TCP_DATA_OFFSET = TCP_HEADER_BYTES / Integer.BYTES << 12;
+    private static final int TCP_DATA_OFFSET = (TCP_HEADER_BYTES / Integer.BYTES) << 12;
     private static final short TCP_WINDOW = (short) 0xffff;
     private static final int MAX_SEGMENT_BYTES = 16_384;
     private static final byte[] NO_PAYLOAD = new byte[0];
--- a/src/main/java/mintstair/pcap/TcpStreamReassembler.java
+++ b/src/main/java/mintstair/pcap/TcpStreamReassembler.java
@@ -74,7 +74,7 @@
     void accept(TcpSegment segment) {
         byte[] payload = segment.payload();
         boolean syn = segment.has(TcpSegment.SYN);
-        if (ended || !started && !syn && payload.length == 0) {
+        if (ended || (!started && !syn && payload.length == 0)) {
             return;
         }
         if (!started) {
--- a/src/main/java/mintstair/pcap/WriteQueue.java
+++ b/src/main/java/mintstair/pcap/WriteQueue.java
@@ -1,6 +1,5 @@
 package mintstair.pcap;
 
-import com.google.errorprone.annotations.concurrent.GuardedBy;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -29,13 +28,11 @@
     private final long maxBytes;
     private final Object lock = new Object();
 
-    @GuardedBy("lock")
+    /** This and the fields below are guarded by {@code lock}. */
     private List<Entry> entries = new ArrayList<>();
 
-    @GuardedBy("lock")
     private long bytes;
 
-    @GuardedBy("lock")
     private boolean closed;
 
     WriteQueue(long maxBytes) {
--- a/src/main/java/mintstair/traffic/ReplayOptions.java
+++ b/src/main/java/mintstair/traffic/ReplayOptions.java
@@ -66,6 +66,6 @@
     }
 
     private boolean includesSession(RecordedExchange recorded) {
-        return sessions.isEmpty() || recorded.session() != null && sessions.contains(recorded.session());
+        return sessions.isEmpty() || (recorded.session() != null && sessions.contains(recorded.session()));
     }
 }
