--- a/src/main/java/mintstair/membership/swim/SwimSettings.java
+++ b/src/main/java/mintstair/membership/swim/SwimSettings.java
@@ -101,7 +101,8 @@
 
     /** Upper bound of the time in which an update reaches all members. */
     long spreadMicros(int members) {
-        return (long) (SPREAD_PERIODS * Math.ceil(Math.log(members + 1) / Math.log(2))) * periodMicros;
+        long spreadPeriods = (long) (SPREAD_PERIODS * Math.ceil(Math.log(members + 1) / Math.log(2)));
+        return spreadPeriods * periodMicros;
     }
 
     /** How often each update is sent in a fleet of this size. */
--- a/src/test/java/mintstair/membership/SimulatedFleet.java
+++ b/src/test/java/mintstair/membership/SimulatedFleet.java
@@ -293,7 +293,7 @@
 
     /** Whether all running members see exactly each other alive, and nobody suspect. */
     public boolean agrees() {
-        long others = running().size() - 1;
+        long others = running().size() - 1L;
         return running().stream()
                 .allMatch(node -> count(node, MemberState.ALIVE) == others && count(node, MemberState.SUSPECT) == 0);
     }
--- a/src/test/java/mintstair/membership/SwimTest.java
+++ b/src/test/java/mintstair/membership/SwimTest.java
@@ -209,7 +209,7 @@
     void indirectProbesGoRoundLinksThatFailOneWay() {
         SimulatedFleet fleet = convergedFleet(9, 0);
 
-        fleet.network = (from, to, random) -> from == 2 && to == 5 || from == 7 && to == 1 ? -1 : 500;
+        fleet.network = (from, to, random) -> (from == 2 && to == 5) || (from == 7 && to == 1) ? -1 : 500;
         fleet.pass(40 * SECOND);
         assertEquals(0, fleet.falseSuspicions);
 
