--- a/src/main/java/mintstair/backend/ConnectionPools.java
+++ b/src/main/java/mintstair/backend/ConnectionPools.java
@@ -1,12 +1,10 @@
 package mintstair.backend;
 
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import java.util.concurrent.atomic.AtomicLong;
 import mintstair.proxy.Backend;
 import mintstair.proxy.EventLoop;
 import mintstair.request.ConnectionEnd;
@@ -14,162 +12,170 @@
 import mintstair.request.HostReply;
 import mintstair.request.Statement;
 import mintstair.stats.Counters;
-import mintstair.wire.MessageFilter;
 import mintstair.wire.Recorder;
-import org.glassfish.grizzly.filterchain.FilterChainBuilder;
-import org.glassfish.grizzly.filterchain.TransportFilter;
-import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
-/** The pools of all db hosts. */
+/**
+ * The connection pools of all hosts of one protocol, with a common limit on open connections. Runs on the event loop;
+ * times are on its clock.
+ */
 public final class ConnectionPools implements Backend {
-    /** A host closes at its idle limit at the latest; a request that meets this is lost, so stay well clear. */
-    private static final double IDLE_MARGIN = 0.8;
-
-    private static final long SWEEP_EVERY = 1_000_000;
-
-    final EventLoop loop;
-    final Protocol protocol;
-    final TCPNIOTransport transport;
-    final TCPNIOConnectorHandler connector;
-    final MessageFilter filter = new MessageFilter();
-    long connectTimeout;
-    final IdleReusePolicy trust = new IdleReusePolicy();
-    private long idleLimit;
-    /** Bytes of long answers that wait for their clients, and where they become too many for the heap. */
-    final AtomicLong held = new AtomicLong();
-
-    static final long MOST_HELD = 6 * 1024 * 1024;
-    final Random random;
-    private final int most;
-    final Counters counters;
+    /** Connections are evicted at this share of the hosts' idle timeout: an attempt that meets the close is lost. */
+    private static final double IDLE_LIMIT_SHARE = 0.8;
+
+    private static final long EVICTION_INTERVAL_MICROS = 1_000_000;
+
+    private final EventLoop loop;
+    private final Protocol protocol;
+    private final HostConnector connector;
+    private final IdleReusePolicy idleReuse = new IdleReusePolicy();
+    private final Random random;
+    private final Counters counters;
+    private final int maxOpen;
     private final Map<String, HostConnectionPool> pools = new HashMap<>();
     private int open;
-    private boolean opened;
-    private int spares;
-    Recorder recorder = Recorder.NONE;
+    private long maxIdleMicros;
+    private int minIdlePerHost;
+    private boolean clientsAccepted;
 
+    /**
+     * Makes pools for no host yet.
+     *
+     * @param idleTimeoutMicros after which hosts close an idle connection
+     * @param maxOpen how many connections may be open to all hosts
+     */
     public ConnectionPools(
             EventLoop loop,
             Protocol protocol,
             TCPNIOTransport transport,
-            long connectTimeout,
-            long idle,
-            int most,
+            long connectTimeoutMicros,
+            long idleTimeoutMicros,
+            int maxOpen,
             Random random,
             Counters counters) {
         this.loop = loop;
         this.protocol = protocol;
-        this.transport = transport;
-        this.most = most;
+        this.maxOpen = maxOpen;
         this.random = random;
         this.counters = counters;
-        times(connectTimeout, idle);
-        connector = TCPNIOConnectorHandler.builder(transport)
-                .processor(FilterChainBuilder.stateless()
-                        .add(new TransportFilter())
-                        .add(filter)
-                        .build())
-                .build();
-        loop.every(SWEEP_EVERY, this::sweep);
+        connector = new HostConnector(loop, protocol, transport, counters);
+        setTimeouts(connectTimeoutMicros, idleTimeoutMicros);
+        loop.every(EVICTION_INTERVAL_MICROS, this::evictAndRefill);
     }
 
-    /** What counts from now on: how long a connection may take to come up, and how long a host keeps it idle. */
-    public void times(long connecting, long idle) {
-        connectTimeout = connecting;
-        idleLimit = (long) (idle * IDLE_MARGIN);
+    /** Sets, from now on, how long a connection may take to be ready, and after how long hosts close an idle one. */
+    public void setTimeouts(long connectTimeoutMicros, long idleTimeoutMicros) {
+        connector.setConnectTimeoutMicros(connectTimeoutMicros);
+        maxIdleMicros = (long) (idleTimeoutMicros * IDLE_LIMIT_SHARE);
     }
 
-    /** Has connections recorded that are made from now on. */
-    public void record(Recorder to) {
-        recorder = to;
+    /** Has connections that are made from now on recorded. */
+    public void record(Recorder recorder) {
+        connector.setRecorder(recorder);
     }
 
-    /** A connection left idle to its host's limit would be closed there, at a time that nobody here knows. */
-    private void sweep() {
-        // Hosts come and go under new names all day long.
-        pools.values().removeIf(pool -> pool.isOver(loop.now()));
-        for (HostConnectionPool pool : pools.values()) {
-            pool.closeIdle(idleBefore());
-            pool.keepReady();
-        }
+    /**
+     * Notes that clients are accepted from now on, so that connections may be opened ahead of need to all hosts.
+     * Before, that is so only where hosts are few: while the process starts it is too slow for the handshakes of many.
+     */
+    public void clientsAccepted() {
+        clientsAccepted = true;
+        pools.values().forEach(HostConnectionPool::delayPreconnect);
     }
 
-    /** Connections that have been idle since before this are not used any more. */
-    long idleBefore() {
-        return loop.now() - Math.min(idleLimit, trust.longest());
+    private void evictAndRefill() {
+        // Hosts come and go under new names.
+        pools.values().removeIf(pool -> pool.isDisposable(loop.now()));
+        for (HostConnectionPool pool : pools.values()) {
+            pool.evictIdle(idleLimitMicros());
+            pool.serve();
+        }
     }
 
-    /** How many idle connections each host is to have; none where those kept for a while cannot be relied on. */
-    int spares() {
-        return (opened || spares == PreconnectPolicy.READY) && trust.longest() >= SWEEP_EVERY ? spares : 0;
+    /** A connection that has been idle since before this time is not used any more. */
+    long idleLimitMicros() {
+        return loop.now() - Math.min(maxIdleMicros, idleReuse.maxIdleMicros());
     }
 
-    /**
-     * Clients come from now on: spare connections are opened, not to all hosts at once. Where hosts are too many for all of their
-     * spares they are not opened before: this process is busy with its start, and they would not come up in time.
-     */
-    public void open() {
-        opened = true;
-        pools.values().forEach(HostConnectionPool::spareLater);
+    /** How many idle connections each host is to have; none where idle connections are not reused for long. */
+    int minIdlePerHost() {
+        boolean permitted = clientsAccepted || minIdlePerHost == PreconnectPolicy.MAX_PER_HOST;
+        return permitted && idleReuse.maxIdleMicros() >= EVICTION_INTERVAL_MICROS ? minIdlePerHost : 0;
     }
 
     @Override
     public void listed(EndpointList list) {
-        Set<String> named = new HashSet<>();
+        Set<String> listedHosts = new HashSet<>();
         for (EndpointList.Entry entry : list.entries()) {
-            named.add(entry.host());
-            pools.computeIfAbsent(entry.host(), name -> new HostConnectionPool(name, this))
-                    .listed(entry);
+            listedHosts.add(entry.host());
+            pools.computeIfAbsent(entry.host(), host -> newPool()).update(entry);
+        }
+        minIdlePerHost = PreconnectPolicy.perHost(servingHosts(), maxOpen);
+        if (list.whole()) {
+            removeAllBut(listedHosts);
         }
-        spares = PreconnectPolicy.each(
-                (int) pools.values().stream()
-                        .filter(HostConnectionPool::isServing)
-                        .count(),
-                most);
-        pools.forEach((name, pool) -> {
-            if (list.whole() && !named.contains(name)) {
-                pool.gone();
+    }
+
+    private HostConnectionPool newPool() {
+        return new HostConnectionPool(this, connector, idleReuse, counters, random);
+    }
+
+    private int servingHosts() {
+        int serving = 0;
+        for (HostConnectionPool pool : pools.values()) {
+            serving += pool.isServing() ? 1 : 0;
+        }
+        return serving;
+    }
+
+    private void removeAllBut(Set<String> listedHosts) {
+        pools.forEach((host, pool) -> {
+            if (!listedHosts.contains(host)) {
+                pool.markRemoved();
             }
         });
     }
 
     @Override
     public void failQueuedForUnavailable() {
-        pools.values().forEach(HostConnectionPool::failQueuedForUnavailable);
+        pools.values().forEach(HostConnectionPool::failQueuedIfUnavailable);
     }
 
     @Override
-    public Attempt send(String host, Statement statement, long writeBy, long until, AttemptListener end) {
-        return start(host, new PendingAttempt(statement::encode, writeBy, until, false, end));
+    public Attempt send(
+            String host, Statement statement, long writeByMicros, long timeoutAtMicros, AttemptListener listener) {
+        return start(host, new PendingAttempt(statement::encode, writeByMicros, timeoutAtMicros, false, listener));
     }
 
     @Override
-    public void probe(String host, AttemptListener end) {
-        long until = loop.now() + connectTimeout;
-        start(host, new PendingAttempt(wait -> protocol.probe(), until, until, true, end));
+    public void probe(String host, AttemptListener listener) {
+        long timeoutAtMicros = loop.now() + connector.connectTimeoutMicros();
+        start(
+                host,
+                new PendingAttempt(
+                        timeoutMillis -> protocol.healthCheck(), timeoutAtMicros, timeoutAtMicros, true, listener));
     }
 
-    private Attempt start(String host, PendingAttempt call) {
+    private Attempt start(String host, PendingAttempt attempt) {
         HostConnectionPool pool = pools.get(host);
         if (pool == null) {
-            call.timer = loop.at(call.until, () -> {});
-            call.end(HostReply.of(ConnectionEnd.NEVER_SENT));
+            attempt.end(HostReply.of(ConnectionEnd.NEVER_SENT));
         } else {
-            pool.send(call);
+            pool.acquire(attempt);
         }
-        return call;
+        return attempt;
     }
 
-    /** Whether there is a descriptor for one more; for a call that waits, another host's idle one is given up. */
-    boolean mayOpen(boolean needed) {
-        if (open >= most && needed) {
-            pools.values().stream()
-                    .min(Comparator.comparingLong(HostConnectionPool::idlestSince))
-                    .filter(pool -> pool.idlestSince() < Long.MAX_VALUE)
-                    .ifPresent(HostConnectionPool::closeIdlest);
+    /**
+     * Counts one more open connection, where the limit permits.
+     *
+     * @param forAttempt whether an attempt waits for it, so that another host's idle connection may be evicted
+     */
+    boolean mayOpen(boolean forAttempt) {
+        if (open >= maxOpen && forAttempt) {
+            evictLongestIdle();
         }
-        if (open >= most) {
+        if (open >= maxOpen) {
             return false;
         }
         open++;
@@ -177,7 +183,22 @@
         return true;
     }
 
-    void closed() {
+    private void evictLongestIdle() {
+        HostConnectionPool longestIdle = null;
+        long idleSinceMicros = Long.MAX_VALUE;
+        for (HostConnectionPool pool : pools.values()) {
+            if (pool.longestIdleSinceMicros() < idleSinceMicros) {
+                longestIdle = pool;
+                idleSinceMicros = pool.longestIdleSinceMicros();
+            }
+        }
+        if (longestIdle != null) {
+            longestIdle.evictLongestIdle();
+        }
+    }
+
+    /** Notes that one connection less is open. */
+    void connectionClosed() {
         open--;
     }
 }
--- a/src/main/java/mintstair/backend/HostConnection.java
+++ b/src/main/java/mintstair/backend/HostConnection.java
@@ -4,6 +4,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
+import mintstair.proxy.EventLoop;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.HostReply;
 import mintstair.wire.Framer;
@@ -11,82 +12,101 @@
 import mintstair.wire.ProtocolException;
 import mintstair.wire.ReadThrottle;
 import mintstair.wire.Recorder;
-import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.EmptyCompletionHandler;
 import org.glassfish.grizzly.GrizzlyFuture;
-import org.glassfish.grizzly.WriteResult;
-import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.nio.NIOConnection;
 
-/** One connection to a db host: it greets, then carries one call at a time. All but reading is on the loop. */
+/**
+ * One pooled connection to a host. It sends its greeting, and carries one attempt at a time once that is answered. Its
+ * pool is notified of each change.
+ *
+ * <p>Runs on the event loop, but for {@link #read} and {@link #closed}.
+ */
 final class HostConnection implements MessageFilter.Listener {
+    /**
+     * A connection is made (CONNECTING) and then alternates between IDLE, ACTIVE with an attempt, and SETTLING after
+     * it. Any state may be followed by CLOSED.
+     */
     private enum State {
-        OPENING,
-        RESTING,
+        CONNECTING,
+        SETTLING,
         IDLE,
-        BUSY,
+        ACTIVE,
         CLOSED
     }
 
-    /** After its reply a connection waits for so long: bytes behind the reply must not meet the next call. */
-    private static final long REST = 5_000;
-    /** So much of a long answer may wait for its client; the second where all that waits is too much. */
-    private static final int MOST_HELD = 64 * 1024;
-
-    private static final int MOST_IN_NEED = 16 * 1024;
-    /** A host that gives nothing of its answer for so long is not giving it any more. */
-    private static final long STALL = 5_000_000;
+    /** How long a connection is not reused after a reply: bytes behind the reply must not meet the next attempt. */
+    private static final long SETTLE_MICROS = 5_000;
+    /** A host that sends nothing of a long reply for so long has stalled. */
+    private static final long STALL_TIMEOUT_MICROS = 5_000_000;
 
     private final HostConnectionPool pool;
-    private final ConnectionPools backends;
+    private final HostConnector connector;
+    private final IdleReusePolicy idleReuse;
+    private final EventLoop loop;
+    private final InetSocketAddress address;
     private final Framer framer;
     private final Protocol.Parser parser;
-    private State state = State.OPENING;
-    private GrizzlyFuture<Connection> making;
+
+    private State state = State.CONNECTING;
+    private GrizzlyFuture<Connection> connecting;
     private Connection<?> connection;
-    private PendingAttempt call;
+    private Recorder.Conversation transcript = Recorder.Conversation.NONE;
+    /** Set once by the network thread, before its first read. */
+    private volatile ReadThrottle throttle;
+    /** Written by the network thread. */
+    private volatile int reads;
+    /** Of {@link #reads}, those that the event loop has processed; only there. */
+    private int processedReads;
+
+    private PendingAttempt attempt;
+    /** Whether the last byte of the request was written; set by the network thread. */
     private volatile boolean written;
-    private volatile int readCount;
-    private int takenCount;
-    private int passed;
-    private InetSocketAddress address;
-    private long idled;
-    private long heardAt;
-    private volatile ReadThrottle intake;
-    long idleSince;
-    private Recorder.Conversation record = Recorder.Conversation.NONE;
-
-    HostConnection(HostConnectionPool pool, ConnectionPools backends) {
+
+    private final Runnable onWritten = () -> written = true;
+
+    private long idleSinceMicros;
+    /** How long it had been idle before the current attempt. */
+    private long idleBeforeAttemptMicros;
+
+    private long progressAtMicros;
+
+    HostConnection(
+            HostConnectionPool pool, HostConnector connector, IdleReusePolicy idleReuse, InetSocketAddress address) {
         this.pool = pool;
-        this.backends = backends;
-        framer = backends.protocol.newFramer();
-        parser = backends.protocol.newParser();
+        this.connector = connector;
+        this.idleReuse = idleReuse;
+        this.address = address;
+        loop = connector.loop();
+        framer = connector.protocol().newFramer();
+        parser = connector.protocol().newParser();
     }
 
-    void open(InetSocketAddress to) {
-        address = to;
-        making = backends.connector.connect(to);
-        making.addCompletionHandler(new EmptyCompletionHandler<Connection>() {
+    /** Begins to connect; the pool is notified when it is ready, or has failed. */
+    void open() {
+        connecting = connector.connect(address);
+        connecting.addCompletionHandler(new EmptyCompletionHandler<Connection>() {
             @Override
             public void completed(Connection made) {
-                intake = new ReadThrottle(made, MOST_HELD, MOST_IN_NEED, backends.held, ConnectionPools.MOST_HELD);
-                backends.filter.listen(made, HostConnection.this);
-                backends.loop.execute(() -> connected(made));
+                throttle = connector.throttle(made);
+                connector.listen(made, HostConnection.this);
+                loop.execute(() -> connected(made));
             }
 
             @Override
-            public void failed(Throwable why) {
-                backends.loop.execute(() -> broken());
-            }
-        });
-        // A machine that vanished leaves a connection that neither comes up nor fails.
-        backends.loop.at(backends.loop.now() + backends.connectTimeout, () -> {
-            if (state == State.OPENING) {
-                close();
-                pool.openingFailed(this, ConnectionEnd.CONNECT_TIMEOUT);
+            public void failed(Throwable cause) {
+                loop.execute(HostConnection.this::disconnected);
             }
         });
+        // A machine that does not respond leaves a connection that neither comes up nor fails.
+        loop.at(loop.now() + connector.connectTimeoutMicros(), this::connectTimedOut);
+    }
+
+    private void connectTimedOut() {
+        if (state == State.CONNECTING) {
+            openFailed(ConnectionEnd.CONNECT_TIMEOUT);
+        }
     }
 
     private void connected(Connection<?> made) {
@@ -95,227 +115,246 @@
             made.closeSilently();
             return;
         }
-        if (backends.recorder != Recorder.NONE) {
-            record = backends.recorder.begin(
-                    (InetSocketAddress) made.getLocalAddress(), (InetSocketAddress) made.getPeerAddress());
-        }
-        ask(backends.protocol.greeting(), false);
+        transcript = connector.record(made);
+        write(connector.protocol().greeting(), false);
     }
 
-    private void ask(byte[] words, boolean attempt) {
-        parser.asked(words);
-        write(words, attempt);
+    /** Whether it leads to this address, at which its host is listed. */
+    boolean leadsTo(InetSocketAddress listed) {
+        return address.equals(listed);
     }
 
-    boolean leadsTo(InetSocketAddress to) {
-        return address.equals(to);
+    /** Since when it has been idle. */
+    long idleSinceMicros() {
+        return idleSinceMicros;
     }
 
     /**
-     * Whether nothing has come, or the end, since its last reply: what is there now would be taken for the next one's.
-     * The socket itself is asked, as the network thread may not have come round to it.
+     * Whether neither bytes nor the end have arrived since the last reply: they would be read as the next one. The
+     * socket itself is asked, as the network thread may not have read it yet.
      */
     boolean isClean() {
-        if (readCount != takenCount) {
+        if (reads != processedReads) {
             return false;
         }
         try {
             return ((SocketChannel) ((NIOConnection) connection).getChannel()).read(ByteBuffer.allocate(1)) == 0;
         } catch (IOException e) {
+            // Broken, and as unusable as a closed one.
             return false;
         }
     }
 
-    /** Sends a call; it is the only one until its reply is whole. */
-    void send(PendingAttempt next, long now) {
-        state = State.BUSY;
-        idled = now - idleSince;
-        call = next;
-        next.connection = this;
+    /** Sends an attempt, which has the connection to itself until its end. */
+    void send(PendingAttempt next, long nowMicros) {
+        state = State.ACTIVE;
+        idleBeforeAttemptMicros = nowMicros - idleSinceMicros;
+        attempt = next;
         written = false;
-        ask(next.words.apply(next.begin(now)), !next.probe);
+        write(next.begin(this, nowMicros), !next.isHealthCheck());
     }
 
-    @SuppressWarnings({"unchecked", "rawtypes"})
-    private void write(byte[] bytes, boolean attempt) {
-        record.said(true, bytes);
-        Buffer buffer = Buffers.wrap(backends.transport.getMemoryManager(), bytes);
-        ((Connection) connection).write(buffer, new EmptyCompletionHandler<WriteResult>() {
-            @Override
-            public void completed(WriteResult result) {
-                written = true;
-                if (attempt) {
-                    backends.counters.written.incrementAndGet();
-                }
-            }
-        });
+    private void write(byte[] request, boolean countsAsAttempt) {
+        parser.requestSent(request);
+        transcript.said(true, request);
+        connector.write(connection, request, countsAsAttempt, onWritten);
     }
 
+    /** Closes it without notice to its pool. */
     void close() {
         if (state != State.CLOSED) {
-            record.ended();
+            transcript.ended();
         }
         state = State.CLOSED;
         if (connection != null) {
             connection.closeSilently();
         } else {
-            // The system tries for two minutes to reach a machine that is silent, and holds a descriptor as long.
-            making.cancel(true);
+            // Otherwise the kernel would try for two minutes to connect, and hold a descriptor meanwhile.
+            connecting.cancel(true);
         }
     }
 
-    /** The call that holds this connection is not waited for: the host learns of it by the close. */
+    /** Closes it as its attempt has ended from this side; the host is notified by the close. */
     void abandon() {
-        call = null;
+        attempt = null;
         close();
         pool.closed(this);
     }
 
     @Override
     public void read(ByteBuffer bytes) {
-        readCount++;
-        int n = bytes.remaining();
-        intake.read(n);
-        backends.loop.execute(() -> intake.used(n - take(bytes)));
+        reads++;
+        int length = bytes.remaining();
+        throttle.read(length);
+        loop.execute(() -> {
+            int forwarded = process(bytes);
+            throttle.used(length - forwarded);
+        });
     }
 
     @Override
     public void closed() {
-        intake.end();
-        backends.loop.execute(this::broken);
-    }
-
-    /** Whether the host goes on giving a long answer, or would, were its client quicker. */
-    boolean gives(long now) {
-        return intake.isPaused() || now - heardAt < STALL;
+        throttle.end();
+        loop.execute(this::disconnected);
     }
 
-    /** Takes in what was read; tells how much of it went on and waits for its client. */
-    private int take(ByteBuffer bytes) {
-        takenCount++;
-        heardAt = backends.loop.now();
-        passed = 0;
-        record.said(false, bytes.array());
-        parse(bytes);
-        return passed;
+    /** Whether a long reply goes on, or would if its client were faster. */
+    boolean isStreaming(long nowMicros) {
+        return throttle.isPaused() || nowMicros - progressAtMicros < STALL_TIMEOUT_MICROS;
     }
 
-    /** What can go on of a long answer does; no more is read meanwhile than its client takes. */
-    private void passOn(byte[] part) {
-        if (part != null && call != null) {
-            passed += part.length;
-            call.part(part, () -> {
-                heardAt = backends.loop.now();
-                intake.used(part.length);
-            });
-        }
+    /** Takes in what was read; returns how many bytes of it were forwarded and wait for the client. */
+    private int process(ByteBuffer bytes) {
+        processedReads++;
+        progressAtMicros = loop.now();
+        transcript.said(false, bytes.array());
+        return switch (state) {
+            case CONNECTING, ACTIVE -> parse(bytes);
+            case SETTLING, IDLE -> {
+                fail(ConnectionEnd.GARBLED);
+                yield 0;
+            }
+            case CLOSED -> 0;
+        };
     }
 
-    private void parse(ByteBuffer bytes) {
-        if (state == State.CLOSED) {
-            return;
-        }
-        if (state == State.RESTING || state == State.IDLE) {
-            ended(ConnectionEnd.GARBLED);
-            return;
-        }
+    private int parse(ByteBuffer bytes) {
+        int forwarded = 0;
         try {
             framer.feed(bytes);
             HostReply reply = null;
             byte[] message = framer.next();
             while (message != null) {
                 reply = parser.take(message);
-                passOn(parser.takePart());
+                forwarded += forward(parser.takePart());
                 message = reply == null ? framer.next() : null;
             }
             if (reply != null) {
                 replied(reply, framer.pending() > 0);
             }
         } catch (ProtocolException e) {
-            ended(ConnectionEnd.GARBLED);
+            // Counted by its end; what a host sent goes into no log.
+            fail(ConnectionEnd.GARBLED);
         }
+        return forwarded;
     }
 
-    private void replied(HostReply reply, boolean more) {
-        boolean greeted = state == State.OPENING;
-        if (greeted && (more || reply.end() != ConnectionEnd.SERVED)) {
-            ended(reply.end() == ConnectionEnd.TURNED_AWAY ? reply.end() : ConnectionEnd.GARBLED);
-            return;
+    /** Forwards a part of a long reply; no more is read than its client takes. */
+    private int forward(byte[] part) {
+        if (part == null || attempt == null) {
+            return 0;
         }
-        PendingAttempt over = call;
-        call = null;
-        HostReply heard = over != null && over.probe && reply.end() == ConnectionEnd.SERVED ? report(reply) : reply;
-        idleSince = backends.loop.now();
-        if (!greeted) {
-            backends.trust.ended(idleSince, idled, false);
+        attempt.part(part, () -> {
+            progressAtMicros = loop.now();
+            throttle.used(part.length);
+        });
+        return part.length;
+    }
+
+    private void replied(HostReply reply, boolean moreFollows) {
+        if (state == State.CONNECTING) {
+            greeted(reply, moreFollows);
+            return;
         }
-        if (more || heard.end() == ConnectionEnd.REPORT_UNREADABLE) {
-            // The answer stands, but what came behind it must not be taken for the answer to the next call.
+        PendingAttempt answered = removeAttempt();
+        HostReply decoded = answered != null && answered.isHealthCheck() ? decodeReport(reply) : reply;
+        idleSinceMicros = loop.now();
+        idleReuse.record(idleSinceMicros, idleBeforeAttemptMicros, false);
+        if (moreFollows || decoded.end() == ConnectionEnd.REPORT_UNREADABLE) {
+            // The reply is valid, but what follows must not be read as the reply to the next attempt.
             close();
             pool.closed(this);
-            heard = heard.end() == ConnectionEnd.SERVED
-                    ? new HostReply(ConnectionEnd.SERVED_AND_MORE, heard.body(), heard.report())
-                    : heard;
-        } else if (greeted) {
-            state = State.IDLE;
-            pool.opened(this);
         } else {
-            state = State.RESTING;
-            backends.loop.at(idleSince + REST, this::rested);
+            state = State.SETTLING;
+            loop.at(idleSinceMicros + SETTLE_MICROS, this::settled);
         }
-        if (over != null) {
-            over.end(heard);
+        if (answered != null) {
+            answered.end(moreFollows ? markedAsFollowed(decoded) : decoded);
+        }
+    }
+
+    private static HostReply markedAsFollowed(HostReply reply) {
+        return reply.end() == ConnectionEnd.SERVED
+                ? new HostReply(ConnectionEnd.SERVED_AND_MORE, reply.body(), reply.report())
+                : reply;
+    }
+
+    private void greeted(HostReply reply, boolean moreFollows) {
+        if (reply.end() == ConnectionEnd.TURNED_AWAY) {
+            openFailed(ConnectionEnd.TURNED_AWAY);
+        } else if (moreFollows || reply.end() != ConnectionEnd.SERVED) {
+            openFailed(ConnectionEnd.CONNECT_FAILED);
+        } else {
+            idleSinceMicros = loop.now();
+            state = State.IDLE;
+            pool.opened(this);
         }
     }
 
-    private void rested() {
-        if (state == State.RESTING) {
+    private void settled() {
+        if (state == State.SETTLING) {
             state = State.IDLE;
-            pool.freed(this);
+            pool.release(this);
         }
     }
 
-    private HostReply report(HostReply reply) {
+    private HostReply decodeReport(HostReply reply) {
+        if (reply.end() != ConnectionEnd.SERVED) {
+            return reply;
+        }
         try {
-            return new HostReply(reply.end(), null, backends.protocol.report(reply.body()));
+            return new HostReply(reply.end(), null, connector.protocol().report(reply.body()));
         } catch (ProtocolException e) {
+            // Counted by its end; what a host sent goes into no log.
             return HostReply.of(ConnectionEnd.REPORT_UNREADABLE);
         }
     }
 
-    private void broken() {
-        if (state != State.CLOSED) {
-            HostReply last = state == State.BUSY ? parser.atEnd() : null;
-            if (last != null) {
-                PendingAttempt over = call;
-                call = null;
-                close();
-                pool.closed(this);
-                over.end(last);
-            } else {
-                if (state == State.BUSY) {
-                    backends.trust.ended(backends.loop.now(), idled, true);
-                }
-                ended(
-                        written || state == State.OPENING
-                                ? ConnectionEnd.BROKEN_AFTER_WRITTEN
-                                : ConnectionEnd.BROKEN_BEFORE_WRITTEN);
-            }
+    private void disconnected() {
+        switch (state) {
+            case CONNECTING -> openFailed(ConnectionEnd.CONNECT_FAILED);
+            case ACTIVE -> disconnectedDuringAttempt();
+            case SETTLING, IDLE -> endWith(null);
+            case CLOSED -> {}
         }
     }
 
-    private void ended(ConnectionEnd why) {
-        boolean opening = state == State.OPENING;
-        PendingAttempt over = call;
-        call = null;
-        close();
-        if (opening) {
-            pool.openingFailed(this, why == ConnectionEnd.TURNED_AWAY ? why : ConnectionEnd.CONNECT_FAILED);
+    private void disconnectedDuringAttempt() {
+        HostReply reply = parser.replyAtClose();
+        if (reply == null) {
+            idleReuse.record(loop.now(), idleBeforeAttemptMicros, true);
+            reply = HostReply.of(written ? ConnectionEnd.BROKEN_AFTER_WRITTEN : ConnectionEnd.BROKEN_BEFORE_WRITTEN);
+        }
+        endWith(reply);
+    }
+
+    /** Ends the connection, and the attempt on it, where the host has broken the protocol. */
+    private void fail(ConnectionEnd end) {
+        if (state == State.CONNECTING) {
+            openFailed(ConnectionEnd.CONNECT_FAILED);
         } else {
-            pool.closed(this);
-            if (over != null) {
-                over.end(HostReply.of(why));
-            }
+            endWith(HostReply.of(end));
         }
     }
+
+    private void openFailed(ConnectionEnd end) {
+        close();
+        pool.openFailed(this, end);
+    }
+
+    /** Closes the connection; where there is an attempt on it, that ends with the reply. */
+    private void endWith(HostReply reply) {
+        PendingAttempt ended = removeAttempt();
+        close();
+        pool.closed(this);
+        if (ended != null) {
+            ended.end(reply);
+        }
+    }
+
+    private PendingAttempt removeAttempt() {
+        PendingAttempt removed = attempt;
+        attempt = null;
+        return removed;
+    }
 }
--- a/src/main/java/mintstair/backend/HostConnectionPool.java
+++ b/src/main/java/mintstair/backend/HostConnectionPool.java
@@ -4,208 +4,262 @@
 import java.util.ArrayDeque;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Random;
 import java.util.Set;
+import mintstair.proxy.EventLoop;
 import mintstair.request.AttemptVerdict;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.EndpointList;
 import mintstair.request.HostReply;
 import mintstair.retry.Backoff;
+import mintstair.stats.Counters;
 
-/** The connections to one db host and the calls that wait for one. */
+/**
+ * The connection pool of one host, and the queue of attempts that wait for a connection. Idle connections are reused
+ * last in, first out, so that those that are not needed reach their idle limit. Runs on the event loop.
+ */
 final class HostConnectionPool {
-    /** More than this to one host serves nobody: it works on far fewer at a time. */
-    private static final int MOST = 80;
+    /** A host works on far fewer requests at a time. */
+    private static final int MAX_CONNECTIONS = 80;
+    /** Connections ahead of need begin after a random part of this, as many proxies see a new host together. */
+    private static final long PRECONNECT_DELAY_MICROS = 1_000_000;
 
-    /** Spare connections of a host that is new, or cannot be reached, are not opened by all proxies at once. */
-    private static final long REST = 1_000_000;
+    private static final long MAX_PRECONNECT_BACKOFF_MICROS = 8_000_000;
+    /** How long a removed host is remembered: where removal is advisory, it may still be sent to. */
+    private static final long REMOVED_RETENTION_MICROS = 60_000_000;
 
-    private static final long REST_MOST = 8_000_000;
-    /** What is known of a host that is gone: where the list is only advice, it may still be sent to. */
-    private static final long KEPT = 60_000_000;
+    private static final long STREAM_CHECK_INTERVAL_MICROS = 1_000_000;
 
-    final String name;
-    private final ConnectionPools backends;
+    private final ConnectionPools pools;
+    private final HostConnector connector;
+    private final IdleReusePolicy idleReuse;
+    private final EventLoop loop;
+    private final Counters counters;
+    private final Random random;
+    private final Backoff preconnectBackoff;
+    /** The one that became idle last is the first. */
     private final ArrayDeque<HostConnection> idle = new ArrayDeque<>();
-    private final Set<HostConnection> all = new HashSet<>();
+
+    private final Set<HostConnection> connections = new HashSet<>();
     private final ArrayDeque<PendingAttempt> waiting = new ArrayDeque<>();
+    private int connecting;
     private InetSocketAddress address;
-    private int opening;
-    private final Backoff backoff;
-    private long restUntil;
     private boolean serving;
-    private long goneSince;
+    private long removedAtMicros;
+    private long preconnectFromMicros;
 
-    HostConnectionPool(String name, ConnectionPools backends) {
-        this.name = name;
-        this.backends = backends;
-        backoff = new Backoff(backends.random, REST, REST_MOST);
-        spareLater();
+    HostConnectionPool(
+            ConnectionPools pools,
+            HostConnector connector,
+            IdleReusePolicy idleReuse,
+            Counters counters,
+            Random random) {
+        this.pools = pools;
+        this.connector = connector;
+        this.idleReuse = idleReuse;
+        this.counters = counters;
+        this.random = random;
+        loop = connector.loop();
+        preconnectBackoff = new Backoff(random, PRECONNECT_DELAY_MICROS, MAX_PRECONNECT_BACKOFF_MICROS);
+        delayPreconnect();
     }
 
-    /** Lets spare connections wait for a random part of a second. */
-    void spareLater() {
-        restUntil = backends.loop.now() + (long) (backends.random.nextDouble() * REST);
+    /** Delays connections ahead of need by a random part of a second. */
+    void delayPreconnect() {
+        preconnectFromMicros = loop.now() + (long) (random.nextDouble() * PRECONNECT_DELAY_MICROS);
     }
 
-    void listed(EndpointList.Entry entry) {
+    /** Takes over what the endpoint list says of this host. */
+    void update(EndpointList.Entry entry) {
         if (entry.state() == EndpointList.State.REMOVED) {
-            gone();
+            markRemoved();
             return;
         }
-        int colon = entry.endpoint().lastIndexOf(':');
-        InetSocketAddress now = new InetSocketAddress(
-                entry.endpoint().substring(0, colon),
-                Integer.parseInt(entry.endpoint().substring(colon + 1)));
+        InetSocketAddress listed = parseAddress(entry.endpoint());
         serving = entry.state() == EndpointList.State.SERVING;
-        goneSince = backends.loop.now();
-        if (!now.equals(address) || !serving) {
-            closeIdle(Long.MAX_VALUE);
+        removedAtMicros = loop.now();
+        if (!listed.equals(address) || !serving) {
+            evictAllIdle();
         }
-        address = now;
-        keepReady();
-    }
-
-    /** Opens what is missing of the connections that are kept ready. */
-    void keepReady() {
+        address = listed;
         serve();
     }
 
-    boolean isServing() {
-        return serving;
+    private static InetSocketAddress parseAddress(String endpoint) {
+        int colon = endpoint.lastIndexOf(':');
+        return new InetSocketAddress(endpoint.substring(0, colon), Integer.parseInt(endpoint.substring(colon + 1)));
     }
 
-    void gone() {
-        goneSince = serving ? backends.loop.now() : goneSince;
+    /** Notes that the host is not listed any more. */
+    void markRemoved() {
+        if (serving) {
+            removedAtMicros = loop.now();
+        }
         serving = false;
-        closeIdle(Long.MAX_VALUE);
+        evictAllIdle();
     }
 
-    /** See {@link mintstair.proxy.Backend#failQueuedForUnavailable}; only what waits by now, as some of it may be sent here again on purpose. */
-    void failQueuedForUnavailable() {
-        if (!serving) {
-            List.copyOf(waiting).forEach(call -> call.stop(ConnectionEnd.NEVER_SENT));
-        }
+    /** Whether the host is listed as one that serves. */
+    boolean isServing() {
+        return serving;
     }
 
-    /** Closes those that have had no call since {@code before}. */
-    void closeIdle(long before) {
-        while (!idle.isEmpty() && idle.peekLast().idleSince < before) {
-            drop(idle.pollLast());
-        }
+    /** Whether nothing is left of a host that was removed long ago. */
+    boolean isDisposable(long nowMicros) {
+        boolean empty = connections.isEmpty() && waiting.isEmpty();
+        return !serving && empty && nowMicros - removedAtMicros > REMOVED_RETENTION_MICROS;
     }
 
-    private void drop(HostConnection c) {
-        c.close();
-        if (all.remove(c)) {
-            backends.closed();
-        }
+    /** Queues an attempt for the next connection. */
+    void acquire(PendingAttempt attempt) {
+        long nowMicros = loop.now();
+        attempt.queuedIn(this);
+        long latestBeginMicros = Math.min(attempt.writeByMicros(), attempt.timeoutAtMicros());
+        long connectByMicros = Math.min(latestBeginMicros, nowMicros + connector.connectTimeoutMicros());
+        attempt.setTimer(loop.at(connectByMicros, () -> checkTimeout(attempt)));
+        evictIdle(pools.idleLimitMicros());
+        waiting.add(attempt);
+        serve();
     }
 
-    /** Since when the connection that is idle for longest has been, or never where none is to spare. */
-    long idlestSince() {
-        return idle.isEmpty() ? Long.MAX_VALUE : idle.peekLast().idleSince;
+    /** Removes an attempt that ends while it waits. */
+    void cancelAcquire(PendingAttempt attempt) {
+        waiting.remove(attempt);
     }
 
-    void closeIdlest() {
-        drop(idle.pollLast());
+    private void checkTimeout(PendingAttempt attempt) {
+        long nowMicros = loop.now();
+        if (attempt.connection() == null) {
+            boolean tooLateToWrite = nowMicros >= attempt.writeByMicros() && nowMicros < attempt.timeoutAtMicros();
+            boolean connectTimedOut = connecting > 0 && !tooLateToWrite;
+            attempt.stop(connectTimedOut ? ConnectionEnd.CONNECT_TIMEOUT : ConnectionEnd.NEVER_SENT);
+        } else if (attempt.isStreaming() && attempt.connection().isStreaming(nowMicros)) {
+            attempt.setTimer(loop.at(nowMicros + STREAM_CHECK_INTERVAL_MICROS, () -> checkTimeout(attempt)));
+        } else if (nowMicros < attempt.timeoutAtMicros()) {
+            attempt.setTimer(loop.at(attempt.timeoutAtMicros(), () -> checkTimeout(attempt)));
+        } else {
+            attempt.stop(ConnectionEnd.TIMED_OUT);
+        }
     }
 
-    /** Whether nothing is left of a host that has been gone for long. */
-    boolean isOver(long now) {
-        return !serving && all.isEmpty() && waiting.isEmpty() && now - goneSince > KEPT;
+    /** See {@link mintstair.proxy.Backend#failQueuedForUnavailable}. */
+    void failQueuedIfUnavailable() {
+        if (!serving) {
+            // A copy, as an attempt that fails may be followed by one that is sent here on purpose.
+            List.copyOf(waiting).forEach(attempt -> attempt.stop(ConnectionEnd.NEVER_SENT));
+        }
     }
 
-    void send(PendingAttempt call) {
-        long now = backends.loop.now();
-        call.pool = this;
-        long connectBy = Math.min(Math.min(call.writeBy, call.until), now + backends.connectTimeout);
-        call.timer = backends.loop.at(connectBy, () -> timeUp(call));
-        closeIdle(backends.idleBefore());
-        waiting.add(call);
-        serve();
+    /** Gives waiting attempts their connections, and opens those that are missing. */
+    void serve() {
+        while (!waiting.isEmpty() && !idle.isEmpty()) {
+            HostConnection connection = idle.pollFirst();
+            if (connection.isClean()) {
+                assign(connection);
+            } else {
+                discard(connection);
+            }
+        }
+        openMissing();
     }
 
-    /** Either no connection came up in time, or no answer did. */
-    private void timeUp(PendingAttempt call) {
-        long now = backends.loop.now();
-        if (call.connection == null) {
-            boolean late = now >= call.writeBy && now < call.until;
-            call.stop(opening > 0 && !late ? ConnectionEnd.CONNECT_TIMEOUT : ConnectionEnd.NEVER_SENT);
-        } else if (call.flows() && call.connection.gives(now)) {
-            call.timer = backends.loop.at(now + REST, () -> timeUp(call));
-        } else if (now < call.until) {
-            call.timer = backends.loop.at(call.until, () -> timeUp(call));
-        } else {
-            call.stop(ConnectionEnd.TIMED_OUT);
+    private void assign(HostConnection connection) {
+        PendingAttempt next = waiting.pollFirst();
+        long nowMicros = loop.now();
+        AttemptVerdict verdict = next.mayBegin(nowMicros);
+        if (verdict == AttemptVerdict.MAY_BEGIN) {
+            connection.send(next, nowMicros);
+            return;
         }
+        counters.heldBack(verdict);
+        next.stop(ConnectionEnd.NEVER_SENT);
+        idle.addFirst(connection);
     }
 
-    private void serve() {
-        while (!waiting.isEmpty() && !idle.isEmpty()) {
-            HostConnection c = idle.pollFirst();
-            if (c.isClean()) {
-                PendingAttempt next = waiting.pollFirst();
-                long now = backends.loop.now();
-                AttemptVerdict verdict = next.mayBegin(now);
-                if (verdict == AttemptVerdict.MAY_BEGIN) {
-                    c.send(next, now);
-                } else {
-                    backends.counters.heldBack(verdict);
-                    next.stop(ConnectionEnd.NEVER_SENT);
-                    idle.addFirst(c);
-                }
-            } else {
-                drop(c);
-            }
+    /** For an attempt another host's idle connection may be evicted; ahead of need they would evict each other. */
+    private void openMissing() {
+        int wanted = waiting.size() + missingAheadOfNeed();
+        while (connecting < wanted
+                && connections.size() < MAX_CONNECTIONS
+                && pools.mayOpen(connecting < waiting.size())) {
+            counters.hostsSpare += connecting < waiting.size() ? 0 : 1;
+            connecting++;
+            HostConnection connection = new HostConnection(this, connector, idleReuse, address);
+            connections.add(connection);
+            connection.open();
         }
-        boolean spares = serving && backends.loop.now() >= restUntil;
-        int wanted = waiting.size() + (spares ? Math.max(0, backends.spares() - idle.size()) : 0);
-        // Only what a call waits for pushes out another host's idle one: spares would push out each other without end.
-        while (opening < wanted && all.size() < MOST && backends.mayOpen(opening < waiting.size())) {
-            backends.counters.hostsSpare += opening < waiting.size() ? 0 : 1;
-            opening++;
-            HostConnection c = new HostConnection(this, backends);
-            all.add(c);
-            c.open(address);
+    }
+
+    private int missingAheadOfNeed() {
+        if (!serving || loop.now() < preconnectFromMicros) {
+            return 0;
         }
+        return Math.max(0, pools.minIdlePerHost() - idle.size());
     }
 
-    void opened(HostConnection c) {
-        opening--;
-        backoff.reset();
-        freed(c);
+    /** Takes in a connection that is ready for its first attempt. */
+    void opened(HostConnection connection) {
+        connecting--;
+        preconnectBackoff.reset();
+        release(connection);
     }
 
-    void freed(HostConnection c) {
-        if (c.leadsTo(address) && (serving || !waiting.isEmpty())) {
-            idle.addFirst(c);
+    /** Takes a connection back that is idle; the next attempt gets it. */
+    void release(HostConnection connection) {
+        if (connection.leadsTo(address) && (serving || !waiting.isEmpty())) {
+            idle.addFirst(connection);
         } else {
-            drop(c);
+            discard(connection);
         }
         serve();
     }
 
-    void openingFailed(HostConnection c, ConnectionEnd why) {
-        opening--;
-        backends.counters.hostsNotUp++;
-        // A host that is out of reach is not knocked at for the sake of spare connections.
-        restUntil = backends.loop.now() + backoff.next();
-        closed(c);
+    /** Notes that a connection did not become ready; it ends one attempt, as there was one connection for each. */
+    void openFailed(HostConnection connection, ConnectionEnd end) {
+        connecting--;
+        counters.hostsNotUp++;
+        preconnectFromMicros = loop.now() + preconnectBackoff.next();
+        closed(connection);
         PendingAttempt first = waiting.pollFirst();
         if (first != null) {
-            first.end(HostReply.of(why));
+            first.end(HostReply.of(end));
         }
     }
 
-    void closed(HostConnection c) {
-        idle.remove(c);
-        if (all.remove(c)) {
-            backends.closed();
+    /** Removes a connection that is closed, which leaves room for another. */
+    void closed(HostConnection connection) {
+        idle.remove(connection);
+        if (connections.remove(connection)) {
+            pools.connectionClosed();
             serve();
         }
     }
 
-    void forget(PendingAttempt call) {
-        waiting.remove(call);
+    /** Closes the connections that have been idle since before this time. */
+    void evictIdle(long idleSinceBeforeMicros) {
+        while (!idle.isEmpty() && idle.peekLast().idleSinceMicros() < idleSinceBeforeMicros) {
+            discard(idle.pollLast());
+        }
+    }
+
+    private void evictAllIdle() {
+        evictIdle(Long.MAX_VALUE);
+    }
+
+    /** Since when its longest idle connection has been idle; {@link Long#MAX_VALUE} where none is. */
+    long longestIdleSinceMicros() {
+        return idle.isEmpty() ? Long.MAX_VALUE : idle.peekLast().idleSinceMicros();
+    }
+
+    /** Closes its longest idle connection; there must be one. */
+    void evictLongestIdle() {
+        discard(idle.pollLast());
+    }
+
+    private void discard(HostConnection connection) {
+        connection.close();
+        if (connections.remove(connection)) {
+            pools.connectionClosed();
+        }
     }
 }
--- a/src/main/java/mintstair/backend/IdleReusePolicy.java
+++ b/src/main/java/mintstair/backend/IdleReusePolicy.java
@@ -1,60 +1,70 @@
 package mintstair.backend;
 
 /**
- * How long a connection may have been idle and still be used. Hosts, and what lies between, drop idle connections before
- * the time in the settings and without a word; a request that meets this is lost, and a write may not be sent again. So
- * the ends of calls are counted by how long their connections had been idle, and where those that were idle for longer
- * break far oftener than the rest, they are not used.
+ * For how long a connection may have been idle and still be used. Hosts, and middleboxes on the way, drop idle
+ * connections before the configured limit and without notice; a request sent on one is lost, and a write may not be
+ * sent again. So the outcomes of attempts are counted by how long their connections had been idle, and where
+ * connections idle for longer break far more often than the others, they are not used. Runs on the event loop.
  */
 final class IdleReusePolicy {
-    private static final long SHORTEST = 12_500;
-    private static final int SPANS = 12;
-    /** Spans below this are never given up: without any reuse each call would pay for a handshake. */
-    private static final int FIRST_DOUBTED = 3;
-
-    private static final double EVIDENCE = 3;
-    private static final double OFTENER = 2;
-    private static final double MARGIN = 0.1;
-    /** Evidence fades, so that longer times are tried again. */
-    private static final double HALF_LIFE = 15_000_000;
-
-    private final double[] used = new double[SPANS];
-    private final double[] broken = new double[SPANS];
-    private long at;
-
-    /** A call ended on a connection that had been idle for so long. */
-    void ended(long now, long idle, boolean broke) {
-        double kept = Math.pow(0.5, Math.max(0, now - at) / HALF_LIFE);
-        at = Math.max(at, now);
-        for (int i = 0; i < SPANS; i++) {
-            used[i] *= kept;
-            broken[i] *= kept;
+    /** Idle times are counted in buckets: up to this, up to twice this, up to four times this and so on. */
+    private static final long FIRST_BUCKET_MICROS = 12_500;
+
+    private static final int BUCKETS = 12;
+    /** Lower buckets are always used: without any reuse each attempt would need a handshake. */
+    private static final int FIRST_AVOIDABLE_BUCKET = 3;
+
+    private static final double MIN_BROKEN = 3;
+    private static final double MIN_RATIO = 2;
+    private static final double MIN_EXCESS = 0.1;
+    /** Counts decay, so that a bucket that was avoided is tried again. */
+    private static final double HALF_LIFE_MICROS = 15_000_000;
+
+    private final double[] used = new double[BUCKETS];
+    private final double[] broken = new double[BUCKETS];
+    private long decayedAtMicros;
+
+    /** Counts the end of an attempt on a connection that had been idle for so long before it. */
+    void record(long nowMicros, long idleMicros, boolean broke) {
+        decay(nowMicros);
+        int bucket = bucket(idleMicros);
+        used[bucket]++;
+        broken[bucket] += broke ? 1 : 0;
+    }
+
+    private void decay(long nowMicros) {
+        double remaining = Math.pow(0.5, Math.max(0, nowMicros - decayedAtMicros) / HALF_LIFE_MICROS);
+        decayedAtMicros = Math.max(decayedAtMicros, nowMicros);
+        for (int bucket = 0; bucket < BUCKETS; bucket++) {
+            used[bucket] *= remaining;
+            broken[bucket] *= remaining;
         }
-        int span = span(idle);
-        used[span]++;
-        broken[span] += broke ? 1 : 0;
     }
 
-    private static int span(long idle) {
-        int span = 0;
-        while (span < SPANS - 1 && idle >= SHORTEST << span) {
-            span++;
+    private static int bucket(long idleMicros) {
+        int bucket = 0;
+        while (bucket < BUCKETS - 1 && idleMicros >= FIRST_BUCKET_MICROS << bucket) {
+            bucket++;
         }
-        return span;
+        return bucket;
     }
 
-    /** A connection idle for longer is not to be used; {@link Long#MAX_VALUE} where nothing speaks against any. */
-    long longest() {
+    /** Connections that have been idle for longer are not to be used; {@link Long#MAX_VALUE} for no limit. */
+    long maxIdleMicros() {
         double usedBefore = 1;
         double brokenBefore = 0;
-        for (int i = 0; i < SPANS; i++) {
-            double share = broken[i] / Math.max(1, used[i]);
-            if (i >= FIRST_DOUBTED && broken[i] >= EVIDENCE && share > OFTENER * brokenBefore / usedBefore + MARGIN) {
-                return SHORTEST << i - 1;
+        for (int bucket = 0; bucket < BUCKETS; bucket++) {
+            if (bucket >= FIRST_AVOIDABLE_BUCKET && breaksMoreOften(bucket, brokenBefore / usedBefore)) {
+                return FIRST_BUCKET_MICROS << bucket - 1;
             }
-            usedBefore += used[i];
-            brokenBefore += broken[i];
+            usedBefore += used[bucket];
+            brokenBefore += broken[bucket];
         }
         return Long.MAX_VALUE;
     }
+
+    private boolean breaksMoreOften(int bucket, double rateBefore) {
+        double rate = broken[bucket] / Math.max(1, used[bucket]);
+        return broken[bucket] >= MIN_BROKEN && rate > MIN_RATIO * rateBefore + MIN_EXCESS;
+    }
 }
--- a/src/main/java/mintstair/backend/PendingAttempt.java
+++ b/src/main/java/mintstair/backend/PendingAttempt.java
@@ -7,63 +7,104 @@
 import mintstair.request.ConnectionEnd;
 import mintstair.request.HostReply;
 
-/** One attempt or probe on its way: it waits for a connection, is written, and ends exactly once. */
+/**
+ * One attempt, or one health check: it waits in a pool for a connection, is written, and ends exactly once. Runs on the
+ * event loop; times are on its clock.
+ */
 final class PendingAttempt implements Backend.Attempt {
     private static final long MICROS_PER_MILLI = 1_000;
 
-    final LongFunction<byte[]> words;
-    final long writeBy;
-    final long until;
-    final boolean probe;
+    private final LongFunction<byte[]> encoder;
+    private final long writeByMicros;
+    private final long timeoutAtMicros;
+    private final boolean healthCheck;
     private final Backend.AttemptListener listener;
-    HostConnection connection;
-    HostConnectionPool pool;
-    Future<?> timer;
+    private HostConnectionPool pool;
+    private HostConnection connection;
+    private Future<?> timer;
     private boolean ended;
-    private boolean flows;
+    private boolean streaming;
 
-    /** {@code words} makes what is sent, from the milliseconds that are left until {@code until}. */
+    /**
+     * Makes an attempt that does not wait yet.
+     *
+     * @param encoder makes the request from the milliseconds that are left until {@code timeoutAtMicros}
+     * @param writeByMicros by when it is written, or not at all
+     */
     PendingAttempt(
-            LongFunction<byte[]> words, long writeBy, long until, boolean probe, Backend.AttemptListener listener) {
-        this.words = words;
-        this.writeBy = writeBy;
-        this.until = until;
-        this.probe = probe;
+            LongFunction<byte[]> encoder,
+            long writeByMicros,
+            long timeoutAtMicros,
+            boolean healthCheck,
+            Backend.AttemptListener listener) {
+        this.encoder = encoder;
+        this.writeByMicros = writeByMicros;
+        this.timeoutAtMicros = timeoutAtMicros;
+        this.healthCheck = healthCheck;
         this.listener = listener;
     }
 
-    boolean hasEnded() {
-        return ended;
+    long writeByMicros() {
+        return writeByMicros;
     }
 
-    /** Whether a long answer has begun to go on: its time is over only when its host stops giving. */
-    boolean flows() {
-        return flows;
+    long timeoutAtMicros() {
+        return timeoutAtMicros;
     }
 
-    /** Whether it may begin now. */
-    AttemptVerdict mayBegin(long now) {
-        return listener.mayBegin(now);
+    boolean isHealthCheck() {
+        return healthCheck;
     }
 
-    /** What its host is told to work for at most, in milliseconds; it is written next. */
-    long begin(long now) {
-        long millis = Math.max(1, (until - now) / MICROS_PER_MILLI);
-        listener.begun(now, millis * MICROS_PER_MILLI);
-        return millis;
+    /** Notes that it waits in this pool. */
+    void queuedIn(HostConnectionPool owner) {
+        pool = owner;
     }
 
-    void part(byte[] bytes, Runnable taken) {
-        flows = true;
-        listener.part(bytes, taken);
+    /** Notes the timer that runs for it, which its end cancels. */
+    void setTimer(Future<?> newTimer) {
+        timer = newTimer;
     }
 
+    /** The connection that it is written on; null while it waits for one. */
+    HostConnection connection() {
+        return connection;
+    }
+
+    /** Whether a part of a long reply was forwarded, so that no other attempt can take its place. */
+    boolean isStreaming() {
+        return streaming;
+    }
+
+    /** Whether it may begin now; asked right before it is written. */
+    AttemptVerdict mayBegin(long nowMicros) {
+        return listener.mayBegin(nowMicros);
+    }
+
+    /** Notes that it is written next, on this connection, and returns its request. */
+    byte[] begin(HostConnection on, long nowMicros) {
+        connection = on;
+        long timeoutMillis = Math.max(1, (timeoutAtMicros - nowMicros) / MICROS_PER_MILLI);
+        listener.begun(nowMicros, timeoutMillis * MICROS_PER_MILLI);
+        return encoder.apply(timeoutMillis);
+    }
+
+    /** Forwards a part of a long reply; {@code onForwarded} runs when the client has got it. */
+    void part(byte[] bytes, Runnable onForwarded) {
+        streaming = true;
+        listener.part(bytes, onForwarded);
+    }
+
+    /** Ends it with its reply, unless it has ended. */
     void end(HostReply reply) {
-        if (!ended) {
-            ended = true;
+        if (ended) {
+            return;
+        }
+        ended = true;
+        if (timer != null) {
             timer.cancel(false);
-            listener.end(reply);
         }
+        listener.end(reply);
     }
 
     @Override
@@ -71,14 +112,15 @@
         stop(connection == null ? ConnectionEnd.NEVER_SENT : ConnectionEnd.CALLED_OFF);
     }
 
-    /** Ends it from this side, and with it the connection that it holds. */
-    void stop(ConnectionEnd why) {
-        if (!ended) {
-            pool.forget(this);
-            if (connection != null) {
-                connection.abandon();
-            }
-            end(HostReply.of(why));
+    /** Ends it from this side, unless it has ended, and closes the connection that it holds. */
+    void stop(ConnectionEnd end) {
+        if (ended) {
+            return;
+        }
+        pool.cancelAcquire(this);
+        if (connection != null) {
+            connection.abandon();
         }
+        end(HostReply.of(end));
     }
 }
--- a/src/main/java/mintstair/backend/Protocol.java
+++ b/src/main/java/mintstair/backend/Protocol.java
@@ -7,34 +7,44 @@
 
 /** What a pool needs to know of the protocol that its hosts speak. */
 public interface Protocol {
-    /** What a new connection says first; its reply must come before anything else is sent. */
+    /** The first message on a new connection; nothing else is sent before its reply. */
     byte[] greeting();
 
-    /** The question for a host's report. */
-    byte[] probe();
+    /** The request for a host's report. */
+    byte[] healthCheck();
 
-    /** What a host says of itself in its answer to a probe; throws {@link ProtocolException} where that is no report. */
+    /**
+     * Decodes the report in a reply to a health check.
+     *
+     * @throws ProtocolException where it is none
+     */
     HostReport report(byte[] body);
 
-    /** What one connection needs to read its replies. */
+    /** Makes the framer of one connection's replies. */
     Framer newFramer();
 
+    /** Makes the parser of one connection's replies. */
     Parser newParser();
 
-    /** Reads one connection's replies; throws {@link ProtocolException} on what is none, however it came about. */
+    /** Assembles the replies on one connection from messages. Not thread-safe. */
     interface Parser {
-        /** These words were sent; what is taken in from here on must be the reply to them. */
-        default void asked(byte[] words) {}
-
-        /** Takes in a message; gives the reply that it completes, or null. */
+        /** Notes that this request is sent; the messages from here on must be the reply to it. */
+        default void requestSent(byte[] request) {}
+
+        /**
+         * Takes one message in.
+         *
+         * @return the reply that it completes, or null where more is to come
+         * @throws ProtocolException where it is not part of a valid reply
+         */
         HostReply take(byte[] message);
 
-        /** What of a long answer can go on before it is whole, since the last call; null for nothing. */
+        /** Removes and returns what of a long reply may be forwarded before its end; null for nothing. */
         default byte[] takePart() {
             return null;
         }
 
-        /** The reply that stands when the connection ends here, or null where there is none. */
-        HostReply atEnd();
+        /** The reply that is complete if the connection ends here; null where there is none. */
+        HostReply replyAtClose();
     }
 }
--- /dev/null
+++ b/src/main/java/mintstair/backend/mongo/package-info.java
@@ -0,0 +1,2 @@
+/** Database hosts that speak MongoDB's wire protocol: how their replies are parsed, checked and understood. */
+package mintstair.backend.mongo;
--- /dev/null
+++ b/src/main/java/mintstair/backend/pg/package-info.java
@@ -0,0 +1,2 @@
+/** Database hosts that speak PostgreSQL's protocol: how their replies are parsed, checked and understood. */
+package mintstair.backend.pg;
--- a/src/main/java/mintstair/serve/ProtocolService.java
+++ b/src/main/java/mintstair/serve/ProtocolService.java
@@ -93,7 +93,7 @@
         if (former != null) {
             former.pace(pace());
         }
-        hosts.times(env.connectTimeout, env.connectionIdle);
+        hosts.setTimeouts(env.connectTimeout, env.connectionIdle);
         dispatcher.settings(env);
     }
 
@@ -177,7 +177,7 @@
         listKnown.join();
         front.record(recorder);
         int port = SocketRetry.untilMade(() -> front.listen(listen));
-        loop.execute(hosts::open);
+        loop.execute(hosts::clientsAccepted);
         System.out.println("serving on " + listen.getHostString() + ":" + port);
         return port;
     }
--- a/src/test/java/mintstair/backend/ConnectionPoolsTest.java
+++ b/src/test/java/mintstair/backend/ConnectionPoolsTest.java
@@ -43,17 +43,17 @@
     private final EventLoop loop = new EventLoop();
     private final TCPNIOTransport transport =
             TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
-    private ConnectionPools backends;
+    private ConnectionPools pools;
     private PgHost host;
-    private ServerSocket mute;
+    private ServerSocket silent;
 
     @BeforeEach
     void start() throws IOException {
         transport.start();
-        backends = new ConnectionPools(
+        pools = new ConnectionPools(
                 loop, new PgProtocol(), transport, SECOND / 4, 15 * SECOND, 50, new Random(1), new Counters());
         host = new PgHost("speaks", true, 5);
-        mute = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        silent = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         ServerSocket closed = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         closed.close();
         EndpointList list = new EndpointList(
@@ -61,9 +61,9 @@
                 true,
                 List.of(
                         entry("speaks", host.port()),
-                        entry("mute", mute.getLocalPort()),
+                        entry("silent", silent.getLocalPort()),
                         entry("closed", closed.getLocalPort())));
-        loop.execute(() -> backends.listed(list));
+        loop.execute(() -> pools.listed(list));
     }
 
     @AfterEach
@@ -71,7 +71,7 @@
         loop.close();
         transport.shutdownNow();
         host.close();
-        mute.close();
+        silent.close();
     }
 
     private static EndpointList.Entry entry(String name, int port) {
@@ -82,7 +82,7 @@
         CompletableFuture<HostReply> end = new CompletableFuture<>();
         byte[] words = Client.Pg.query(Client.Pg.words(true, "id=" + id + ",c=write,cluster=1", 1));
         loop.execute(() ->
-                sent[0] = backends.send(to, wait -> words, loop.now() + writeBy, loop.now() + until, end::complete));
+                sent[0] = pools.send(to, timeout -> words, loop.now() + writeBy, loop.now() + until, end::complete));
         return end;
     }
 
@@ -94,48 +94,55 @@
     }
 
     @Test
-    void everyEndIsNamed() throws Exception {
+    void attemptEndsAsItsHostOrConnectionDid() throws Exception {
         host.script.put("broken", Act.BREAK);
-        host.script.put("silent", Act.SILENT);
-        host.script.put("off", Act.SILENT);
+        host.script.put("unanswered", Act.SILENT);
         host.script.put("miss", Act.MISS);
+
         assertEquals(ConnectionEnd.SERVED, end("speaks", "fine", 9 * SECOND, 9 * SECOND));
         assertEquals(ConnectionEnd.MISS, end("speaks", "miss", 9 * SECOND, 9 * SECOND));
         assertEquals(ConnectionEnd.BROKEN_AFTER_WRITTEN, end("speaks", "broken", 9 * SECOND, 9 * SECOND));
-        assertEquals(ConnectionEnd.TIMED_OUT, end("speaks", "silent", 9 * SECOND, SECOND / 2));
+        assertEquals(ConnectionEnd.TIMED_OUT, end("speaks", "unanswered", 9 * SECOND, SECOND / 2));
         assertEquals(ConnectionEnd.CONNECT_FAILED, end("closed", "x", 9 * SECOND, 9 * SECOND));
-        assertEquals(ConnectionEnd.CONNECT_TIMEOUT, end("mute", "x", 9 * SECOND, 9 * SECOND));
-        assertEquals(ConnectionEnd.NEVER_SENT, end("unheard of", "x", 9 * SECOND, 9 * SECOND));
+        assertEquals(ConnectionEnd.CONNECT_TIMEOUT, end("silent", "x", 9 * SECOND, 9 * SECOND));
+        assertEquals(ConnectionEnd.NEVER_SENT, end("unlisted", "x", 9 * SECOND, 9 * SECOND));
+    }
+
+    @Test
+    void cancelledAttemptEndsAsCalledOff() throws Exception {
+        host.script.put("off", Act.SILENT);
         Backend.Attempt[] sent = new Backend.Attempt[1];
         CompletableFuture<HostReply> off = send("speaks", "off", 9 * SECOND, 9 * SECOND, sent);
         while (!host.seen.contains("off")) {
             Thread.onSpinWait();
         }
+
         loop.execute(() -> sent[0].cancel());
+
         assertEquals(ConnectionEnd.CALLED_OFF, off.get(20, TimeUnit.SECONDS).end());
     }
 
-    /** Guards against serving what no host made: noise, lengths that do not fit, and a value that never ends. */
+    /** Guards against values that no host made: noise, lengths that do not match, and a value without end. */
     @Test
-    void spoiltAnswersFailTheirAttemptAndNoOther() throws Exception {
+    void damagedRepliesFailTheirAttemptAndNoOther() throws Exception {
         host.script.put("noise", Act.NOISE);
         host.script.put("torn", Act.TORN);
         host.script.put("huge", Act.HUGE);
-        for (String spoilt : new String[] {"noise", "torn", "huge"}) {
-            assertEquals(ConnectionEnd.GARBLED, end("speaks", spoilt, 9 * SECOND, 9 * SECOND), spoilt);
-            assertEquals(ConnectionEnd.SERVED, end("speaks", "after " + spoilt, 9 * SECOND, 9 * SECOND));
+        for (String damaged : new String[] {"noise", "torn", "huge"}) {
+            assertEquals(ConnectionEnd.GARBLED, end("speaks", damaged, 9 * SECOND, 9 * SECOND), damaged);
+            assertEquals(ConnectionEnd.SERVED, end("speaks", "after " + damaged, 9 * SECOND, 9 * SECOND));
         }
         host.script.put("vitals", Act.NOISE);
         CompletableFuture<HostReply> report = new CompletableFuture<>();
-        loop.execute(() -> backends.probe("speaks", report::complete));
+        loop.execute(() -> pools.probe("speaks", report::complete));
         assertEquals(
                 ConnectionEnd.REPORT_UNREADABLE,
                 report.get(20, TimeUnit.SECONDS).end());
     }
 
-    /** Guards against a second copy of an answer, right behind it or later, that is taken for the next call's. */
+    /** Guards against a second copy of a reply, right behind it or later, that is read as the next attempt's. */
     @Test
-    void bytesBehindAnAnswerDoNotReachTheNextCall() throws Exception {
+    void bytesBehindAReplyDoNotReachTheNextAttempt() throws Exception {
         for (int i = 0; i < 5; i++) {
             host.script.put("trailed" + i, Act.TRAILED);
             assertServed("trailed" + i);
@@ -153,9 +160,9 @@
         assertEquals(true, new String(reply.body(), StandardCharsets.UTF_8).contains(id), id);
     }
 
-    /** Guards against spare connections that push out each other, so that every call in a large fleet pays for two handshakes. */
+    /** Guards against preconnected connections that evict each other, so that each attempt needs a handshake. */
     @Test
-    void callsToMoreHostsThanHaveRoomForSparesFindTheirConnectionsKept() throws Exception {
+    void connectionsAreReusedWhereHostsAreTooManyToPreconnect() throws Exception {
         Counters counters = new Counters();
         ConnectionPools few =
                 new ConnectionPools(loop, new PgProtocol(), transport, SECOND, 15 * SECOND, 6, new Random(1), counters);
@@ -164,35 +171,35 @@
             entries.add(entry(name, host.port()));
         }
         loop.execute(() -> few.listed(new EndpointList(1, true, entries)));
-        loop.execute(few::open);
+        loop.execute(few::clientsAccepted);
         CompletableFuture<Long> opened = new CompletableFuture<>();
         for (int i = 0; i < 40; i++) {
             CompletableFuture<HostReply> end = new CompletableFuture<>();
             byte[] words = Client.Pg.query(Client.Pg.words(true, "id=kept" + i + ",c=write,cluster=1", 1));
             String to = entries.get(i % 4).host();
-            // Later on the loop than the rest that a connection takes after its reply.
+            // Later than a connection settles after its reply.
             loop.at(
                     loop.now() + 10_000,
-                    () -> few.send(to, wait -> words, loop.now() + SECOND, loop.now() + SECOND, end::complete));
+                    () -> few.send(to, timeout -> words, loop.now() + SECOND, loop.now() + SECOND, end::complete));
             assertEquals(ConnectionEnd.SERVED, end.get(20, TimeUnit.SECONDS).end());
         }
         loop.execute(() -> opened.complete(counters.hostsOpened));
         assertEquals(4, opened.get(20, TimeUnit.SECONDS));
     }
 
-    /** Guards against spare connections of a start that is too busy to greet on them in time: each costs its host a handshake. */
+    /** Guards against preconnects of a starting process that is too slow for their handshakes. */
     @Test
-    void spareConnectionsWaitUntilClientsCome() throws Exception {
+    void connectionsToManyHostsAreNotPreconnectedBeforeClientsAreAccepted() throws Exception {
         Counters counters = new Counters();
-        ConnectionPools starts =
+        ConnectionPools starting =
                 new ConnectionPools(loop, new PgProtocol(), transport, SECOND, 15 * SECOND, 6, new Random(1), counters);
         loop.execute(() ->
-                starts.listed(new EndpointList(1, true, List.of(entry("a", host.port()), entry("b", host.port())))));
+                starting.listed(new EndpointList(1, true, List.of(entry("a", host.port()), entry("b", host.port())))));
         CompletableFuture<Long> before = new CompletableFuture<>();
-        // Later on the loop than the sweep by which spare connections of hosts listed for a second were opened.
+        // Later than the refill that follows the delay after a host is listed.
         loop.at(loop.now() + 2_500_000, () -> {
             before.complete(counters.hostsOpened);
-            starts.open();
+            starting.clientsAccepted();
         });
         assertEquals(0, before.get(20, TimeUnit.SECONDS));
         long opened = 0;
@@ -205,31 +212,31 @@
     }
 
     @Test
-    void sparesFitIntoAShareOfWhatMayBeOpen() {
+    void preconnectedConnectionsFitIntoAShareOfTheLimit() {
         for (int most = 1; most < 400; most++) {
             for (int hosts = 0; hosts < 500; hosts += 7) {
-                int each = PreconnectPolicy.each(hosts, most);
+                int each = PreconnectPolicy.perHost(hosts, most);
                 assertTrue(
                         each >= 0 && each <= 2 && each * hosts <= most / 2,
                         each + " to each of " + hosts + " of " + most);
             }
         }
-        assertEquals(2, PreconnectPolicy.each(12, 64));
+        assertEquals(2, PreconnectPolicy.perHost(12, 64));
     }
 
-    /** Guards against growth over a long day: of a host that is gone nothing is kept, nor of one listed elsewhere. */
+    /** Guards against leaks over a long day, in which hosts come and go under new names. */
     @Test
-    void connectionsOfAHostThatIsGoneAreClosed() throws Exception {
+    void connectionsOfARemovedHostAreClosed() throws Exception {
         assertServed("before");
-        loop.execute(() -> backends.listed(new EndpointList(2, true, List.of())));
+        loop.execute(() -> pools.listed(new EndpointList(2, true, List.of())));
         Program.await(() -> host.open() == 0, "the end of its connections");
     }
 
-    /** Guards against a read judged recent enough and sent long after, when a connection took its time. */
+    /** Guards against a read that was judged fresh and is sent long after, as its connection was slow to come up. */
     @Test
-    void whatCannotBeWrittenInTimeIsNotSent() throws Exception {
-        assertEquals(ConnectionEnd.NEVER_SENT, end("mute", "late", SECOND / 25, 9 * SECOND));
-        // Nor where a connection is there, but this thread stood still on its way to it.
+    void attemptThatCannotBeWrittenInTimeIsNotSent() throws Exception {
+        assertEquals(ConnectionEnd.NEVER_SENT, end("silent", "late", SECOND / 25, 9 * SECOND));
+        // Nor where there is a connection, but the loop was too busy to use it.
         assertServed("in time");
         assertEquals(ConnectionEnd.NEVER_SENT, end("speaks", "late", -1, 9 * SECOND));
     }
@@ -239,7 +246,7 @@
      * have had it, whichever of the two threads sees the break first.
      */
     @Test
-    void whatAHostHasSeenIsNeverSaidToHaveBrokenBefore() throws Exception {
+    void attemptThatItsHostHasSeenNeverEndsAsBrokenBeforeWritten() throws Exception {
         int tries = Integer.getInteger("tries", 3_000);
         for (int i = 0; i < tries; i += 20) {
             List<CompletableFuture<HostReply>> ends = new ArrayList<>();
@@ -256,8 +263,8 @@
         }
     }
 
-    /** How many connections to this port are being tried and not up; of either family, as a socket of IPv6 may carry IPv4. */
-    private static long tries(int port) {
+    /** How many connects to this port are in progress (SYN_SENT); of either family, as a socket of IPv6 may carry IPv4. */
+    private static long connectsInProgress(int port) {
         String to = String.format(":%04X", port);
         return Stream.of("/proc/net/tcp", "/proc/net/tcp6")
                 .flatMap(file -> {
@@ -272,9 +279,9 @@
                 .count();
     }
 
-    /** Guards against a lost zone that takes all descriptors: each try at a silent machine would hold one for two minutes. */
+    /** Guards against a lost zone that uses up all descriptors: a connect to a silent machine holds one for minutes. */
     @Test
-    void connectionsThatDoNotComeUpAreClosedWhenGivenUp() throws Exception {
+    void connectionThatDoesNotComeUpIsClosedAtItsTimeout() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             int port = full.getLocalPort();
             List<Socket> fill = new ArrayList<>();
@@ -290,15 +297,15 @@
             for (Socket socket : fill.subList(fill.size() - 1, fill.size())) {
                 socket.close();
             }
-            Program.await(() -> tries(port) == 0, "the last try to end");
+            Program.await(() -> connectsInProgress(port) == 0, "the last try to end");
             CompletableFuture<Void> listed = new CompletableFuture<>();
             loop.execute(() -> {
-                backends.listed(new EndpointList(2, false, List.of(entry("full", port))));
+                pools.listed(new EndpointList(2, false, List.of(entry("full", port))));
                 listed.complete(null);
             });
             listed.join();
             assertEquals(ConnectionEnd.CONNECT_TIMEOUT, end("full", "lost", 9 * SECOND, 9 * SECOND));
-            Program.await(() -> tries(port) == 0, "the try to be given up");
+            Program.await(() -> connectsInProgress(port) == 0, "the try to be given up");
             for (Socket socket : fill) {
                 socket.close();
             }
--- a/src/test/java/mintstair/backend/IdleReusePolicyTest.java
+++ b/src/test/java/mintstair/backend/IdleReusePolicyTest.java
@@ -6,35 +6,41 @@
 import org.junit.jupiter.api.Test;
 
 class IdleReusePolicyTest {
-    private static final long MS = 1_000;
+    private static final long MILLI = 1_000;
+    private static final long SHORT_IDLE = 20 * MILLI;
+    private static final long LONG_IDLE = 300 * MILLI;
 
-    private static IdleReusePolicy trust(int brokenSoon, int brokenLate) {
-        IdleReusePolicy trust = new IdleReusePolicy();
+    /** A policy that has seen 20 attempts after a short and 20 after a long idle time. */
+    private static IdleReusePolicy policy(int brokenAfterShort, int brokenAfterLong) {
+        IdleReusePolicy policy = new IdleReusePolicy();
         for (int i = 0; i < 20; i++) {
-            trust.ended(0, 20 * MS, i < brokenSoon);
-            trust.ended(0, 300 * MS, i < brokenLate);
+            policy.record(0, SHORT_IDLE, i < brokenAfterShort);
+            policy.record(0, LONG_IDLE, i < brokenAfterLong);
         }
-        return trust;
+        return policy;
     }
 
-    /** Guards against requests that meet connections which were dropped without a word: half of those idle for long. */
+    /** Guards against attempts on connections that were dropped without notice. */
     @Test
-    void idleTimesThatBreakFarOftenerAreNotUsed() {
-        long longest = trust(1, 10).longest();
-        assertTrue(longest >= 100 * MS && longest < 300 * MS, "" + longest);
+    void idleTimesThatBreakFarMoreOftenAreNotUsed() {
+        long maxIdle = policy(1, 10).maxIdleMicros();
+
+        assertTrue(maxIdle >= 100 * MILLI && maxIdle < LONG_IDLE, "" + maxIdle);
     }
 
     /** Connections that break whatever their idle time are no reason to make new ones, which break as well. */
     @Test
-    void whatBreaksAnywaySpeaksAgainstNoIdleTime() {
-        assertEquals(Long.MAX_VALUE, trust(8, 10).longest());
-        assertEquals(Long.MAX_VALUE, new IdleReusePolicy().longest());
+    void connectionsThatBreakAfterAnyIdleTimeAreStillReused() {
+        assertEquals(Long.MAX_VALUE, policy(8, 10).maxIdleMicros());
+        assertEquals(Long.MAX_VALUE, new IdleReusePolicy().maxIdleMicros());
     }
 
     @Test
-    void longTimesAreTriedAgainLater() {
-        IdleReusePolicy trust = trust(1, 10);
-        trust.ended(60_000 * MS, 20 * MS, false);
-        assertEquals(Long.MAX_VALUE, trust.longest());
+    void longIdleTimesAreTriedAgainLater() {
+        IdleReusePolicy policy = policy(1, 10);
+
+        policy.record(60_000 * MILLI, SHORT_IDLE, false);
+
+        assertEquals(Long.MAX_VALUE, policy.maxIdleMicros());
     }
 }
