--- a/src/test/java/mintstair/backend/ConnectionPoolsTest.java
+++ b/src/test/java/mintstair/backend/ConnectionPoolsTest.java
@@ -242,8 +242,8 @@
     }
 
     /**
-     * Guards against a write that is sent again though it ran: a host that takes it and breaks at once must never seem not to
-     * have had it, whichever of the two threads sees the break first.
+     * Guards against a write that is sent again though it ran: where its host gets it and breaks at once, it must not
+     * end as one that the host never got, whichever of the two threads sees the break first.
      */
     @Test
     void attemptThatItsHostHasSeenNeverEndsAsBrokenBeforeWritten() throws Exception {
@@ -263,7 +263,7 @@
         }
     }
 
-    /** How many connects to this port are in progress (SYN_SENT); of either family, as a socket of IPv6 may carry IPv4. */
+    /** How many connects to this port are in progress (SYN_SENT), over IPv4 or by a socket of IPv6 that carries it. */
     private static long connectsInProgress(int port) {
         String to = String.format(":%04X", port);
         return Stream.of("/proc/net/tcp", "/proc/net/tcp6")
