--- a/src/main/java/mintstair/stats/Counters.java
+++ b/src/main/java/mintstair/stats/Counters.java
@@ -80,6 +80,11 @@
         requestsAbandoned++;
     }
 
+    /** Requests whose clients disconnected before their response. */
+    public long requestsAbandoned() {
+        return requestsAbandoned;
+    }
+
     /** A request had no answer when its deadline had passed, and was failed by its guard. */
     public void requestOverdue() {
         requestsOverdue++;
--- a/src/test/java/mintstair/front/ClientSessionTest.java
+++ b/src/test/java/mintstair/front/ClientSessionTest.java
@@ -190,6 +190,6 @@
             awaitAttempts(1);
         }
         awaitClosed("left");
-        assertTrue(onLoop(() -> counters.abandoned) == 1);
+        assertTrue(onLoop(counters::requestsAbandoned) == 1);
     }
 }
--- a/src/test/java/mintstair/pins/StoredData.java
+++ b/src/test/java/mintstair/pins/StoredData.java
@@ -99,16 +99,16 @@
         return String.join(
                 " ",
                 exchange.connection() + "",
-                exchange.asked() + "",
-                exchange.answered() + "",
+                exchange.requestNanos() + "",
+                exchange.responseNanos() + "",
                 exchange.id(),
                 exchange.requestClass(),
-                exchange.cluster() + "",
+                exchange.replicaSet() + "",
                 exchange.session() + "",
                 exchange.write() + "",
                 exchange.retry() + "",
-                exchange.deadlineMillis() + "",
-                exchange.afterMillis() + "",
+                exchange.timeoutMillis() + "",
+                exchange.minimumPositionMillis() + "",
                 exchange.result().name().toLowerCase(Locale.ROOT),
                 exchange.retryAfterMillis() + "");
     }
--- a/src/test/java/mintstair/pins/StoredDataTest.java
+++ b/src/test/java/mintstair/pins/StoredDataTest.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.UnaryOperator;
-import mintstair.pcap.Losses;
+import mintstair.pcap.DropCounters;
 import mintstair.pcap.Rotation;
 import mintstair.pcap.TrafficLog;
 import mintstair.registry.SnapshotFile;
@@ -126,9 +126,9 @@
 
     private static List<RecordedExchange> exchanges(List<Path> files) throws IOException {
         List<RecordedExchange> found = new ArrayList<>();
-        Losses losses = new Losses();
-        Recording.read(files, false, () -> new TimeLine(Long.MAX_VALUE), PORTS, losses, found::add);
-        assertEquals("", losses.toString(), "nothing is lost in reading");
+        DropCounters drops = new DropCounters();
+        Recording.read(files, false, () -> new TimeLine(Long.MAX_VALUE), PORTS, drops, found::add);
+        assertEquals("", drops.toString(), "nothing is lost in reading");
         return found;
     }
 
@@ -170,7 +170,7 @@
                             UnaryOperator::identity,
                             UnaryOperator::identity,
                             false)
-                    .said(true, new byte[100]);
+                    .sent(true, new byte[100]);
         }
         List<Path> after = StoredData.files(kept, "traffic-");
         assertEquals(List.of(before.get(before.size() - 1), kept.resolve("traffic-20270115-080000-000.pcap")), after);
--- a/src/test/java/mintstair/pins/StoredDataWriter.java
+++ b/src/test/java/mintstair/pins/StoredDataWriter.java
@@ -109,8 +109,8 @@
         rotated(StoredData.ROTATED, false);
         rotated(StoredData.DIGESTED, true);
         try (PcapWriter out = new PcapWriter(folder.resolve(StoredData.SINGLE), 1 << 16)) {
-            PcapWriter.Conversation to = out.new Conversation(now.get(), client(40_010), POSTGRESQL);
-            speakPostgresql((byClient, bytes) -> to.said(now.addAndGet(1_000), byClient, bytes));
+            PcapWriter.Conversation to = out.begin(now.get(), client(40_010), POSTGRESQL);
+            speakPostgresql((byClient, bytes) -> to.sent(now.addAndGet(1_000), byClient, bytes));
             to.ended(now.addAndGet(1_000));
         }
         exchanges();
@@ -129,14 +129,14 @@
             TrafficLog.Conversation postgresql = log.begin(client(40_001), POSTGRESQL, ofClient, ofServer, digests);
             speakPostgresql((byClient, bytes) -> {
                 now.addAndGet(1_000);
-                postgresql.said(byClient, bytes);
+                postgresql.sent(byClient, bytes);
             });
             postgresql.ended();
             if (!digests) {
                 TrafficLog.Conversation mongodb = log.begin(client(40_002), MONGODB, ofClient, ofServer, false);
                 speakMongodb((byClient, bytes) -> {
                     now.addAndGet(1_000);
-                    mongodb.said(byClient, bytes);
+                    mongodb.sent(byClient, bytes);
                 });
                 mongodb.ended();
             }
