--- a/src/main/java/mintstair/retry/Backoff.java
+++ b/src/main/java/mintstair/retry/Backoff.java
@@ -3,37 +3,47 @@
 import java.util.Random;
 
 /**
- * Waits that double with each failure up to a cap, and by chance, so that proxies which failed together do not come again
- * together. Not safe for use by several threads.
+ * Exponential backoff with jitter: each delay is drawn at random from a range that doubles with every consecutive
+ * failure, up to a cap. The jitter keeps clients that failed at the same moment from retrying at the same moment. All
+ * delays are microseconds. Not thread-safe.
  */
 public final class Backoff {
+    private static final double DEFAULT_FIXED_FRACTION = 0.5;
+    /** Bounds the shift, so that doubling cannot overflow after many failures. */
+    private static final int MAX_DOUBLINGS = 20;
+
     private final Random random;
-    private final long first;
-    private final long most;
-    private final double sure;
-    private int failures;
+    private final long initialDelayMicros;
+    private final long maxDelayMicros;
+    private final double fixedFraction;
+    private int consecutiveFailures;
 
-    /** Waits between half of {@code first} and {@code most} microseconds. */
-    public Backoff(Random random, long first, long most) {
-        this(random, first, most, 0.5);
+    /** Draws each delay from the upper half of its range, which grows from the initial to the maximum delay. */
+    public Backoff(Random random, long initialDelayMicros, long maxDelayMicros) {
+        this(random, initialDelayMicros, maxDelayMicros, DEFAULT_FIXED_FRACTION);
     }
 
-    /** Waits between a sure share of {@code first} and {@code most} microseconds; the smaller the share, the wider the spread. */
-    public Backoff(Random random, long first, long most, double sure) {
+    /**
+     * Draws each delay from a range that grows from the initial to the maximum delay.
+     *
+     * @param fixedFraction the part of the range, from 0 to 1, that every delay has at least; the rest is jitter
+     */
+    public Backoff(Random random, long initialDelayMicros, long maxDelayMicros, double fixedFraction) {
         this.random = random;
-        this.first = first;
-        this.most = most;
-        this.sure = sure;
+        this.initialDelayMicros = initialDelayMicros;
+        this.maxDelayMicros = maxDelayMicros;
+        this.fixedFraction = fixedFraction;
     }
 
-    /** How long to wait after one more failure. */
+    /** Records one more failure and returns the delay before the next attempt, in microseconds. */
     public long next() {
-        long span = Math.min(most, first << Math.min(failures++, 20));
-        return (long) (span * (sure + random.nextDouble() * (1 - sure)));
+        int doublings = Math.min(consecutiveFailures++, MAX_DOUBLINGS);
+        long rangeMicros = Math.min(maxDelayMicros, initialDelayMicros << doublings);
+        return (long) (rangeMicros * (fixedFraction + random.nextDouble() * (1 - fixedFraction)));
     }
 
-    /** It went well: the next failure is a first one. */
+    /** Records a success: the next failure counts as the first. */
     public void reset() {
-        failures = 0;
+        consecutiveFailures = 0;
     }
 }
--- a/src/test/java/mintstair/retry/BackoffTest.java
+++ b/src/test/java/mintstair/retry/BackoffTest.java
@@ -8,24 +8,40 @@
 import org.junit.jupiter.api.Test;
 
 class BackoffTest {
-    /** Guards against a herd: waits double to the cap, and proxies that failed together come again at different times. */
+    private static final long MAX_DELAY = 1_600;
+
+    private final Backoff backoff = new Backoff(new Random(1), 100, MAX_DELAY);
+
     @Test
-    void waitsDoubleToTheirCapAndDifferFromProxyToProxy() {
-        Backoff one = new Backoff(new Random(1), 100, 1_600);
-        for (long span : new long[] {100, 200, 400, 800, 1_600, 1_600, 1_600}) {
-            long wait = one.next();
-            assertTrue(wait >= span / 2 && wait <= span, wait + " of " + span);
+    void delaysAreFromTheUpperHalfOfARangeThatDoublesUpToItsCap() {
+        for (long range : new long[] {100, 200, 400, 800, 1_600, 1_600, 1_600}) {
+            long delay = backoff.next();
+            assertTrue(delay >= range / 2 && delay <= range, delay + " of " + range);
         }
         for (int i = 0; i < 100; i++) {
-            assertTrue(one.next() <= 1_600);
+            assertTrue(backoff.next() <= MAX_DELAY);
+        }
+    }
+
+    @Test
+    void delayAfterASuccessIsThatOfAFirstFailure() {
+        for (int i = 0; i < 107; i++) {
+            backoff.next();
         }
-        one.reset();
-        assertTrue(one.next() <= 100);
-        assertEquals(
-                48,
-                LongStream.range(0, 48)
-                        .map(seed -> new Backoff(new Random(seed), 1_000_000, 2_000_000).next())
-                        .distinct()
-                        .count());
+
+        backoff.reset();
+
+        assertTrue(backoff.next() <= 100);
+    }
+
+    /** Guards against a thundering herd of proxies that failed together. */
+    @Test
+    void delaysDifferFromProxyToProxy() {
+        long distinctDelays = LongStream.range(0, 48)
+                .map(seed -> new Backoff(new Random(seed), 1_000_000, 2_000_000).next())
+                .distinct()
+                .count();
+
+        assertEquals(48, distinctDelays);
     }
 }
