--- a/src/main/java/mintstair/discovery/pace/JitteredBackoff.java
+++ b/src/main/java/mintstair/discovery/pace/JitteredBackoff.java
@@ -4,41 +4,53 @@
 import mintstair.retry.Backoff;
 
 /**
- * When a proxy calls discovery again after a call that was turned away, so that all proxies together do not come at once; without
- * I/O. The list is one service for all: calls wait there in turn, what has waited for too long is turned away, and the work for it
- * may be done all the same. So calls that failed together are to come apart, over a span that grows with what all proxies' calls
- * cost: their number times the lines of the list. But what a proxy has missed counts as told {@link WatchPacing#COUNTS} after the
- * service had it and could be reached, for a fleet of any size: the longest wait and the time for an answer fit into that. 120
- * proxies that were turned away together so make 30 calls a second for 4 s. A service that needs up to 33 ms for each keeps up with
- * them; one that needs more than 50 ms (6 s for 120) could not tell all of them in time in whatever order they came.
- * The first call of a process is never put off: one that has not asked counts as told of what drains or is gone, and would go on
- * sending there by the list as last known.
+ * Retry delays for a discovery service that the whole fleet shares. The service answers calls one after the other,
+ * rejects those that have queued for too long, and may do their work all the same; proxies that failed together must
+ * therefore retry spread over a range that grows with the cost of the fleet's calls, which is the number of proxies
+ * times the length of the list.
+ *
+ * <p>The range has an upper bound: a proxy is held to a change {@link WatchPacing#NOTIFICATION_DEADLINE_MICROS} after
+ * the service had it and was reachable, whatever the size of the fleet, so the longest delay and the time for a
+ * response must fit into that. 120 proxies that were rejected together thus send 30 calls a second for 4 s. A service
+ * that takes up to 33 ms for each call keeps up with them; one that takes more than 50 ms (6 s for 120) cannot answer
+ * all of them in time in any order.
+ *
+ * <p>The first call of a process is never delayed: a proxy without a list is held to removals all the same, and would
+ * keep using the list of its last run. Not thread-safe.
  */
 final class JitteredBackoff {
-    /** An assumption, as no setting tells what a line costs the service; too little only makes the first calls fail. */
-    static final long LINE = 4_000;
-    /** The least wait after a call that was turned away, and the longest, where lists are short and proxies few. */
-    static final long RETRY = 100_000;
+    /**
+     * Assumed, as no setting gives the service's cost of one endpoint; an underestimate only makes the first retries
+     * fail.
+     */
+    static final long COST_PER_ENDPOINT_MICROS = 4_000;
+    /** Lower bounds of the first and of the longest delay, for short lists and few proxies. */
+    static final long MIN_INITIAL_DELAY_MICROS = 100_000;
 
-    static final long RETRY_MOST = 2_000_000;
-    /** Waits are drawn from nearly their whole span: those that failed together come apart. */
-    private static final double SURE = 0.1;
+    static final long MIN_MAX_DELAY_MICROS = 2_000_000;
+    /** Nearly the whole range is jitter, so that proxies that failed together spread out. */
+    private static final double FIXED_FRACTION = 0.1;
 
-    private final long round;
+    private final long fleetCostMicros;
     private final Random random;
 
-    /** For so many proxies, each of which would be sent so many lines. */
-    JitteredBackoff(int proxies, int lines, Random random) {
+    /** For a fleet of this many proxies, each of which is sent a list of this many endpoints. */
+    JitteredBackoff(int proxies, int endpoints, Random random) {
         this.random = random;
-        round = (long) proxies * lines * LINE;
+        fleetCostMicros = (long) proxies * endpoints * COST_PER_ENDPOINT_MICROS;
     }
 
-    /** Waits of no more than {@code longest}: the first spans two rounds, as the calls of all that failed may still be worked on. */
-    Backoff upTo(long longest) {
+    /**
+     * Delays of at most {@code maxDelayMicros}. The first range is twice what one call of each proxy costs, as the
+     * service may still be working on the calls that failed.
+     */
+    Backoff upTo(long maxDelayMicros) {
+        long initialMicros = Math.max(MIN_INITIAL_DELAY_MICROS, 2 * fleetCostMicros);
+        long longestMicros = Math.max(MIN_MAX_DELAY_MICROS, 4 * fleetCostMicros);
         return new Backoff(
                 random,
-                Math.min(longest, Math.max(RETRY, 2 * round)),
-                Math.min(longest, Math.max(RETRY_MOST, 4 * round)),
-                SURE);
+                Math.min(maxDelayMicros, initialMicros),
+                Math.min(maxDelayMicros, longestMicros),
+                FIXED_FRACTION);
     }
 }
--- a/src/main/java/mintstair/discovery/pace/WatchPacing.java
+++ b/src/main/java/mintstair/discovery/pace/WatchPacing.java
@@ -4,126 +4,167 @@
 import mintstair.retry.Backoff;
 
 /**
- * How often a proxy asks for the list of hosts, and when it asks anew; without I/O. A host that is to leave counts as told by the
- * clock of whoever holds the list, not by when this proxy reads it, so an unheard answer must be noticed within what the rules
- * leave. Where lists are pushed, an agent on the proxy's own machine answers at once and at no cost, and what it holds counts as
- * told whether or not anybody asks: a quarter of the grace that the settings leave for a leaver is for an answer, half for a
- * call that waits for news, and the rest for asking anew. Where lists are asked for, one service answers all proxies: its calls
- * are spread by {@link JitteredBackoff} and wait for long. All times are microseconds. Not safe for use by several threads.
+ * The timing of the long polls that watch the endpoint list: how long a poll waits for changes, when its response is
+ * overdue, and the delay before a retry. A draining endpoint may be sent requests only for a grace period, which starts
+ * when the service has the change and not when this proxy reads it; a lost response must therefore be noticed within
+ * that period.
+ *
+ * <p>There are two kinds of service. An agent on this machine responds at once and at no cost, and its grace period
+ * runs whether or not a poll is open: a quarter of the grace period is for a response, half is for a poll's wait, and
+ * the rest for a retry. A service that the whole fleet shares is polled with long waits, and its retries are spread by
+ * {@link JitteredBackoff}.
+ *
+ * <p>All times are microseconds. Not thread-safe.
  */
 public final class WatchPacing {
-    /** The grace where settings tell none, or one that no proxy could keep or that would leave a silent agent unnoticed. */
-    static final long GRACE = 1_000_000;
-
-    private static final long GRACE_LEAST = 200_000;
-    private static final long GRACE_MOST = 4_000_000;
-    /** After a call that failed at the own agent; doubled up to an answer's time. */
-    private static final long AGAIN = 10_000;
-    /** As good as not at all: where the own agent has not answered yet, or not for a while, silence is to show at once. */
-    private static final long SIGN_OF_LIFE = 1_000;
-    /** So many calls may be out to the own agent: one that is slow is still heard while a next one is tried. */
-    private static final int CALLS_OUT = 4;
-
-    /** A service that all proxies ask: a call for changes is held there for so long, so that an idle fleet asks seldom. */
-    private static final long HELD = 20_000_000;
-    /** The first one, and one after trouble: to tell soon whether it answers, and whether its revisions are those that are known. */
-    private static final long HELD_UNSURE = 2_000_000;
-    /** What a call that failed or was given up has missed counts as told so long after the service had it and could be reached. */
-    static final long COUNTS = 6_000_000;
+    /** Used where the settings give no grace period, and for those below or above the bounds. */
+    static final long DEFAULT_GRACE_MICROS = 1_000_000;
+
+    private static final long MIN_GRACE_MICROS = 200_000;
+    private static final long MAX_GRACE_MICROS = 4_000_000;
+    /** The first delay after a failure of the local agent; it doubles up to the time for a response. */
+    private static final long LOCAL_INITIAL_DELAY_MICROS = 10_000;
+    /** Practically no wait: an unconfirmed local agent is to respond at once, so that its silence shows at once. */
+    private static final long LOCAL_UNCONFIRMED_WAIT_MICROS = 1_000;
+    /** Polls in flight to the local agent: a late response is still accepted while the next poll is tried. */
+    private static final int LOCAL_MAX_IN_FLIGHT = 4;
+
+    /** How long the shared service holds a poll, so that an idle fleet polls rarely. */
+    private static final long SHARED_WAIT_MICROS = 20_000_000;
+    /** The first poll, and one after a failure: shows soon whether the service responds and knows this revision. */
+    private static final long SHARED_UNCONFIRMED_WAIT_MICROS = 2_000_000;
     /**
-     * What a silent call misses counts as told 2 s after the time it was held for, and {@link #COUNTS} after it was made: half of
-     * that is for noticing.
+     * The grace period of a change that a failed poll missed starts this long after the service had it and was
+     * reachable.
      */
-    private static final long LATE_HELD = 1_000_000;
+    static final long NOTIFICATION_DEADLINE_MICROS = 6_000_000;
+    /**
+     * The grace period of what a silent poll missed starts 2 s after the end of its wait, and
+     * {@link #NOTIFICATION_DEADLINE_MICROS} after it was sent; half of either is for noticing the silence.
+     */
+    private static final long SHARED_DELTA_OVERDUE_MICROS = 1_000_000;
 
-    private static final long LATE_WHOLE = COUNTS / 2;
-    /** The longest wait after a connection to it broke or a held call fell silent: most of what is then left. */
-    private static final long AGAIN_MOST = 900_000;
-    /** After a call that was turned away: the service is there and busy, and an answer may take the rest. */
-    static final long TURNED_AWAY_MOST = 4_500_000;
-    /** After a call that was given up, as it may have been made just when the service could be reached again. */
-    static final long GIVEN_UP_MOST = 2_500_000;
+    private static final long SHARED_SNAPSHOT_OVERDUE_MICROS = NOTIFICATION_DEADLINE_MICROS / 2;
+    /** The longest delay after a lost connection or a silent poll: most of the time that is then left. */
+    private static final long MAX_DELAY_AFTER_LOSS_MICROS = 900_000;
+    /** After a rejection the service is known to be up and busy, and a response may take the rest of the time. */
+    static final long MAX_DELAY_AFTER_REJECTION_MICROS = 4_500_000;
+    /** After a timeout; the service may have become reachable just after the call was sent. */
+    static final long MAX_DELAY_AFTER_TIMEOUT_MICROS = 2_500_000;
 
     /** Why a call has to be made again. */
     public enum Failure {
-        /** Its connection broke, was not made or fell silent, or it could not be read: that says nothing of the load on others. */
-        BROKEN,
-        /** It was turned away. */
-        TURNED_AWAY,
-        /** An answer that was owed at once did not come in time. */
-        GIVEN_UP
+        /**
+         * The connection failed or a held poll fell silent, or the response was malformed: says nothing about the load.
+         */
+        CONNECTION_LOST,
+        /** The service responded, but with an error status. */
+        REJECTED,
+        /** No response to a call that is not held. */
+        TIMED_OUT
     }
 
-    private final boolean pushed;
-    private final long quarter;
-    private final Backoff broken;
-    private final Backoff turnedAway;
-    private final Backoff givenUp;
-
-    private WatchPacing(boolean pushed, long quarter, Backoff broken, Backoff turnedAway, Backoff givenUp) {
-        this.pushed = pushed;
-        this.quarter = quarter;
-        this.broken = broken;
-        this.turnedAway = turnedAway;
-        this.givenUp = givenUp;
+    private final boolean localAgent;
+    private final long localResponseMicros;
+    private final Backoff afterLoss;
+    private final Backoff afterRejection;
+    private final Backoff afterTimeout;
+
+    private WatchPacing(
+            boolean localAgent,
+            long localResponseMicros,
+            Backoff afterLoss,
+            Backoff afterRejection,
+            Backoff afterTimeout) {
+        this.localAgent = localAgent;
+        this.localResponseMicros = localResponseMicros;
+        this.afterLoss = afterLoss;
+        this.afterRejection = afterRejection;
+        this.afterTimeout = afterTimeout;
     }
 
-    /** For an agent on the own machine; {@code grace} is what the settings leave for sending to a host that was told to leave. */
-    public static WatchPacing pushed(long grace, Random random) {
-        long quarter = Math.max(GRACE_LEAST, Math.min(GRACE_MOST, grace > 0 ? grace : GRACE)) / 4;
-        Backoff retries = new Backoff(random, AGAIN, quarter);
-        return new WatchPacing(true, quarter, retries, retries, retries);
+    /**
+     * For an agent on this machine.
+     *
+     * @param drainGraceMicros how long a draining endpoint may still be sent requests; 0 where the settings give none
+     */
+    public static WatchPacing forLocalAgent(long drainGraceMicros, Random random) {
+        long graceMicros = drainGraceMicros > 0 ? drainGraceMicros : DEFAULT_GRACE_MICROS;
+        long boundedMicros = Math.max(MIN_GRACE_MICROS, Math.min(MAX_GRACE_MICROS, graceMicros));
+        long responseMicros = boundedMicros / 4;
+        Backoff retries = new Backoff(random, LOCAL_INITIAL_DELAY_MICROS, responseMicros);
+        return new WatchPacing(true, responseMicros, retries, retries, retries);
     }
 
     /**
-     * For a service that so many proxies share, each of which would be sent so many lines. After each failure the next call comes
-     * so soon that its answer can be there within {@link #COUNTS}, whenever in the failed call or the wait after it the service
-     * could be reached again.
+     * For a service shared by this many proxies, each of which is sent a list of this many endpoints. After any failure
+     * the retry comes early enough for its response to arrive within {@link #NOTIFICATION_DEADLINE_MICROS}, whenever
+     * during the failed call or the delay the service became reachable again.
      */
-    public static WatchPacing asked(int proxies, int lines, Random random) {
-        JitteredBackoff jittered = new JitteredBackoff(proxies, lines, random);
+    public static WatchPacing forSharedService(int proxies, int endpoints, Random random) {
+        JitteredBackoff jittered = new JitteredBackoff(proxies, endpoints, random);
         return new WatchPacing(
-                false, 0, jittered.upTo(AGAIN_MOST), jittered.upTo(TURNED_AWAY_MOST), jittered.upTo(GIVEN_UP_MOST));
+                false,
+                0,
+                jittered.upTo(MAX_DELAY_AFTER_LOSS_MICROS),
+                jittered.upTo(MAX_DELAY_AFTER_REJECTION_MICROS),
+                jittered.upTo(MAX_DELAY_AFTER_TIMEOUT_MICROS));
     }
 
-    /** How long a call for changes is to be held; {@code sure} where the call before it was answered well. */
-    public long held(boolean sure) {
-        return pushed ? sure ? 2 * quarter : SIGN_OF_LIFE : sure ? HELD : HELD_UNSURE;
+    /**
+     * How long the service is asked to hold a poll for changes.
+     *
+     * @param confirmed whether the previous call succeeded
+     */
+    public long pollWaitMicros(boolean confirmed) {
+        if (localAgent) {
+            return confirmed ? 2 * localResponseMicros : LOCAL_UNCONFIRMED_WAIT_MICROS;
+        }
+        return confirmed ? SHARED_WAIT_MICROS : SHARED_UNCONFIRMED_WAIT_MICROS;
     }
 
-    /** An answer that has not come by so long after the call is missing; {@code held} is 0 for a call for the whole list. */
-    public long missingAfter(long held) {
-        return pushed ? held + quarter : held > 0 ? held + LATE_HELD : LATE_WHOLE;
+    /**
+     * After how long a missing response counts as overdue.
+     *
+     * @param pollWaitMicros how long the service holds the poll; 0 for a call for the snapshot
+     */
+    public long responseTimeoutMicros(long pollWaitMicros) {
+        if (localAgent) {
+            return pollWaitMicros + localResponseMicros;
+        }
+        return pollWaitMicros > 0 ? pollWaitMicros + SHARED_DELTA_OVERDUE_MICROS : SHARED_SNAPSHOT_OVERDUE_MICROS;
     }
 
-    /** How long to wait after a call that failed; each further one in a row waits for longer. */
-    public long retry(Failure why) {
-        return switch (why) {
-            case BROKEN -> broken.next();
-            case TURNED_AWAY -> turnedAway.next();
-            case GIVEN_UP -> givenUp.next();
-        };
+    /** The failure that an overdue response stands for, given the wait of its poll (0 for a call for the snapshot). */
+    public Failure timeoutFailure(long pollWaitMicros) {
+        return pollWaitMicros > 0 ? Failure.CONNECTION_LOST : Failure.TIMED_OUT;
     }
 
-    /** What a call whose answer is missing comes to; {@code held} as above. */
-    public Failure missing(long held) {
-        return held > 0 ? Failure.BROKEN : Failure.GIVEN_UP;
+    /**
+     * Records a failure and returns the delay before the retry; it grows with consecutive failures of the same kind.
+     */
+    public long retryDelayMicros(Failure failure) {
+        return switch (failure) {
+            case CONNECTION_LOST -> afterLoss.next();
+            case REJECTED -> afterRejection.next();
+            case TIMED_OUT -> afterTimeout.next();
+        };
     }
 
-    /** Whether a further call is made at once beside one whose answer is missing. */
-    public boolean asksBeside() {
-        return pushed;
+    /** Whether the next call is made at once, beside one whose response is overdue. */
+    public boolean hedgesOverdueCalls() {
+        return localAgent;
     }
 
-    /** How many calls may be out at once. */
-    public int mostOut() {
-        return pushed ? CALLS_OUT : 1;
+    /** The most calls that may be in flight at once. */
+    public int maxInFlight() {
+        return localAgent ? LOCAL_MAX_IN_FLIGHT : 1;
     }
 
-    /** An answer came that could be used. */
-    public void answered() {
-        broken.reset();
-        turnedAway.reset();
-        givenUp.reset();
+    /** Records a usable response: the next failure counts as the first. */
+    public void recordSuccess() {
+        afterLoss.reset();
+        afterRejection.reset();
+        afterTimeout.reset();
     }
 }
--- a/src/main/java/mintstair/serve/ProtocolService.java
+++ b/src/main/java/mintstair/serve/ProtocolService.java
@@ -88,10 +88,10 @@
     void settings(InstanceSettings env) {
         this.env = env;
         if (watch != null) {
-            watch.pace(pace());
+            watch.setPacing(pace());
         }
         if (former != null) {
-            former.pace(pace());
+            former.setPacing(pace());
         }
         hosts.times(env.connectTimeout, env.connectionIdle);
         dispatcher.settings(env);
@@ -109,7 +109,7 @@
         if (watch != null && spoken) {
             former = watch;
         } else if (watch != null) {
-            watch.end();
+            watch.close();
         }
         // Another's revisions say nothing here. All proxies are told of it together, so their calls that fail are
         // spread as ever.
@@ -122,7 +122,7 @@
             if (made[0] == watch) {
                 spoken = true;
                 if (former != null) {
-                    former.end();
+                    former.close();
                     former = null;
                 }
             }
@@ -135,8 +135,8 @@
 
     private WatchPacing pace() {
         return env.listPushed
-                ? WatchPacing.pushed(env.drainGrace, random)
-                : WatchPacing.asked(env.proxies, lines, random);
+                ? WatchPacing.forLocalAgent(env.drainGrace, random)
+                : WatchPacing.forSharedService(env.proxies, lines, random);
     }
 
     /** Takes a list from elsewhere than discovery; on the loop. */
--- a/src/main/java/mintstair/serve/Proxy.java
+++ b/src/main/java/mintstair/serve/Proxy.java
@@ -323,7 +323,7 @@
                 tried.transport,
                 config.discovery(),
                 -1,
-                WatchPacing.pushed(0, new Random(1)),
+                WatchPacing.forLocalAgent(0, new Random(1)),
                 service.counters,
                 list -> {});
         tried.loop.execute(tried::publish);
--- a/src/test/java/mintstair/discovery/pace/WatchPacingTest.java
+++ b/src/test/java/mintstair/discovery/pace/WatchPacingTest.java
@@ -7,82 +7,91 @@
 import mintstair.discovery.pace.WatchPacing.Failure;
 import org.junit.jupiter.api.Test;
 
-/** The times by which leavers count as told, at one of 100 and of 1,024 proxies. */
+/** The pacing against the deadlines by which a proxy is held to a removal, at one of 100 and of 1,024 proxies. */
 class WatchPacingTest {
     private static final long GRACE = 1_000_000;
-    /** What it takes to connect and be answered, and what this proxy itself may be late by. */
-    private static final long ANEW = 100_000;
+    /** For connecting and a response, and for the delay of this proxy's own threads. */
+    private static final long RECONNECT = 100_000;
 
     @Test
-    void ownAgentThatIsSilentOrBreaksIsAskedAnewWithinTheGrace() {
+    void failedLocalAgentIsPolledAgainWithinTheGracePeriod() {
         for (long grace : new long[] {500_000, GRACE, 2 * GRACE, 30 * GRACE}) {
-            WatchPacing pace = WatchPacing.pushed(grace, new Random(1));
-            long held = pace.held(true);
-            assertTrue(
-                    pace.missingAfter(pace.held(false)) <= pace.missingAfter(0) + 1_000,
-                    "silence shows at once before it has answered");
-            assertTrue(pace.missingAfter(held) + ANEW <= grace, grace + "");
-            // Also where grace is long a silent watch is noticed long before what it misses counts.
-            assertTrue(pace.missingAfter(held) <= 3_000_000, grace + "");
+            WatchPacing pacing = WatchPacing.forLocalAgent(grace, new Random(1));
             for (int n = 0; n < 50; n++) {
-                assertTrue(
-                        pace.retry(n % 2 == 0 ? Failure.BROKEN : Failure.TURNED_AWAY) + ANEW <= grace / 2, grace + "");
+                Failure failure = n % 2 == 0 ? Failure.CONNECTION_LOST : Failure.REJECTED;
+                assertTrue(pacing.retryDelayMicros(failure) + RECONNECT <= grace / 2, grace + "");
             }
-            pace.answered();
-            assertTrue(pace.retry(Failure.BROKEN) <= 10_000);
+            pacing.recordSuccess();
+            assertTrue(pacing.retryDelayMicros(Failure.CONNECTION_LOST) <= 10_000);
         }
     }
 
     @Test
-    void graceThatIsMissingOrTooShortAsksNoOftenerThanTenTimesASecond() {
+    void silentLocalAgentIsNoticedWithinTheGracePeriod() {
+        for (long grace : new long[] {500_000, GRACE, 2 * GRACE, 30 * GRACE}) {
+            WatchPacing pacing = WatchPacing.forLocalAgent(grace, new Random(1));
+            long overdue = pacing.responseTimeoutMicros(pacing.pollWaitMicros(true));
+            long overdueUnconfirmed = pacing.responseTimeoutMicros(pacing.pollWaitMicros(false));
+            assertTrue(
+                    overdueUnconfirmed <= pacing.responseTimeoutMicros(0) + 1_000, "at once before its first response");
+            assertTrue(overdue + RECONNECT <= grace, grace + "");
+            assertTrue(overdue <= 3_000_000, "also where the grace period is long: " + grace);
+        }
+    }
+
+    @Test
+    void missingOrTooShortGracePeriodPollsAtMostTenTimesASecond() {
         assertEquals(
-                WatchPacing.pushed(GRACE, new Random(1)).held(true),
-                WatchPacing.pushed(0, new Random(1)).held(true));
-        assertEquals(100_000, WatchPacing.pushed(1, new Random(1)).held(true));
+                WatchPacing.forLocalAgent(GRACE, new Random(1)).pollWaitMicros(true),
+                WatchPacing.forLocalAgent(0, new Random(1)).pollWaitMicros(true));
+        assertEquals(100_000, WatchPacing.forLocalAgent(1, new Random(1)).pollWaitMicros(true));
     }
 
-    /** A watch that is silent counts 2 s after the time it was held for, any call after 6 s; a leaver may be sent to for the grace. */
+    /** A proxy is held to a removal 2 s after the end of the wait of a silent poll, plus the grace period. */
     @Test
-    void sharedServiceThatIsSilentOrBreaksIsAskedAnewBeforeItCounts() {
+    void silentSharedServiceIsPolledAgainBeforeTheProxyIsHeldToARemoval() {
         for (int proxies : new int[] {3, 100, 1024}) {
-            WatchPacing pace = WatchPacing.asked(proxies, 120, new Random(proxies));
-            assertTrue(pace.held(false) <= 2_000_000, "after trouble a silence shows soon");
-            for (boolean sure : new boolean[] {true, false}) {
-                long held = pace.held(sure);
-                assertTrue(pace.missingAfter(held) + pace.retry(pace.missing(held)) + ANEW <= held + 2_000_000 + GRACE);
-                pace.answered();
+            WatchPacing pacing = WatchPacing.forSharedService(proxies, 120, new Random(proxies));
+            assertTrue(pacing.pollWaitMicros(false) <= 2_000_000, "after a failure a silence shows soon");
+            for (boolean confirmed : new boolean[] {true, false}) {
+                long wait = pacing.pollWaitMicros(confirmed);
+                long retryAt =
+                        pacing.responseTimeoutMicros(wait) + pacing.retryDelayMicros(pacing.timeoutFailure(wait));
+                assertTrue(retryAt + RECONNECT <= wait + 2_000_000 + GRACE);
+                pacing.recordSuccess();
             }
             for (int n = 0; n < 50; n++) {
-                assertTrue(pace.retry(Failure.BROKEN) <= 1_000_000);
+                assertTrue(pacing.retryDelayMicros(Failure.CONNECTION_LOST) <= 1_000_000);
             }
         }
     }
 
-    /** After any failure the next call, and its answer, are in time for what the service had from when it could be reached again. */
     @Test
-    void nextCallAfterAnyFailureIsInTime() {
+    void retryAfterAnyFailureMeetsTheNotificationDeadline() {
         for (int proxies : new int[] {3, 30, 120, 1024}) {
-            WatchPacing pace = WatchPacing.asked(proxies, 1024, new Random(proxies));
+            WatchPacing pacing = WatchPacing.forSharedService(proxies, 1024, new Random(proxies));
+            long deadline = WatchPacing.NOTIFICATION_DEADLINE_MICROS;
             for (int n = 0; n < 200; n++) {
-                assertTrue(pace.retry(Failure.TURNED_AWAY) + 10 * ANEW <= WatchPacing.COUNTS);
-                assertTrue(pace.missingAfter(0) + pace.retry(Failure.GIVEN_UP) + 4 * ANEW <= WatchPacing.COUNTS);
-                assertTrue(pace.missingAfter(pace.held(false)) + pace.retry(Failure.BROKEN) + 10 * ANEW
-                        <= WatchPacing.COUNTS);
+                long overdueSnapshot = pacing.responseTimeoutMicros(0);
+                long overdueDelta = pacing.responseTimeoutMicros(pacing.pollWaitMicros(false));
+                assertTrue(pacing.retryDelayMicros(Failure.REJECTED) + 10 * RECONNECT <= deadline);
+                assertTrue(overdueSnapshot + pacing.retryDelayMicros(Failure.TIMED_OUT) + 4 * RECONNECT <= deadline);
+                assertTrue(
+                        overdueDelta + pacing.retryDelayMicros(Failure.CONNECTION_LOST) + 10 * RECONNECT <= deadline);
             }
         }
     }
 
-    /** Calls that a busy service turned away are spread over all proxies, those to an own agent are not. */
     @Test
-    void onlyWhatASharedServiceTurnsAwayIsSpread() {
-        long longest = 0;
-        WatchPacing shared = WatchPacing.asked(100, 120, new Random(1));
-        WatchPacing own = WatchPacing.pushed(GRACE, new Random(1));
+    void onlyRejectionsByASharedServiceAreSpreadWidely() {
+        WatchPacing shared = WatchPacing.forSharedService(100, 120, new Random(1));
+        WatchPacing local = WatchPacing.forLocalAgent(GRACE, new Random(1));
+        long longestShared = 0;
         for (int n = 0; n < 50; n++) {
-            longest = Math.max(longest, shared.retry(Failure.TURNED_AWAY));
-            assertTrue(own.retry(Failure.TURNED_AWAY) <= GRACE / 4);
+            longestShared = Math.max(longestShared, shared.retryDelayMicros(Failure.REJECTED));
+            assertTrue(local.retryDelayMicros(Failure.REJECTED) <= GRACE / 4);
         }
-        assertTrue(longest > 4_000_000, longest + "");
-        assertEquals(Failure.GIVEN_UP, shared.missing(0));
+        assertTrue(longestShared > 4_000_000, longestShared + "");
+        assertEquals(Failure.TIMED_OUT, shared.timeoutFailure(0));
     }
 }
