--- a/src/main/java/mintstair/registry/RegistryClient.java
+++ b/src/main/java/mintstair/registry/RegistryClient.java
@@ -1,7 +1,5 @@
 package mintstair.registry;
 
-import java.io.IOException;
-import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.concurrent.Future;
@@ -9,111 +7,160 @@
 import java.util.concurrent.TimeUnit;
 import mintstair.config.RegistryConfig;
 import mintstair.registry.consul.ConsulEditor;
-import mintstair.registry.consul.ConsulWire;
+import mintstair.registry.consul.ConsulTransport;
 import mintstair.registry.etcd.EtcdEditor;
-import mintstair.registry.etcd.EtcdWire;
-import mintstair.registry.view.Event;
-import mintstair.registry.view.Limits;
-import mintstair.registry.view.Names;
-import mintstair.registry.view.Order;
+import mintstair.registry.etcd.EtcdTransport;
 import mintstair.registry.view.PollView;
+import mintstair.registry.view.RegistryCall;
+import mintstair.registry.view.RegistryEvent;
+import mintstair.registry.view.RegistryKeys;
 import mintstair.registry.view.RegistryView;
 import mintstair.registry.view.Snapshot;
-import mintstair.registry.view.Step;
-import mintstair.registry.view.Times;
+import mintstair.registry.view.ViewLimits;
 import mintstair.registry.view.ViewMetrics;
+import mintstair.registry.view.ViewStep;
+import mintstair.registry.view.ViewTimeouts;
 import mintstair.registry.view.ViewUpdate;
 import mintstair.registry.view.WatchView;
 import mintstair.time.MonotonicClock;
 
 /**
- * Follows a registry on a thread of its own, "registry": events of the wire and the time go into the view, its orders to the
- * wire, what it tells to the listener. The wire hands over one message of a call at a time, so nothing piles up here.
+ * Follows a registry. Runs a {@link RegistryView} on a thread of its own, "registry": events of the transport and the
+ * time go into the view, its calls to the transport, its updates to the listener. The transport reads one message of a
+ * call at a time, so no queue grows here. Its methods may be called on any thread.
  */
 public final class RegistryClient implements AutoCloseable {
-    /** Is told on the client's thread, and must not block it. */
+    /** Receives updates on the client's thread; must not block it. */
     public interface Listener {
-        /** All that takes effect together; {@code view} is to be asked for everything, if something before was lost. */
-        void told(List<ViewUpdate> told, RegistryView view);
+        /**
+         * Receives updates that take effect together.
+         *
+         * @param view to be asked for everything in place of updates that were lost; only during the call
+         */
+        void onUpdates(List<ViewUpdate> updates, RegistryView view);
     }
 
-    /** A view that does not change is kept anew after this long, so that the file tells when it was last known to be true. */
-    private static final long SAME_KEPT_FOR = 60_000_000;
+    private static final long NOT_SCHEDULED = Long.MAX_VALUE;
+    private static final long CLOSE_TIMEOUT_SECONDS = 1;
 
     private final RegistryConfig config;
     private final RegistryView view;
-    private final RegistryWire wire;
+    private final RegistryTransport transport;
     private final Listener listener;
-    private final SnapshotFile file;
+    /** Null, like {@link #snapshotWriter}, where no snapshot is configured. */
+    private final SnapshotFile snapshotFile;
+
+    private final SnapshotWriter snapshotWriter;
     private final ScheduledThreadPoolExecutor thread;
     private final MonotonicClock clock = new MonotonicClock();
-    private Future<?> alarm;
-    private long alarmAt = Long.MAX_VALUE;
-    private volatile ViewMetrics figures;
-    private volatile long figuresAt;
-    private long keptRevision = -1;
-    private long keptHeard;
-    private boolean cannotKeep;
-
-    /** Makes the client that the configuration names; {@link #start} begins. */
-    public RegistryClient(RegistryConfig config, Times times, long seed, Listener listener) {
+    private Future<?> wakeUp;
+    private long wakeUpAtMicros = NOT_SCHEDULED;
+    private volatile ViewMetrics metrics;
+    private volatile long metricsAtMicros;
+
+    /**
+     * Creates the client; {@link #start} begins to follow the registry.
+     *
+     * @throws mintstair.config.ConfigException where TLS files are not usable
+     */
+    public RegistryClient(RegistryConfig config, ViewTimeouts timeouts, long seed, Listener listener) {
         this.config = config;
         this.listener = listener;
-        Names names = new Names(config.prefix(), config.fronts());
-        int endpoints = config.endpoints().size();
-        boolean etcd = config.kind() == RegistryConfig.Kind.ETCD;
-        view = etcd
-                ? new WatchView(names, Limits.USUAL, times, endpoints, seed)
-                : new PollView(names, Limits.USUAL, times, endpoints, seed);
+        view = newView(config, timeouts, seed);
         if (config.tls() != null) {
-            // Files that can't be used are told now, not at the first connection.
+            // Reports files that are not usable now, and not at the first connection.
             new TlsFiles(config.tls());
         }
-        file = config.snapshot() == null ? null : new SnapshotFile(config.snapshot());
-        thread = new ScheduledThreadPoolExecutor(1, task -> {
-            Thread made = new Thread(task, "registry");
-            made.setDaemon(true);
-            return made;
+        snapshotFile = config.snapshot() == null ? null : new SnapshotFile(config.snapshot());
+        snapshotWriter = snapshotFile == null
+                ? null
+                : new SnapshotWriter(
+                        snapshotFile, e -> log(config.snapshot() + " can't be written: " + e.getMessage()));
+        thread = newThread();
+        transport = newTransport(this::execute);
+        metrics = view.metrics(nowMicros());
+    }
+
+    private static RegistryView newView(RegistryConfig config, ViewTimeouts timeouts, long seed) {
+        RegistryKeys keys = new RegistryKeys(config.prefix(), config.fronts());
+        int servers = config.endpoints().size();
+        return switch (config.kind()) {
+            case ETCD -> new WatchView(keys, ViewLimits.DEFAULT, timeouts, servers, seed);
+            case CONSUL -> new PollView(keys, ViewLimits.DEFAULT, timeouts, servers, seed);
+        };
+    }
+
+    private RegistryTransport newTransport(Executor executor) {
+        return switch (config.kind()) {
+            case ETCD -> new EtcdTransport(config, executor, this::onEvent);
+            case CONSUL -> new ConsulTransport(config, executor, this::onEvent);
+        };
+    }
+
+    private static ScheduledThreadPoolExecutor newThread() {
+        ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, task -> {
+            Thread created = new Thread(task, "registry");
+            created.setDaemon(true);
+            return created;
         });
         thread.setRemoveOnCancelPolicy(true);
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        thread.setRejectedExecutionHandler((task, ended) -> {});
-        Executor executor = task -> thread.execute(() -> guarded(task));
-        wire = etcd ? new EtcdWire(config, executor, this::event) : new ConsulWire(config, executor, this::event);
-        figures = view.figures(now());
+        // Events that arrive after the close are dropped.
+        thread.setRejectedExecutionHandler((task, executor) -> {});
+        return thread;
     }
 
-    /** Edits entries of the registry that the configuration names. */
+    /** An editor for the entries of the configured registry. */
     public static RegistryEditor editor(RegistryConfig config) {
-        return config.kind() == RegistryConfig.Kind.ETCD ? new EtcdEditor(config) : new ConsulEditor(config);
+        return switch (config.kind()) {
+            case ETCD -> new EtcdEditor(config);
+            case CONSUL -> new ConsulEditor(config);
+        };
     }
 
-    /** Begins: with the last run's snapshot, if there is one, then with the registry. */
+    /** Starts from the last run's snapshot, if there is one, and begins to follow the registry. */
     public void start() {
-        thread.execute(() -> guarded(() -> {
-            Snapshot kept = file == null ? null : file.read(config.prefix(), this::line);
-            if (kept != null) {
-                keptRevision = kept.revision();
-                line("registry: starting from " + config.snapshot() + ", revision " + kept.revision() + ", "
-                        + Math.max(0, now() - kept.heard()) / 1_000_000 + " s old");
-            }
-            carryOut(view.start(now(), kept));
-        }));
-        if (file != null) {
+        execute(() -> {
+            Snapshot snapshot = readSnapshot();
+            carryOut(view.start(nowMicros(), snapshot));
+        });
+        if (snapshotWriter != null) {
             thread.scheduleWithFixedDelay(
-                    () -> guarded(this::keep),
+                    () -> runLoggingFailure(this::writeSnapshot),
                     config.snapshotEveryMicros(),
                     config.snapshotEveryMicros(),
                     TimeUnit.MICROSECONDS);
         }
     }
 
-    /** Unix microseconds that never go back, whatever is done to the system's clock meanwhile. */
-    private long now() {
+    private Snapshot readSnapshot() {
+        if (snapshotFile == null) {
+            return null;
+        }
+        Snapshot snapshot = snapshotFile.readOrMoveAside(config.prefix(), this::emitLine);
+        if (snapshot != null) {
+            snapshotWriter.setWrittenRevision(snapshot.revision());
+            long ageSeconds = Math.max(0, nowMicros() - snapshot.confirmedAtMicros()) / 1_000_000;
+            log("starting from " + config.snapshot() + ", revision " + snapshot.revision() + ", " + ageSeconds
+                    + " s old");
+        }
+        return snapshot;
+    }
+
+    private void writeSnapshot() {
+        snapshotWriter.writeIfDue(view);
+    }
+
+    /** Unix microseconds that never go back, whatever is done to the system's clock. */
+    private long nowMicros() {
         return clock.getAsLong();
     }
 
-    private void guarded(Runnable task) {
+    private void execute(Runnable task) {
+        thread.execute(() -> runLoggingFailure(task));
+    }
+
+    private static void runLoggingFailure(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
@@ -122,94 +169,66 @@
         }
     }
 
-    /** The wires hand their events over on this client's thread. */
-    private void event(Event event, Runnable taken) {
-        carryOut(view.on(now(), event));
-        taken.run();
+    private void onEvent(RegistryEvent event) {
+        carryOut(view.on(nowMicros(), event));
     }
 
-    private void tick() {
-        alarmAt = Long.MAX_VALUE;
-        carryOut(view.tick(now()));
+    private void onWakeUp() {
+        wakeUpAtMicros = NOT_SCHEDULED;
+        carryOut(view.tick(nowMicros()));
     }
 
-    private void carryOut(Step step) {
-        if (!step.told().isEmpty()) {
-            listener.told(step.told(), view);
+    private void carryOut(ViewStep step) {
+        if (!step.updates().isEmpty()) {
+            listener.onUpdates(step.updates(), view);
         }
-        figuresAt = now();
-        figures = view.figures(figuresAt);
-        for (Order order : step.orders()) {
-            wire.carryOut(order);
-        }
-        long wake = view.wakeAt();
-        if (wake != alarmAt && wake != Long.MAX_VALUE) {
-            if (alarm != null) {
-                alarm.cancel(false);
-            }
-            alarmAt = wake;
-            alarm = thread.schedule(() -> guarded(this::tick), Math.max(0, wake - now()), TimeUnit.MICROSECONDS);
+        metricsAtMicros = nowMicros();
+        metrics = view.metrics(metricsAtMicros);
+        for (RegistryCall call : step.calls()) {
+            transport.execute(call);
         }
+        scheduleWakeUp();
     }
 
-    private void keep() {
-        Snapshot now = view.snapshot();
-        if (now == null || now.revision() == keptRevision && now.heard() < keptHeard + SAME_KEPT_FOR && !cannotKeep) {
+    private void scheduleWakeUp() {
+        long atMicros = view.wakeAt();
+        if (atMicros == wakeUpAtMicros || atMicros == NOT_SCHEDULED) {
             return;
         }
-        try {
-            file.write(now);
-            keptRevision = now.revision();
-            keptHeard = now.heard();
-            cannotKeep = false;
-        } catch (IOException e) {
-            if (!cannotKeep) {
-                line("registry: " + config.snapshot() + " can't be written: " + e.getMessage());
-            }
-            cannotKeep = true;
+        if (wakeUp != null) {
+            wakeUp.cancel(false);
         }
+        wakeUpAtMicros = atMicros;
+        long delayMicros = Math.max(0, atMicros - nowMicros());
+        wakeUp = thread.schedule(() -> runLoggingFailure(this::onWakeUp), delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    private void line(String text) {
-        listener.told(List.of(new ViewUpdate.LogLine(text)), view);
+    private void log(String text) {
+        emitLine("registry: " + text);
     }
 
-    /** The newest figures; from any thread. */
-    public ViewMetrics figures() {
-        ViewMetrics f = figures;
-        long passed = Math.max(0, now() - figuresAt);
-        return f.age() < 0
-                ? f
-                : new ViewMetrics(
-                        f.cluster(),
-                        f.revision(),
-                        f.age() + passed,
-                        f.live(),
-                        f.hosts(),
-                        f.digest(),
-                        f.endpoint(),
-                        f.brokenAt(),
-                        f.brokenWhy(),
-                        f.counts());
+    private void emitLine(String line) {
+        listener.onUpdates(List.of(new ViewUpdate.LogLine(line)), view);
     }
 
-    /** Where the last whole view is kept, or null. */
-    public Path snapshotFile() {
-        return config.snapshot();
+    /** The newest metrics. */
+    public ViewMetrics metrics() {
+        ViewMetrics newest = metrics;
+        return newest.aged(Math.max(0, nowMicros() - metricsAtMicros));
     }
 
-    /** Keeps the view and ends; waits for a second at most. */
+    /** Stores the view and ends; waits for a second at most. */
     @Override
     public void close() {
-        thread.execute(() -> guarded(() -> {
-            if (file != null) {
-                keep();
+        execute(() -> {
+            if (snapshotWriter != null) {
+                writeSnapshot();
             }
-            wire.close();
-        }));
+            transport.close();
+        });
         thread.shutdown();
         try {
-            thread.awaitTermination(1, TimeUnit.SECONDS);
+            thread.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/mintstair/registry/RegistryCommand.java
+++ b/src/main/java/mintstair/registry/RegistryCommand.java
@@ -15,11 +15,11 @@
 import mintstair.config.Json;
 import mintstair.config.ListReader;
 import mintstair.config.RegistryConfig;
-import mintstair.registry.view.Item;
-import mintstair.registry.view.Names;
+import mintstair.registry.view.RegistryEntry;
+import mintstair.registry.view.RegistryKeys;
 import mintstair.registry.view.Snapshot;
-import mintstair.registry.view.Times;
 import mintstair.registry.view.ViewMetrics;
+import mintstair.registry.view.ViewTimeouts;
 import mintstair.registry.view.ViewUpdate;
 import mintstair.request.EndpointList;
 import mintstair.time.WallClock;
@@ -32,13 +32,13 @@
     private static final long PATIENCE_MILLIS = 3_000;
 
     private final RegistryConfig config;
-    private final Names names;
+    private final RegistryKeys names;
     private final PrintStream out;
 
     public RegistryCommand(RegistryConfig config, PrintStream out) {
         this.config = config;
         this.out = out;
-        names = new Names(config.prefix(), config.fronts());
+        names = new RegistryKeys(config.prefix(), config.fronts());
     }
 
     /** Carries out one command; returns the status to end with. */
@@ -86,20 +86,20 @@
         byte[] value = json.getBytes(StandardCharsets.UTF_8);
         String uid = entry(value).host();
         try (RegistryEditor editor = RegistryClient.editor(config)) {
-            Item before = editor.get(names.host(front, uid));
-            long read = before == null ? 0 : before.modified();
+            RegistryEntry before = editor.get(names.hostKey(front, uid));
+            long read = before == null ? 0 : before.modRevision();
             if (expected >= 0 && read != expected) {
                 return lost(uid + " is at revision " + read + ", not " + expected);
             }
             return change(
-                    editor.put(names.host(front, uid), value, read),
+                    editor.put(names.hostKey(front, uid), value, read),
                     uid + (before == null ? " is added" : " is changed"));
         }
     }
 
     private int drain(String front, String uid) throws IOException {
         try (RegistryEditor editor = RegistryClient.editor(config)) {
-            Item before = present(editor, front, uid);
+            RegistryEntry before = present(editor, front, uid);
             Map<String, Object> host = new TreeMap<>();
             ((Map<?, ?>) Json.read(before.value())).forEach((key, value) -> host.put(key.toString(), value));
             if ("DRAINING".equals(host.put("state", "DRAINING"))) {
@@ -107,19 +107,19 @@
                 return 0;
             }
             byte[] value = Json.write(host).getBytes(StandardCharsets.UTF_8);
-            return change(editor.put(before.key(), value, before.modified()), uid + " drains");
+            return change(editor.put(before.key(), value, before.modRevision()), uid + " drains");
         }
     }
 
     private int delete(String front, String uid) throws IOException {
         try (RegistryEditor editor = RegistryClient.editor(config)) {
-            Item before = present(editor, front, uid);
-            return change(editor.delete(before.key(), before.modified()), uid + " is deleted");
+            RegistryEntry before = present(editor, front, uid);
+            return change(editor.delete(before.key(), before.modRevision()), uid + " is deleted");
         }
     }
 
-    private Item present(RegistryEditor editor, String front, String uid) throws IOException {
-        Item before = editor.get(names.host(front, uid));
+    private RegistryEntry present(RegistryEditor editor, String front, String uid) throws IOException {
+        RegistryEntry before = editor.get(names.hostKey(front, uid));
         if (before == null) {
             throw new ConfigException("no host " + uid);
         }
@@ -151,7 +151,7 @@
     private int watch() {
         CountDownLatch never = new CountDownLatch(1);
         try (RegistryClient client = new RegistryClient(
-                apart(), Times.USUAL, System.nanoTime(), (told, view) -> told.forEach(this::print))) {
+                apart(), ViewTimeouts.DEFAULT, System.nanoTime(), (told, view) -> told.forEach(this::print))) {
             client.start();
             never.await();
         } catch (InterruptedException e) {
@@ -177,28 +177,29 @@
     private int show() {
         CountDownLatch live = new CountDownLatch(1);
         TreeMap<String, String> hosts = new TreeMap<>();
-        try (RegistryClient client = new RegistryClient(apart(), Times.USUAL, System.nanoTime(), (told, view) -> {
-            for (ViewUpdate each : told) {
-                if (each instanceof ViewUpdate.Endpoints h && !h.old()) {
-                    h.list().entries().forEach(e -> hosts.put(h.front() + " " + e.host(), line(e)));
-                    live.countDown();
-                }
-            }
-        })) {
+        try (RegistryClient client =
+                new RegistryClient(apart(), ViewTimeouts.DEFAULT, System.nanoTime(), (told, view) -> {
+                    for (ViewUpdate each : told) {
+                        if (each instanceof ViewUpdate.Endpoints h && !h.cached()) {
+                            h.list().entries().forEach(e -> hosts.put(h.front() + " " + e.host(), line(e)));
+                            live.countDown();
+                        }
+                    }
+                })) {
             client.start();
             boolean reached = live.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            ViewMetrics figures = client.figures();
+            ViewMetrics figures = client.metrics();
             if (!reached) {
-                out.println("the registry is not reached; last break: " + figures.brokenWhy());
+                out.println("the registry is not reached; last break: " + figures.lastFailure());
                 fromSnapshot();
             } else {
                 out.println("revision " + figures.revision() + ", cluster "
-                        + Long.toUnsignedString(figures.cluster(), 16) + ", " + figures.hosts() + " hosts, age "
-                        + figures.age() / 1000 + " ms, digest " + figures.digest());
+                        + Long.toUnsignedString(figures.clusterId(), 16) + ", " + figures.hosts() + " hosts, age "
+                        + figures.ageMicros() / 1000 + " ms, digest " + figures.digest());
                 hosts.forEach((name, line) -> out.println(name + " " + line));
             }
-            if (figures.brokenAt() >= 0) {
-                out.println("last break: " + figures.brokenWhy());
+            if (figures.lastFailureAtMicros() >= 0) {
+                out.println("last break: " + figures.lastFailure());
             }
             for (InetSocketAddress each : config.endpoints()) {
                 out.println("endpoint " + each.getHostString() + ":" + each.getPort() + " " + state(each));
@@ -213,7 +214,7 @@
     private void fromSnapshot() {
         Snapshot kept = null;
         try {
-            kept = config.snapshot() == null ? null : new SnapshotFile(config.snapshot()).look(config.prefix());
+            kept = config.snapshot() == null ? null : new SnapshotFile(config.snapshot()).read(config.prefix());
         } catch (IOException e) {
             out.println(config.snapshot() + ": " + e.getMessage());
         }
@@ -221,10 +222,10 @@
             out.println("nothing is kept of an earlier run");
             return;
         }
-        long age = Math.max(0, WallClock.millis() - kept.heard() / 1000);
-        out.println("as kept: revision " + kept.revision() + ", " + kept.items().size() + " entries, age "
-                + String.format(Locale.ROOT, "%.1f s", age / 1e3));
-        kept.items().forEach(item -> out.println(item.key() + " at " + item.modified()));
+        long age = Math.max(0, WallClock.millis() - kept.confirmedAtMicros() / 1000);
+        out.println("as kept: revision " + kept.revision() + ", "
+                + kept.entries().size() + " entries, age " + String.format(Locale.ROOT, "%.1f s", age / 1e3));
+        kept.entries().forEach(item -> out.println(item.key() + " at " + item.modRevision()));
     }
 
     private static String line(EndpointList.Entry e) {
@@ -243,7 +244,7 @@
                 null,
                 config.snapshotEveryMicros());
         try (RegistryEditor editor = RegistryClient.editor(only)) {
-            editor.get(names.settings());
+            editor.get(names.settingsKey());
             return "answers";
         } catch (IOException e) {
             return e.getMessage();
--- a/src/main/java/mintstair/registry/RegistryEditor.java
+++ b/src/main/java/mintstair/registry/RegistryEditor.java
@@ -1,21 +1,23 @@
 package mintstair.registry;
 
-import java.io.IOException;
-import mintstair.registry.view.Item;
+import mintstair.registry.view.RegistryEntry;
 
-/** Reads and changes single entries, for the commands; each call blocks for some seconds at most. */
+/** Reads and changes single entries of a registry, for the command line. Each call blocks for some seconds at most. */
 public interface RegistryEditor extends AutoCloseable {
-    /** The entry as the majority has it, or null. */
-    Item get(String key) throws IOException;
+    /** Reads the entry linearizably; null where there is none. */
+    RegistryEntry get(String key) throws RegistryException;
 
     /**
-     * Puts the value if the entry is still at this revision, 0 for one that is not there; false where it is not any more. An
-     * exception says whether the change may have been made.
+     * Puts the value by compare-and-set.
+     *
+     * @param expectedRevision the revision that the entry must still have; 0 for an entry that does not exist
+     * @return false where the entry has another revision, so that nothing was changed
+     * @throws UncertainChangeException where the change may have been made
      */
-    boolean put(String key, byte[] value, long expected) throws IOException;
+    boolean put(String key, byte[] value, long expectedRevision) throws RegistryException;
 
-    /** Deletes the entry if it is still at this revision. */
-    boolean delete(String key, long expected) throws IOException;
+    /** Deletes the entry by compare-and-set, like {@link #put}. */
+    boolean delete(String key, long expectedRevision) throws RegistryException;
 
     @Override
     void close();
--- /dev/null
+++ b/src/main/java/mintstair/registry/RegistryException.java
@@ -0,0 +1,23 @@
+package mintstair.registry;
+
+import java.io.IOException;
+
+/**
+ * A call of the registry failed; the message is one line for the operator. The subclasses say what became of the call.
+ */
+public class RegistryException extends IOException {
+    private static final long serialVersionUID = 1L;
+
+    public RegistryException(String message) {
+        super(message);
+    }
+
+    public RegistryException(String message, Throwable cause) {
+        super(message, cause);
+    }
+
+    /** The first line of a text of the registry or of a library. */
+    public static String firstLine(String text) {
+        return String.valueOf(text).split("\n")[0];
+    }
+}
--- a/src/main/java/mintstair/registry/SnapshotFile.java
+++ b/src/main/java/mintstair/registry/SnapshotFile.java
@@ -16,19 +16,22 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.zip.CRC32C;
-import mintstair.registry.view.Item;
+import mintstair.registry.view.RegistryEntry;
 import mintstair.registry.view.Snapshot;
 
 /**
- * The last whole view in a file: a mark, the format's version, the length and a CRC-32C of what follows, then the view. It is
- * written beside the file, forced to the disk, and moved into its place at once: whoever is killed at any point leaves the old
- * file or the new one. What can't be read whole is set aside, never trusted in part. Not safe for use by several threads.
+ * Stores the last whole view in a file: a magic number, the format version, the length and the CRC-32C of what follows,
+ * then the view. A new file is written beside the old one, forced to the disk, and renamed over it, so that a crash at
+ * any point leaves the old file or the new one. A file that cannot be read whole is moved aside and never used in part.
+ * Not thread-safe.
  */
 public final class SnapshotFile {
-    private static final byte[] MARK = "mintstair registry\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] MAGIC = "mintstair registry\n".getBytes(StandardCharsets.US_ASCII);
     private static final int VERSION = 1;
-    private static final int HEAD = MARK.length + Integer.BYTES * 2 + Long.BYTES;
-    private static final long MOST = 128L << 20;
+    private static final int HEADER_BYTES = MAGIC.length + Integer.BYTES * 2 + Long.BYTES;
+    private static final long MAX_FILE_BYTES = 128L << 20;
+    private static final String INCOMPLETE = "not whole";
+
     private final Path file;
 
     public SnapshotFile(Path file) {
@@ -37,127 +40,151 @@
 
     /** Replaces the file, or leaves it as it was and throws. */
     public void write(Snapshot snapshot) throws IOException {
-        byte[] view = bytes(snapshot);
-        CRC32C sum = new CRC32C();
-        sum.update(view);
-        ByteBuffer whole = ByteBuffer.allocate(HEAD + view.length);
-        whole.put(MARK)
-                .putInt(VERSION)
-                .putInt(view.length)
-                .putLong(sum.getValue())
-                .put(view)
-                .flip();
-        Path beside = beside(".new");
+        ByteBuffer content = encode(snapshot);
+        Path newFile = sibling(".new");
         try (FileChannel out = FileChannel.open(
-                beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
-            while (whole.hasRemaining()) {
-                out.write(whole);
+                newFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+            while (content.hasRemaining()) {
+                out.write(content);
             }
             out.force(true);
         }
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent())) {
-            folder.force(true);
+        Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        // The rename is durable only once the directory is.
+        try (FileChannel directory = FileChannel.open(file.toAbsolutePath().getParent())) {
+            directory.force(true);
         }
     }
 
-    /** The view that was kept for this prefix, or null; a file that is none is set aside with one line. */
-    public Snapshot read(String prefix, Consumer<String> lines) {
+    /**
+     * Reads the view of this prefix. Returns null where there is none; a file that is not valid is moved aside and
+     * logged.
+     */
+    public Snapshot readOrMoveAside(String prefix, Consumer<String> log) {
         try {
-            return look(prefix);
+            return read(prefix);
         } catch (IOException e) {
-            try {
-                Files.move(file, beside(".bad"), StandardCopyOption.REPLACE_EXISTING);
-                lines.accept("registry: " + file + " is set aside: " + e.getMessage());
-            } catch (IOException f) {
-                lines.accept("registry: " + file + " is not used: " + e.getMessage() + "; it can't be set aside: "
-                        + f.getMessage());
-            }
+            moveAside(e, log);
             return null;
         }
     }
 
-    /** The view that was kept for this prefix, or null where there is no file; throws, and touches nothing, where the file is none. */
-    public Snapshot look(String prefix) throws IOException {
+    private void moveAside(IOException reason, Consumer<String> log) {
+        try {
+            Files.move(file, sibling(".bad"), StandardCopyOption.REPLACE_EXISTING);
+            log.accept("registry: " + file + " is set aside: " + reason.getMessage());
+        } catch (IOException e) {
+            log.accept("registry: " + file + " is not used: " + reason.getMessage() + "; it can't be set aside: "
+                    + e.getMessage());
+        }
+    }
+
+    /**
+     * Reads the view of this prefix, or null where there is no file; throws, and changes nothing, where it is not
+     * valid.
+     */
+    public Snapshot read(String prefix) throws IOException {
         if (!Files.exists(file)) {
             return null;
         }
         try {
-            if (Files.size(file) > MOST) {
-                throw new IOException("too long");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new InvalidSnapshotException("too long");
             }
-            Snapshot read = parse(ByteBuffer.wrap(Files.readAllBytes(file)));
-            if (!read.prefix().equals(prefix)) {
-                throw new IOException("it is of the prefix " + read.prefix());
+            Snapshot snapshot = decode(ByteBuffer.wrap(Files.readAllBytes(file)));
+            if (!snapshot.prefix().equals(prefix)) {
+                throw new InvalidSnapshotException("it is of the prefix " + snapshot.prefix());
             }
-            return read;
+            return snapshot;
         } catch (RuntimeException e) {
-            throw new IOException("not whole");
+            throw new InvalidSnapshotException(INCOMPLETE, e);
         }
     }
 
-    private Path beside(String ending) {
-        return file.resolveSibling(file.getFileName() + ending);
+    private Path sibling(String suffix) {
+        return file.resolveSibling(file.getFileName() + suffix);
     }
 
-    private static byte[] bytes(Snapshot s) throws IOException {
+    private static long checksum(ByteBuffer view) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(view);
+        return checksum.getValue();
+    }
+
+    private static ByteBuffer encode(Snapshot snapshot) throws IOException {
+        byte[] view = encodeView(snapshot);
+        return ByteBuffer.allocate(HEADER_BYTES + view.length)
+                .put(MAGIC)
+                .putInt(VERSION)
+                .putInt(view.length)
+                .putLong(checksum(ByteBuffer.wrap(view)))
+                .put(view)
+                .flip();
+    }
+
+    private static byte[] encodeView(Snapshot snapshot) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
-        put(out, s.prefix().getBytes(StandardCharsets.ISO_8859_1));
-        out.writeLong(s.cluster());
-        out.writeLong(s.revision());
-        out.writeLong(s.term());
-        out.writeLong(s.heard());
-        out.writeInt(s.items().size());
-        for (Item item : s.items()) {
-            put(out, item.key().getBytes(StandardCharsets.ISO_8859_1));
-            put(out, item.value());
-            out.writeLong(item.created());
-            out.writeLong(item.modified());
+        writeBytes(out, snapshot.prefix().getBytes(StandardCharsets.ISO_8859_1));
+        out.writeLong(snapshot.clusterId());
+        out.writeLong(snapshot.revision());
+        out.writeLong(snapshot.term());
+        out.writeLong(snapshot.confirmedAtMicros());
+        out.writeInt(snapshot.entries().size());
+        for (RegistryEntry entry : snapshot.entries()) {
+            writeBytes(out, entry.key().getBytes(StandardCharsets.ISO_8859_1));
+            writeBytes(out, entry.value());
+            out.writeLong(entry.createRevision());
+            out.writeLong(entry.modRevision());
         }
         return bytes.toByteArray();
     }
 
-    private static void put(DataOutputStream out, byte[] bytes) throws IOException {
+    private static void writeBytes(DataOutputStream out, byte[] bytes) throws IOException {
         out.writeInt(bytes.length);
         out.write(bytes);
     }
 
-    private static Snapshot parse(ByteBuffer whole) throws IOException {
-        if (whole.remaining() < HEAD || !whole.slice(0, MARK.length).equals(ByteBuffer.wrap(MARK))) {
-            throw new IOException("no snapshot of a registry");
+    private static Snapshot decode(ByteBuffer content) throws IOException {
+        if (content.remaining() < HEADER_BYTES
+                || !content.slice(0, MAGIC.length).equals(ByteBuffer.wrap(MAGIC))) {
+            throw new InvalidSnapshotException("no snapshot of a registry");
         }
-        int version = whole.position(MARK.length).getInt();
+        int version = content.position(MAGIC.length).getInt();
         if (version != VERSION) {
-            throw new IOException("its format is " + version + ", not " + VERSION);
+            throw new InvalidSnapshotException("its format is " + version + ", not " + VERSION);
         }
-        int length = whole.getInt();
-        long sum = whole.getLong();
-        CRC32C computed = new CRC32C();
-        computed.update(whole.duplicate());
-        if (length != whole.remaining() || sum != computed.getValue()) {
-            throw new IOException("not whole");
+        int length = content.getInt();
+        long expectedChecksum = content.getLong();
+        if (length != content.remaining() || expectedChecksum != checksum(content.duplicate())) {
+            throw new InvalidSnapshotException(INCOMPLETE);
         }
         byte[] view = new byte[length];
-        whole.get(view);
-        DataInputStream in = new DataInputStream(new ByteArrayInputStream(view));
-        String prefix = new String(take(in), StandardCharsets.ISO_8859_1);
-        long cluster = in.readLong();
+        content.get(view);
+        return decodeView(new DataInputStream(new ByteArrayInputStream(view)));
+    }
+
+    private static Snapshot decodeView(DataInputStream in) throws IOException {
+        String prefix = new String(readBytes(in), StandardCharsets.ISO_8859_1);
+        long clusterId = in.readLong();
         long revision = in.readLong();
         long term = in.readLong();
-        long heard = in.readLong();
-        List<Item> items = new ArrayList<>();
-        for (int n = in.readInt(); n > 0; n--) {
-            items.add(new Item(
-                    new String(take(in), StandardCharsets.ISO_8859_1), take(in), in.readLong(), in.readLong()));
+        long confirmedAtMicros = in.readLong();
+        List<RegistryEntry> entries = new ArrayList<>();
+        for (int remaining = in.readInt(); remaining > 0; remaining--) {
+            String key = new String(readBytes(in), StandardCharsets.ISO_8859_1);
+            byte[] value = readBytes(in);
+            long createRevision = in.readLong();
+            long modRevision = in.readLong();
+            entries.add(new RegistryEntry(key, value, createRevision, modRevision));
         }
-        return new Snapshot(prefix, cluster, revision, term, heard, items);
+        return new Snapshot(prefix, clusterId, revision, term, confirmedAtMicros, entries);
     }
 
-    private static byte[] take(DataInputStream in) throws IOException {
+    private static byte[] readBytes(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0 || length > in.available()) {
-            throw new IOException("not whole");
+            throw new InvalidSnapshotException(INCOMPLETE);
         }
         return in.readNBytes(length);
     }
--- a/src/main/java/mintstair/registry/consul/ConsulEditor.java
+++ b/src/main/java/mintstair/registry/consul/ConsulEditor.java
@@ -9,84 +9,107 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.List;
+import java.util.function.UnaryOperator;
 import mintstair.config.RegistryConfig;
 import mintstair.registry.RegistryEditor;
-import mintstair.registry.view.Item;
+import mintstair.registry.RegistryException;
+import mintstair.registry.RegistryUnavailableException;
+import mintstair.registry.UncertainChangeException;
+import mintstair.registry.view.RegistryEntry;
 
-/** Single entries of Consul's store; the endpoints are tried in turn, a change only as long as it provably was not made. */
+/**
+ * Reads and changes single entries of Consul's store. The servers are tried in turn; a change is tried at the next one
+ * only where the last one certainly has not made it.
+ */
 public final class ConsulEditor implements RegistryEditor {
-    private static final Duration WAIT = Duration.ofSeconds(3);
-    private static final long MOST_BODY = 4 << 20;
+    private static final Duration TIMEOUT = Duration.ofSeconds(3);
+    private static final long MAX_BODY_BYTES = 4 << 20;
+
     private final RegistryConfig config;
     private final HttpClient client;
 
     public ConsulEditor(RegistryConfig config) {
         this.config = config;
-        client = Consul.client(config, null);
+        client = ConsulApi.newClient(config);
     }
 
     @Override
-    public Item get(String key) throws IOException {
-        HttpResponse<byte[]> answer = ask(key, "?consistent", HttpRequest.Builder::GET, false);
-        if (answer.statusCode() == 404) {
+    public RegistryEntry get(String key) throws RegistryException {
+        HttpResponse<byte[]> response = sendInTurn(key, "?consistent", HttpRequest.Builder::GET, false);
+        if (response.statusCode() == ConsulApi.NOT_FOUND) {
             return null;
         }
-        List<Item> items = Consul.items(whole(answer).body());
-        return items.isEmpty() ? null : items.get(0);
+        byte[] body = requireOk(response).body();
+        try {
+            List<RegistryEntry> entries = ConsulApi.parseEntries(body);
+            return entries.isEmpty() ? null : entries.get(0);
+        } catch (IOException e) {
+            throw new RegistryException(e.getMessage(), e);
+        }
     }
 
     @Override
-    public boolean put(String key, byte[] value, long expected) throws IOException {
-        return changed(ask(key, "?cas=" + expected, r -> r.PUT(HttpRequest.BodyPublishers.ofByteArray(value)), true));
+    public boolean put(String key, byte[] value, long expectedRevision) throws RegistryException {
+        HttpRequest.BodyPublisher body = HttpRequest.BodyPublishers.ofByteArray(value);
+        return isChanged(sendInTurn(key, compareAndSet(expectedRevision), request -> request.PUT(body), true));
     }
 
     @Override
-    public boolean delete(String key, long expected) throws IOException {
-        return changed(ask(key, "?cas=" + expected, HttpRequest.Builder::DELETE, true));
+    public boolean delete(String key, long expectedRevision) throws RegistryException {
+        return isChanged(sendInTurn(key, compareAndSet(expectedRevision), HttpRequest.Builder::DELETE, true));
     }
 
-    private static boolean changed(HttpResponse<byte[]> answer) throws IOException {
-        return new String(whole(answer).body(), StandardCharsets.UTF_8).strip().equals("true");
+    private static String compareAndSet(long expectedRevision) {
+        return "?cas=" + expectedRevision;
     }
 
-    private static HttpResponse<byte[]> whole(HttpResponse<byte[]> answer) throws IOException {
-        if (answer.statusCode() != 200) {
-            throw new IOException(
-                    Consul.refused(0, answer.statusCode(), answer.body()).why());
-        }
-        return answer;
+    private static boolean isChanged(HttpResponse<byte[]> response) throws RegistryException {
+        return new String(requireOk(response).body(), StandardCharsets.UTF_8)
+                .strip()
+                .equals("true");
     }
 
-    private interface Method {
-        HttpRequest.Builder of(HttpRequest.Builder request);
+    private static HttpResponse<byte[]> requireOk(HttpResponse<byte[]> response) throws RegistryException {
+        if (response.statusCode() != ConsulApi.OK) {
+            throw new RegistryException(ConsulApi.describeError(response));
+        }
+        return response;
     }
 
-    private HttpResponse<byte[]> ask(String key, String query, Method method, boolean changes) throws IOException {
-        String why = "";
-        for (InetSocketAddress each : config.endpoints()) {
+    /**
+     * Sends the request to the first server that responds.
+     *
+     * @param changes whether the request changes the registry, so that it must not be repeated once it was sent
+     */
+    private HttpResponse<byte[]> sendInTurn(
+            String key, String query, UnaryOperator<HttpRequest.Builder> method, boolean changes)
+            throws RegistryException {
+        String reason = "";
+        IOException lastFailure = null;
+        for (InetSocketAddress server : config.endpoints()) {
+            HttpRequest.Builder request = ConsulApi.request(config, server, ConsulApi.keyPath(key), query);
             try {
                 return client.send(
-                        method.of(Consul.call(config, each, Consul.key(key), query))
-                                .timeout(WAIT)
-                                .build(),
-                        info -> new BoundedBody(MOST_BODY));
+                        method.apply(request).timeout(TIMEOUT).build(), BoundedBodySubscriber.handler(MAX_BODY_BYTES));
             } catch (ConnectException e) {
-                why = "refused";
+                reason = "refused";
+                lastFailure = e;
             } catch (IOException e) {
-                why = String.valueOf(e.getMessage());
+                reason = String.valueOf(e.getMessage());
+                lastFailure = e;
                 if (changes) {
-                    throw new IOException("the change may have been made, look before it is tried again: " + why);
+                    throw new UncertainChangeException(reason, e);
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                throw new IOException("interrupted");
+                throw new RegistryException("interrupted", e);
             }
         }
-        throw new IOException("no endpoint answers: " + why);
+        throw new RegistryUnavailableException(reason, lastFailure);
     }
 
     @Override
     public void close() {
-        // The client has nothing to close in Java 17; its threads are daemons.
+        // Java 17's HTTP client cannot be closed; its threads are daemons.
     }
 }
--- a/src/main/java/mintstair/registry/etcd/EtcdEditor.java
+++ b/src/main/java/mintstair/registry/etcd/EtcdEditor.java
@@ -1,18 +1,23 @@
 package mintstair.registry.etcd;
 
+import com.google.protobuf.ByteString;
+import io.grpc.CallOptions;
+import io.grpc.Channel;
+import io.grpc.ClientInterceptors;
 import io.grpc.ManagedChannel;
 import io.grpc.MethodDescriptor;
 import io.grpc.Status;
 import io.grpc.StatusRuntimeException;
 import io.grpc.stub.ClientCalls;
 import io.grpc.stub.MetadataUtils;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import mintstair.config.RegistryConfig;
 import mintstair.registry.RegistryEditor;
-import mintstair.registry.etcd.api.AuthenticateRequest;
+import mintstair.registry.RegistryException;
+import mintstair.registry.RegistryUnavailableException;
+import mintstair.registry.UncertainChangeException;
 import mintstair.registry.etcd.api.Compare;
 import mintstair.registry.etcd.api.DeleteRangeRequest;
 import mintstair.registry.etcd.api.PutRequest;
@@ -20,11 +25,15 @@
 import mintstair.registry.etcd.api.RangeResponse;
 import mintstair.registry.etcd.api.RequestOp;
 import mintstair.registry.etcd.api.TxnRequest;
-import mintstair.registry.view.Item;
+import mintstair.registry.view.RegistryEntry;
 
-/** Single entries of etcd; the endpoints are tried in turn, a change only as long as it provably was not made. */
+/**
+ * Reads and changes single entries of etcd. The servers are tried in turn; a change is tried at the next one only where
+ * the last one certainly has not made it. Not thread-safe.
+ */
 public final class EtcdEditor implements RegistryEditor {
-    private static final long WAIT_SECONDS = 3;
+    private static final long TIMEOUT_SECONDS = 3;
+
     private final RegistryConfig config;
     private ManagedChannel channel;
 
@@ -33,91 +42,97 @@
     }
 
     @Override
-    public Item get(String key) throws IOException {
-        RangeRequest asked = RangeRequest.newBuilder().setKey(Etcd.bytes(key)).build();
-        RangeResponse answer = ask(headers -> call(Etcd.RANGE, asked, headers), false);
-        return answer.getKvsCount() == 0 ? null : Etcd.item(answer.getKvs(0));
+    public RegistryEntry get(String key) throws RegistryException {
+        RangeRequest request =
+                RangeRequest.newBuilder().setKey(EtcdMessages.keyBytes(key)).build();
+        RangeResponse response = callInTurn(token -> call(EtcdApi.RANGE, request, token), false);
+        return response.getKvsCount() == 0 ? null : EtcdMessages.entry(response.getKvs(0));
     }
 
     @Override
-    public boolean put(String key, byte[] value, long expected) throws IOException {
-        return change(
-                key,
-                expected,
-                RequestOp.newBuilder()
-                        .setRequestPut(PutRequest.newBuilder()
-                                .setKey(Etcd.bytes(key))
-                                .setValue(com.google.protobuf.ByteString.copyFrom(value)))
-                        .build());
+    public boolean put(String key, byte[] value, long expectedRevision) throws RegistryException {
+        PutRequest.Builder put =
+                PutRequest.newBuilder().setKey(EtcdMessages.keyBytes(key)).setValue(ByteString.copyFrom(value));
+        return compareAndSet(
+                key, expectedRevision, RequestOp.newBuilder().setRequestPut(put).build());
     }
 
     @Override
-    public boolean delete(String key, long expected) throws IOException {
-        return change(
+    public boolean delete(String key, long expectedRevision) throws RegistryException {
+        DeleteRangeRequest.Builder delete = DeleteRangeRequest.newBuilder().setKey(EtcdMessages.keyBytes(key));
+        return compareAndSet(
                 key,
-                expected,
-                RequestOp.newBuilder()
-                        .setRequestDeleteRange(DeleteRangeRequest.newBuilder().setKey(Etcd.bytes(key)))
-                        .build());
+                expectedRevision,
+                RequestOp.newBuilder().setRequestDeleteRange(delete).build());
     }
 
-    private boolean change(String key, long expected, RequestOp op) throws IOException {
-        TxnRequest asked = TxnRequest.newBuilder()
-                .addCompare(Compare.newBuilder()
-                        .setKey(Etcd.bytes(key))
-                        .setTarget(Compare.CompareTarget.MOD)
-                        .setResult(Compare.CompareResult.EQUAL)
-                        .setModRevision(expected))
-                .addSuccess(op)
+    private boolean compareAndSet(String key, long expectedRevision, RequestOp operation) throws RegistryException {
+        Compare.Builder compare = Compare.newBuilder()
+                .setKey(EtcdMessages.keyBytes(key))
+                .setTarget(Compare.CompareTarget.MOD)
+                .setResult(Compare.CompareResult.EQUAL)
+                .setModRevision(expectedRevision);
+        TxnRequest request = TxnRequest.newBuilder()
+                .addCompare(compare)
+                .addSuccess(operation)
                 .build();
-        return ask(token -> call(Etcd.TXN, asked, token), true).getSucceeded();
-    }
-
-    private <A, B> B call(MethodDescriptor<A, B> method, A asked, String token) {
-        return ClientCalls.blockingUnaryCall(
-                io.grpc.ClientInterceptors.intercept(
-                        channel, MetadataUtils.newAttachHeadersInterceptor(Etcd.headers(token))),
-                method,
-                Etcd.options().withDeadlineAfter(WAIT_SECONDS, TimeUnit.SECONDS),
-                asked);
+        return callInTurn(token -> call(EtcdApi.TXN, request, token), true).getSucceeded();
     }
 
-    private <T> T ask(Function<String, T> asking, boolean changes) throws IOException {
-        String why = "";
-        for (InetSocketAddress each : config.endpoints()) {
+    /**
+     * Makes the call at the first server that responds.
+     *
+     * @param call takes the token of the authenticated user, null for none
+     * @param changes whether the call changes the registry, so that it must not be repeated once it was sent
+     */
+    private <T> T callInTurn(Function<String, T> call, boolean changes) throws RegistryException {
+        StatusRuntimeException lastFailure = null;
+        for (InetSocketAddress server : config.endpoints()) {
             close();
-            channel = Etcd.channel(config, each, null);
-            boolean maybe = false;
+            channel = EtcdApi.newChannel(config, server, null);
+            boolean changeSent = false;
             try {
-                String token = config.user() == null
-                        ? null
-                        : call(
-                                        Etcd.AUTHENTICATE,
-                                        AuthenticateRequest.newBuilder()
-                                                .setName(config.user())
-                                                .setPassword(config.secret())
-                                                .build(),
-                                        null)
-                                .getToken();
-                // A read first: an endpoint that does not even answer that has certainly not taken the change.
-                call(
-                        Etcd.RANGE,
-                        RangeRequest.newBuilder()
-                                .setKey(Etcd.bytes(config.prefix()))
-                                .setKeysOnly(true)
-                                .build(),
-                        token);
-                maybe = changes;
-                return asking.apply(token);
+                String token = authenticate();
+                probe(token);
+                changeSent = changes;
+                return call.apply(token);
             } catch (StatusRuntimeException e) {
-                why = e.getStatus().getCode() + " "
-                        + String.valueOf(e.getStatus().getDescription()).split("\n")[0];
-                if (maybe && e.getStatus().getCode() != Status.Code.PERMISSION_DENIED) {
-                    throw new IOException("the change may have been made, look before it is tried again: " + why);
+                lastFailure = e;
+                if (changeSent && e.getStatus().getCode() != Status.Code.PERMISSION_DENIED) {
+                    throw new UncertainChangeException(describe(e), e);
                 }
             }
         }
-        throw new IOException("no endpoint answers: " + why);
+        throw new RegistryUnavailableException(lastFailure == null ? "" : describe(lastFailure), lastFailure);
+    }
+
+    private String authenticate() {
+        if (config.user() == null) {
+            return null;
+        }
+        return call(EtcdApi.AUTHENTICATE, EtcdMessages.authenticateRequest(config), null)
+                .getToken();
+    }
+
+    /** A read before the call: a server that does not respond to it has certainly not made the change. */
+    private void probe(String token) {
+        RangeRequest request = RangeRequest.newBuilder()
+                .setKey(EtcdMessages.keyBytes(config.prefix()))
+                .setKeysOnly(true)
+                .build();
+        call(EtcdApi.RANGE, request, token);
+    }
+
+    private <Q, R> R call(MethodDescriptor<Q, R> method, Q request, String token) {
+        Channel withHeaders = ClientInterceptors.intercept(
+                channel, MetadataUtils.newAttachHeadersInterceptor(EtcdApi.headers(token)));
+        CallOptions options = CallOptions.DEFAULT.withDeadlineAfter(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        return ClientCalls.blockingUnaryCall(withHeaders, method, options, request);
+    }
+
+    private static String describe(StatusRuntimeException failure) {
+        Status status = failure.getStatus();
+        return status.getCode() + " " + RegistryException.firstLine(status.getDescription());
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/mintstair/registry/etcd/package-info.java
@@ -0,0 +1,2 @@
+/** etcd's v3 API over gRPC. The messages are generated from {@code etcd.proto}. */
+package mintstair.registry.etcd;
--- a/src/main/java/mintstair/registry/view/PollView.java
+++ b/src/main/java/mintstair/registry/view/PollView.java
@@ -1,98 +1,118 @@
 package mintstair.registry.view;
 
+import mintstair.registry.view.RegistryEvent.Reason;
+
 /**
- * Follows a registry that answers blocking reads: each answer is the whole list at an index, and the next read waits for a newer
- * one. An index that goes back is a lagging member's, or the registry's was set back: a read that the majority stands behind
- * tells which. What vanished from one list to the next is told as deleted.
+ * Follows a registry that answers blocking queries. Each response is the whole list at an index, and the next query
+ * waits for a newer one. An index that goes back is either a lagging member's, or the registry was restored from a
+ * backup; a linearizable read shows which.
  *
- * <p>While a read waits, the endpoint is asked for signs of life beside it; a connection that died alone is found when the read
- * should have ended.
+ * <p>While a query is held, its server is asked for its leader on another connection. A held connection that died alone
+ * is only noticed when the query should have ended.
  */
 public final class PollView extends RegistryView {
-    /** A wait that the server may stretch by a sixteenth. */
-    public static final long WAIT = 4_000_000;
+    /** How long the server is asked to hold a query. */
+    public static final long WAIT_MICROS = 4_000_000;
+    /** The server may add up to a sixteenth of the wait. */
+    private static final long MAX_WAIT_MICROS = WAIT_MICROS + WAIT_MICROS / 16;
+    /** The index of a query that is answered at once. */
+    private static final long NO_INDEX = 0;
+
+    /** Whether an index that went back is being confirmed by a linearizable read. */
+    private boolean confirming;
 
-    private boolean confirm;
-    private boolean heardSinceBreak;
-    private boolean askedProgress;
-    private long endsAt;
+    private boolean listReceivedOnConnection;
+    private boolean progressRequested;
+    private long queryEndsAt;
 
-    public PollView(Names names, Limits limits, Times times, int endpoints, long seed) {
-        super(names, limits, times, endpoints, seed);
+    public PollView(RegistryKeys keys, ViewLimits limits, ViewTimeouts timeouts, int serverCount, long seed) {
+        super(keys, limits, timeouts, serverCount, seed);
     }
 
+    /**
+     * The first query of a connection is not held: it shows at once that the server has a leader, and any restored
+     * history.
+     */
     @Override
-    protected void connect() {
-        // The first answer of a connection comes at once: that it is there and leads is known, and a list set back is
-        // seen.
-        poll(heardSinceBreak ? revision : 0);
+    void connect() {
+        poll(listReceivedOnConnection ? revision : NO_INDEX);
     }
 
     private void poll(long index) {
-        askedProgress = false;
-        endsAt = now + times.call() + (index > 0 ? WAIT + WAIT / 16 : 0);
-        long number = call(index > 0 ? times.silence() : times.call());
-        order(new Order.Poll(number, endpoints.current(), index, confirm));
+        boolean held = index > NO_INDEX;
+        progressRequested = false;
+        queryEndsAt = nowMicros + timeouts.callMicros() + (held ? MAX_WAIT_MICROS : 0);
+        long callId = beginCall(held ? timeouts.keepaliveIntervalMicros() : timeouts.callMicros());
+        send(new RegistryCall.Poll(callId, servers.current(), index, confirming));
     }
 
     @Override
-    protected void handle(Event event) {
-        if (event instanceof Event.Whole e) {
-            onWhole(e);
-        } else if (event instanceof Event.Progress e) {
-            askedProgress = false;
-            fresh();
-            waitUntil(Math.min(endsAt, now + times.silence()));
+    void handle(RegistryEvent event) {
+        if (event instanceof RegistryEvent.FullList list) {
+            onList(list);
+        } else if (event instanceof RegistryEvent.Progress) {
+            onProgress();
         } else {
-            breakOff(Event.Reason.MALFORMED, "an answer that nobody asked for");
+            failCall(Reason.MALFORMED, "unexpected response");
         }
     }
 
-    private void onWhole(Event.Whole e) {
-        if (e.index() < 1) {
-            breakOff(Event.Reason.MALFORMED, "an index below 1");
+    private void onProgress() {
+        progressRequested = false;
+        confirm();
+        setCallDeadline(Math.min(queryEndsAt, nowMicros + timeouts.keepaliveIntervalMicros()));
+    }
+
+    private void onList(RegistryEvent.FullList list) {
+        if (list.index() < 1) {
+            // The next query would return at once, for ever.
+            failCall(Reason.MALFORMED, "an index below 1");
             return;
         }
-        boolean back = e.index() < revision;
-        if (!e.sure()) {
-            breakOff(Event.Reason.LAGS, "no leader stands behind its answer");
+        if (!list.leaderConfirmed()) {
+            failCall(Reason.LAGS, "response without a leader");
             return;
         }
-        if (back && !confirm) {
-            confirm = true;
-            poll(0);
+        boolean wentBack = list.index() < revision;
+        if (wentBack && !confirming) {
+            confirming = true;
+            poll(NO_INDEX);
             return;
         }
-        if (back) {
+        if (wentBack) {
             count("set_back");
-            say("its index was set back from " + revision + " to " + e.index());
+            log("index went back from " + revision + " to " + list.index() + ", as after a restore");
         }
-        confirm = false;
-        Reading reading = new Reading(limits, "");
-        reading.add(e.items());
-        table.overflown += reading.leftOut;
-        table.replace(reading.items(), e.index(), !back, now, teller());
-        revision = e.index();
-        count("readings");
-        heardSinceBreak = true;
-        well();
-        fresh();
+        confirming = false;
+        replaceEntries(list, !wentBack);
+        listReceivedOnConnection = true;
+        resetReconnect();
+        confirm();
         poll(revision);
     }
 
+    private void replaceEntries(RegistryEvent.FullList list, boolean sameHistory) {
+        PagedRead read = new PagedRead(limits, "");
+        read.add(list.entries());
+        table.countOverflown(read.overflown());
+        table.replace(read.entries(), list.index(), sameHistory, nowMicros, updateSink());
+        revision = list.index();
+        count("readings");
+    }
+
     @Override
-    protected void quiet() {
-        if (now < endsAt && !askedProgress) {
-            askedProgress = true;
-            order(new Order.AskProgress(call()));
-            waitUntil(Math.min(endsAt, now + times.patience()));
-        } else {
-            super.quiet();
+    void onDeadline() {
+        if (nowMicros >= queryEndsAt || progressRequested) {
+            super.onDeadline();
+            return;
         }
+        progressRequested = true;
+        send(new RegistryCall.RequestProgress(callInProgress()));
+        setCallDeadline(Math.min(queryEndsAt, nowMicros + timeouts.keepaliveTimeoutMicros()));
     }
 
     @Override
-    protected void dropped(Event.Reason reason) {
-        heardSinceBreak = false;
+    void onCallLost(Reason reason) {
+        listReceivedOnConnection = false;
     }
 }
--- a/src/main/java/mintstair/registry/view/RegistryView.java
+++ b/src/main/java/mintstair/registry/view/RegistryView.java
@@ -2,288 +2,275 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import mintstair.retry.Backoff;
+import mintstair.registry.view.RegistryEvent.Reason;
 
 /**
- * The part of following a registry that does not depend on how it tells of changes: the entries, one call at a time with its
- * time limit, breaks, attempts and the endpoint to turn to, the age of what is known. Fed with events and the time by one
- * thread; time never goes back here, whatever the caller's clock does.
+ * A replica of a registry's entries that is kept current by calls to one of the registry's servers at a time. This
+ * class holds what does not depend on the kind of registry: the entries, the call in progress with its deadline, the
+ * reconnection after a failure, and how old the view is. A subclass holds the protocol: which call follows on which
+ * event.
+ *
+ * <p>The owner passes in events and the time, at {@link #wakeAt} at the latest, and carries out the returned {@link
+ * ViewStep}s. Time never goes back here, whatever the owner's clock does. Not thread-safe.
  */
-public abstract class RegistryView {
-    /** Nothing is going on; the next attempt comes at its time. */
-    private static final long NONE = 0;
-
-    protected final Names names;
-    protected final Limits limits;
-    protected final Times times;
-    protected final HostTable table;
-    protected final Endpoints endpoints;
-    private final Random random;
-    private final int endpointCount;
-    private final Backoff backoff;
-    /** Attempts that failed since all was well. */
-    private int tried;
-
-    private int answers;
-    private final FaultLines breakLines = new FaultLines();
+public abstract sealed class RegistryView permits WatchView, PollView {
+    private static final long NO_CALL = 0;
+    private static final long NEVER = -1;
+    private static final long NOT_SCHEDULED = Long.MAX_VALUE;
+
+    final RegistryKeys keys;
+    final ViewLimits limits;
+    final ViewTimeouts timeouts;
+    final EndpointTable table;
+    final ServerRotation servers;
+    private final ReconnectPolicy reconnectPolicy;
+    private final LogRateLimiter failureLog = new LogRateLimiter();
     private final Map<String, Long> counts = new TreeMap<>();
-    private List<Order> orders = new ArrayList<>();
-    private List<ViewUpdate> told = new ArrayList<>();
 
-    protected long now;
-    /** The history that the entries belong to: its id, the newest revision that nothing is missing up to, its highest term. */
-    protected long cluster;
+    /** The calls and updates of the step that is being made. */
+    private List<RegistryCall> calls = new ArrayList<>();
 
-    protected long revision = -1;
-    protected long term;
-    /** The hosts have been told as the registry's own word; before that, at most as what was known at the last run. */
+    private List<ViewUpdate> updates = new ArrayList<>();
+
+    long nowMicros;
+    /**
+     * The history that the entries belong to, the revision that they are complete up to (below 0: none), its highest
+     * term.
+     */
+    long clusterId;
+
+    long revision = -1;
+    long term;
+
+    /** Whether the registry has confirmed the entries since the start; before, deltas of endpoints are not emitted. */
     private boolean live;
 
-    private long heard = -1;
-    private long calls;
-    private long call = NONE;
-    private long giveUpAt = Long.MAX_VALUE;
-    private long attemptAt = Long.MAX_VALUE;
-    private long brokenAt = -1;
-    private String brokenWhy = "";
+    private long confirmedAt = NEVER;
+    private long lastCallId;
+    private long callInProgress = NO_CALL;
+    private long callDeadline = NOT_SCHEDULED;
+    private long nextAttemptAt = NOT_SCHEDULED;
+    private long lastFailureAt = NEVER;
+    private String lastFailure = "";
 
-    protected RegistryView(Names names, Limits limits, Times times, int endpointCount, long seed) {
-        this.names = names;
+    RegistryView(RegistryKeys keys, ViewLimits limits, ViewTimeouts timeouts, int serverCount, long seed) {
+        this.keys = keys;
         this.limits = limits;
-        this.times = times;
-        this.endpointCount = endpointCount;
-        random = new Random(seed);
-        table = new HostTable(names, limits);
-        endpoints = new Endpoints(endpointCount, random);
-        backoff = new Backoff(random, times.retry(), times.retryMost(), 0.05);
+        this.timeouts = timeouts;
+        Random random = new Random(seed);
+        table = new EndpointTable(keys, limits);
+        servers = new ServerRotation(serverCount, random);
+        reconnectPolicy = new ReconnectPolicy(servers, timeouts, random);
     }
 
-    /** Begins with what the last run knew, if there is something; then the first attempt is made. */
-    public final Step start(long at, Snapshot snapshot) {
-        now = at;
+    /** Starts from the last run's snapshot, or null for none, and makes the first call. */
+    public final ViewStep start(long atMicros, Snapshot snapshot) {
+        nowMicros = atMicros;
         if (snapshot != null) {
-            cluster = snapshot.cluster();
+            clusterId = snapshot.clusterId();
             revision = snapshot.revision();
             term = snapshot.term();
-            heard = Math.min(snapshot.heard(), at);
-            table.replace(snapshot.items(), revision, true, now, this::tellAllButHosts);
-            table.tellWhole(revision, true, told::add);
+            confirmedAt = Math.min(snapshot.confirmedAtMicros(), atMicros);
+            table.replace(snapshot.entries(), revision, true, nowMicros, updateSink());
+            table.emitAll(revision, true, updates::add);
         }
-        attempt();
-        return taken();
+        makeNextAttempt();
+        return endStep();
     }
 
-    /** An event of the wire. */
-    public final Step on(long at, Event event) {
-        now = Math.max(now, at);
-        if (event.call() == call && call != NONE) {
-            if (event instanceof Event.Ended e) {
-                // It is over already: there is nothing to cancel.
-                call = NONE;
-                lost(e.reason(), e.why());
-            } else {
-                handle(event);
-            }
+    /** Handles an event of the connection. */
+    public final ViewStep on(long atMicros, RegistryEvent event) {
+        nowMicros = Math.max(nowMicros, atMicros);
+        if (callInProgress == NO_CALL || event.callId() != callInProgress) {
+            return endStep();
+        }
+        if (event instanceof RegistryEvent.CallFailed failure) {
+            // The call has ended, so there is nothing to cancel.
+            callInProgress = NO_CALL;
+            onFailure(failure.reason(), failure.detail());
+        } else {
+            handle(event);
         }
-        return taken();
+        return endStep();
     }
 
-    /** Lets time pass; to be called at {@link #wakeAt} at the latest. */
-    public final Step tick(long at) {
-        now = Math.max(now, at);
-        table.flush(now, told::add);
-        breakLines.flush(now, told::add);
-        if (call != NONE && now >= giveUpAt) {
-            quiet();
+    /** Lets time pass. */
+    public final ViewStep tick(long atMicros) {
+        nowMicros = Math.max(nowMicros, atMicros);
+        table.flushLog(nowMicros, updates::add);
+        failureLog.flush(nowMicros, updates::add);
+        if (callInProgress != NO_CALL && nowMicros >= callDeadline) {
+            onDeadline();
         }
-        if (call == NONE && now >= attemptAt) {
-            attempt();
+        if (callInProgress == NO_CALL && nowMicros >= nextAttemptAt) {
+            makeNextAttempt();
         }
-        return taken();
+        return endStep();
     }
 
     /** When {@link #tick} has something to do next. */
     public final long wakeAt() {
-        return Math.min(call == NONE ? attemptAt : giveUpAt, Math.min(table.wakeAt(), breakLines.wakeAt()));
+        long callWakeAt = callInProgress == NO_CALL ? nextAttemptAt : callDeadline;
+        return Math.min(callWakeAt, Math.min(table.nextFlushAt(), failureLog.nextFlushAt()));
     }
 
-    /** What is known, as it is kept over a restart; null before anything is. */
+    /** The view as it is stored over a restart; null while there is none. */
     public final Snapshot snapshot() {
-        return revision < 0 ? null : new Snapshot(names.prefix(), cluster, revision, term, heard, table.items());
+        if (revision < 0) {
+            return null;
+        }
+        return new Snapshot(keys.prefix(), clusterId, revision, term, confirmedAt, table.entries());
     }
 
-    /** Where the view stands, for people. */
-    public final ViewMetrics figures(long at) {
+    public final ViewMetrics metrics(long atMicros) {
+        Map<String, Long> allCounts = new TreeMap<>(counts);
+        allCounts.put("unreadable", table.unreadable());
+        allCounts.put("overflown", table.overflown());
         return new ViewMetrics(
-                cluster,
+                clusterId,
                 revision,
-                heard < 0 ? -1 : Math.max(0, at - heard),
+                confirmedAt < 0 ? -1 : Math.max(0, atMicros - confirmedAt),
                 live,
-                table.hosts,
-                table.digest,
-                endpoints.current(),
-                brokenAt,
-                brokenWhy,
-                countsNow());
+                table.hosts(),
+                table.digest(),
+                servers.current(),
+                lastFailureAt,
+                lastFailure,
+                allCounts);
     }
 
-    /** All hosts of all fronts, told as a whole: for one that missed what was told before. */
-    public final List<ViewUpdate> everything() {
+    /** The whole lists of all fronts, for a receiver that has missed updates. */
+    public final List<ViewUpdate> fullUpdate() {
         List<ViewUpdate> all = new ArrayList<>();
-        table.tellWhole(revision, !live, all::add);
+        table.emitAll(revision, !live, all::add);
         return all;
     }
 
-    private Map<String, Long> countsNow() {
-        Map<String, Long> all = new TreeMap<>(counts);
-        all.put("unreadable", table.unreadable);
-        all.put("overflown", table.overflown);
-        return all;
-    }
+    /** Makes the first call of an attempt, at the current server. */
+    abstract void connect();
 
-    /** Makes the next attempt at the current endpoint. */
-    protected abstract void connect();
+    /** Handles an event of the call in progress, other than its failure. */
+    abstract void handle(RegistryEvent event);
 
-    /** Takes in an event of the wanted call. */
-    protected abstract void handle(Event event);
-
-    /** The time that was set for the wanted call is over; by default it is dead. */
-    protected void quiet() {
-        breakOff(Event.Reason.SILENT, "nothing heard");
+    /** The deadline of the call in progress has passed; by default it has failed. */
+    void onDeadline() {
+        failCall(Reason.SILENT, "no message in time");
     }
 
-    /** The wanted call is gone: forget what was only half there. */
-    protected abstract void dropped(Event.Reason reason);
+    /** The call in progress has failed: discards what it has delivered in part. */
+    abstract void onCallLost(Reason reason);
 
-    private void attempt() {
-        attemptAt = Long.MAX_VALUE;
+    private void makeNextAttempt() {
+        nextAttemptAt = NOT_SCHEDULED;
         connect();
     }
 
-    /** A new call, the only one wanted from here on, which must be heard of within this time. */
-    protected final long call(long within) {
-        cancel();
-        call = ++calls;
-        giveUpAt = now + within;
-        return call;
+    /**
+     * Begins a call in place of the one in progress; it is to show a sign of life within the timeout. Returns its id.
+     */
+    final long beginCall(long timeoutMicros) {
+        cancelCall();
+        callInProgress = ++lastCallId;
+        callDeadline = nowMicros + timeoutMicros;
+        return callInProgress;
     }
 
-    protected final long call() {
-        return call;
+    final long callInProgress() {
+        return callInProgress;
     }
 
-    protected final void order(Order order) {
-        orders.add(order);
+    final void send(RegistryCall call) {
+        calls.add(call);
     }
 
-    /** The wanted call has until then to be heard of. */
-    protected final void waitUntil(long at) {
-        giveUpAt = at;
+    final void setCallDeadline(long atMicros) {
+        callDeadline = atMicros;
     }
 
-    private void cancel() {
-        if (call != NONE) {
-            order(new Order.Cancel(call));
-            call = NONE;
+    private void cancelCall() {
+        if (callInProgress != NO_CALL) {
+            send(new RegistryCall.Cancel(callInProgress));
+            callInProgress = NO_CALL;
         }
     }
 
-    /** The wanted call is of no further use. */
-    protected final void breakOff(Event.Reason reason, String why) {
-        cancel();
-        lost(reason, why);
+    /** Cancels the call in progress and counts it as failed. */
+    final void failCall(Reason reason, String detail) {
+        cancelCall();
+        onFailure(reason, detail);
     }
 
-    /**
-     * Turns to the next endpoint after a wait: many that lost their endpoint together must not all come to the next together.
-     * Where the fault is one endpoint's own, the others are tried within a short time each; the wait grows with each whole round.
-     */
-    private void lost(Event.Reason reason, String why) {
-        String name = reason.name().toLowerCase(Locale.ROOT);
+    private void onFailure(Reason reason, String detail) {
         count("breaks");
-        count("breaks_" + name);
-        brokenAt = now;
-        brokenWhy = name.replace('_', ' ') + ": " + why;
-        breakLines.note(now, "registry: endpoint " + endpoints.current() + " " + brokenWhy, told::add);
-        dropped(reason);
-        if (reason == Event.Reason.LAGS) {
-            endpoints.lags(now + times.lagRest());
-        }
-        endpoints.turn(now);
-        boolean answered = reason == Event.Reason.LAGS || reason == Event.Reason.FOREIGN;
-        boolean own = answered || reason == Event.Reason.BROKEN || reason == Event.Reason.SILENT;
-        if (answered && answers++ < endpointCount) {
-            // The network is back: a new round begins, but not again and again.
-            tried = 0;
-        }
-        tried++;
-        attemptAt = now
-                + (own && tried % endpointCount != 0 ? (long) (random.nextDouble() * times.retry()) : backoff.next());
+        count("breaks_" + reason.metricName());
+        lastFailureAt = nowMicros;
+        lastFailure = reason.metricName().replace('_', ' ') + ": " + detail;
+        failureLog.log(nowMicros, "registry: endpoint " + servers.current() + " " + lastFailure, updates::add);
+        onCallLost(reason);
+        nextAttemptAt = nowMicros + reconnectPolicy.advanceAfterFailure(reason, nowMicros);
     }
 
-    /** All is well: the next break is a first one. */
-    protected final void well() {
-        backoff.reset();
-        tried = 0;
-        answers = 0;
+    /** The connection works: the next failure counts as the first. */
+    final void resetReconnect() {
+        reconnectPolicy.recordSuccess();
     }
 
     /**
-     * Whether the answering member belongs to the registry that is followed, or to one that most endpoints have gone over to:
-     * then its history is taken in place of the old one's. Else this endpoint is left.
+     * Whether the current server belongs to the registry that the view follows, or to one that the majority of the
+     * servers now belong to, which then takes its place. If neither, the call fails.
      */
-    protected final boolean belongs(Header header) {
-        endpoints.answeredAs(header.cluster());
-        if (header.cluster() == cluster || revision < 0) {
+    final boolean checkCluster(RegistryPosition position) {
+        servers.recordClusterId(position.clusterId());
+        if (position.clusterId() == clusterId || revision < 0 || servers.majorityIsOf(position.clusterId())) {
             return true;
         }
-        if (endpoints.mostAre(header.cluster())) {
-            return true;
-        }
-        breakOff(
-                Event.Reason.FOREIGN,
-                "cluster id " + Long.toUnsignedString(header.cluster(), 16) + " in place of "
-                        + Long.toUnsignedString(cluster, 16));
+        failCall(Reason.FOREIGN, "cluster id " + hex(position.clusterId()) + " in place of " + hex(clusterId));
         return false;
     }
 
-    /** The registry has shown that nothing is missing up to {@link #revision}, which is where it stands. */
-    protected final void fresh() {
-        heard = now;
+    static String hex(long id) {
+        return Long.toUnsignedString(id, 16);
+    }
+
+    /** The registry has confirmed that the view is complete up to {@link #revision}, and that it stands there. */
+    final void confirm() {
+        confirmedAt = nowMicros;
         if (!live) {
             live = true;
-            table.tellWhole(revision, false, told::add);
+            table.emitAll(revision, false, updates::add);
         }
     }
 
-    /** Tells what follows from a change of the entries; hosts only once they have been told as a whole. */
-    protected final Consumer<ViewUpdate> teller() {
-        return live ? told::add : this::tellAllButHosts;
+    /**
+     * Takes updates from the table; deltas of endpoints only once the view is live, as the whole lists come before
+     * them.
+     */
+    final Consumer<ViewUpdate> updateSink() {
+        return live ? updates::add : this::emitUnlessEndpoints;
     }
 
-    private void tellAllButHosts(ViewUpdate what) {
-        if (!(what instanceof ViewUpdate.Endpoints)) {
-            told.add(what);
+    private void emitUnlessEndpoints(ViewUpdate update) {
+        if (!(update instanceof ViewUpdate.Endpoints)) {
+            updates.add(update);
         }
     }
 
-    protected final void say(String line) {
-        told.add(new ViewUpdate.LogLine("registry: " + line));
+    final void log(String line) {
+        updates.add(new ViewUpdate.LogLine("registry: " + line));
     }
 
-    protected final void count(String name) {
-        counts.merge(name, 1L, Long::sum);
+    final void count(String metric) {
+        counts.merge(metric, 1L, Long::sum);
     }
 
-    private Step taken() {
-        Step step = new Step(orders, told);
-        orders = new ArrayList<>();
-        told = new ArrayList<>();
+    private ViewStep endStep() {
+        ViewStep step = new ViewStep(calls, updates);
+        calls = new ArrayList<>();
+        updates = new ArrayList<>();
         return step;
     }
 }
--- a/src/main/java/mintstair/registry/view/Snapshot.java
+++ b/src/main/java/mintstair/registry/view/Snapshot.java
@@ -2,5 +2,11 @@
 
 import java.util.List;
 
-/** A whole view as it is kept over restarts: where the registry's history stood, when that was known, and what there was. */
-public record Snapshot(String prefix, long cluster, long revision, long term, long heard, List<Item> items) {}
+/**
+ * A whole view as it is stored over restarts.
+ *
+ * @param prefix the prefix of the keys that the view is of
+ * @param confirmedAtMicros when the registry last confirmed that the view was complete; -1 for never
+ */
+public record Snapshot(
+        String prefix, long clusterId, long revision, long term, long confirmedAtMicros, List<RegistryEntry> entries) {}
--- a/src/main/java/mintstair/registry/view/ViewMetrics.java
+++ b/src/main/java/mintstair/registry/view/ViewMetrics.java
@@ -3,17 +3,42 @@
 import java.util.Map;
 
 /**
- * One moment of a view, for people. {@code age}: microseconds since the registry last showed that nothing is missing, -1 for
- * never; {@code counts}: events since the start by name.
+ * The state of a view at one moment, for metrics and operators.
+ *
+ * @param ageMicros since the registry last confirmed that the view is complete; -1 for never
+ * @param live whether the registry has confirmed the view since the start
+ * @param digest equal for equal endpoint lists, whatever the order of the changes that led there
+ * @param server the index of the registry server in use
+ * @param lastFailureAtMicros when a call last failed; -1 for never
+ * @param lastFailure why a call last failed; empty for never
+ * @param counts events since the start, by metric name
  */
 public record ViewMetrics(
-        long cluster,
+        long clusterId,
         long revision,
-        long age,
+        long ageMicros,
         boolean live,
         int hosts,
         long digest,
-        int endpoint,
-        long brokenAt,
-        String brokenWhy,
-        Map<String, Long> counts) {}
+        int server,
+        long lastFailureAtMicros,
+        String lastFailure,
+        Map<String, Long> counts) {
+    /** The same state as it is this much later. */
+    public ViewMetrics aged(long passedMicros) {
+        if (ageMicros < 0) {
+            return this;
+        }
+        return new ViewMetrics(
+                clusterId,
+                revision,
+                ageMicros + passedMicros,
+                live,
+                hosts,
+                digest,
+                server,
+                lastFailureAtMicros,
+                lastFailure,
+                counts);
+    }
+}
--- a/src/main/java/mintstair/registry/view/ViewUpdate.java
+++ b/src/main/java/mintstair/registry/view/ViewUpdate.java
@@ -2,14 +2,18 @@
 
 import mintstair.request.EndpointList;
 
-/** What the rest of the program is told. All that one step tells takes effect together. */
+/** What a view has for the rest of the program. All updates of one step take effect together. */
 public sealed interface ViewUpdate {
-    /** Hosts of this front; {@code old} where the list comes from the last snapshot. */
-    record Endpoints(String front, EndpointList list, boolean old) implements ViewUpdate {}
+    /**
+     * Endpoints of a front, as a snapshot or a delta.
+     *
+     * @param cached whether the list is the last run's, not yet confirmed by the registry
+     */
+    record Endpoints(String front, EndpointList list, boolean cached) implements ViewUpdate {}
 
-    /** The settings that the registry holds, as they were put there: not checked yet. */
+    /** Settings as they were put into the registry, not validated. */
     record Settings(byte[] text, long revision) implements ViewUpdate {}
 
-    /** A line for the log; already limited in number. */
+    /** A line for the log; its rate is limited already. */
     record LogLine(String text) implements ViewUpdate {}
 }
--- a/src/main/java/mintstair/registry/view/WatchView.java
+++ b/src/main/java/mintstair/registry/view/WatchView.java
@@ -2,338 +2,349 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import mintstair.registry.view.RegistryEvent.Reason;
 
 /**
- * Follows a registry that keeps revisions and streams changes from one of them on: a whole reading pinned to one revision, then
- * the watch from exactly the next. After a break the watch goes on from the next revision not yet taken in; only where that is
- * compacted away, or the history is another one, all is read anew, and until that is whole the old entries stand.
+ * Follows a registry that has revisions and streams changes from any of them on: a paged read of all entries at one
+ * revision, then a watch from the next revision on. After a lost connection the watch continues from the next revision
+ * that is not applied yet. Only where that has been compacted, or the registry's history is another one, everything is
+ * read again; until that is complete the old entries stand.
  *
- * <p>The order of the promises that it relies on: a read with the majority's agreement never shows less than an earlier one
- * did, so one that does tells of a history that was set back; a batch holds whole revisions unless marked as a fragment; the
- * header of a progress message means that nothing is missing up to its revision.
+ * <p>It relies on these guarantees of the registry: a linearizable read never shows less than an earlier one, so one
+ * that does shows a restored history; a message of a watch holds whole revisions unless it is marked as a fragment; a
+ * progress message means that nothing is missing up to its revision.
  *
- * <p>A watch that stands still may be quiet, dead, or of a member that has fallen behind. So it is asked for a sign of life again
- * and again: where the majority stands, and that the watch has come as far.
+ * <p>A watch without messages may be quiet, dead, or of a member that lags. It is therefore checked periodically: the
+ * quorum's revision is read, and the watch must report that it has come as far, see {@link ProgressCheck}.
  */
 public final class WatchView extends RegistryView {
-    private static final int PAGE = 500;
-    private static final int MOST_PAGE = 16_000;
-    /** A watch that has missed much may take this many times the usual patience to come up to the majority. */
-    private static final int CATCHING_UP = 3;
+    private static final int INITIAL_PAGE_SIZE = 500;
+    private static final int MAX_PAGE_SIZE = 16_000;
+    /** A watch that is catching up may take this many times the keepalive timeout to reach the quorum. */
+    private static final int CATCH_UP_FACTOR = 3;
 
     private enum Phase {
         IDLE,
+        /** Reading all entries. */
         READING,
-        CHECKING,
+        /** Reading the quorum's position, after a member reported an older one than is known. */
+        CHECKING_POSITION,
         WATCHING
     }
 
+    private final TransactionBuffer transaction;
+    private final ProgressCheck progressCheck = new ProgressCheck();
     private Phase phase = Phase.IDLE;
-    private boolean readAnew;
-    private int page = PAGE;
-    private Reading reading;
-    /** Changes of revisions that are not whole yet. */
-    private final List<Change> fragments = new ArrayList<>();
-
-    private long fragmentBytes;
-    /** When the open watch was asked for a sign of life, -1 while it is not; where the majority stood then, -1 until that is told. */
-    private long askedAt = -1;
-
-    private long need = -1;
-    private long revisionAsked;
-    private boolean heardSinceAsked;
-    /** The watch has begun. */
-    private boolean begun;
-
-    public WatchView(Names names, Limits limits, Times times, int endpoints, long seed) {
-        super(names, limits, times, endpoints, seed);
+    /** The read that is in progress, also between two attempts; null for none. */
+    private PagedRead read;
+
+    private boolean fullReadRequired;
+    private int pageSize = INITIAL_PAGE_SIZE;
+    private boolean watchCreated;
+
+    public WatchView(RegistryKeys keys, ViewLimits limits, ViewTimeouts timeouts, int serverCount, long seed) {
+        super(keys, limits, timeouts, serverCount, seed);
+        transaction = new TransactionBuffer(limits.maxTransactionBytes());
     }
 
     @Override
-    protected void connect() {
-        if (revision < 0 || readAnew) {
-            read();
+    void connect() {
+        if (revision < 0 || fullReadRequired) {
+            readNextPage();
         } else {
             watch();
         }
     }
 
-    private void read() {
-        if (reading == null) {
-            reading = new Reading(limits, names.prefix());
+    private void readNextPage() {
+        if (read == null) {
+            read = new PagedRead(limits, keys.prefix());
         }
         phase = Phase.READING;
-        order(new Order.Read(
-                call(times.call()),
-                endpoints.current(),
-                reading.from,
-                reading.pin == null ? 0 : reading.pin.revision(),
-                page));
+        long callId = beginCall(timeouts.callMicros());
+        send(new RegistryCall.Read(callId, servers.current(), read.nextKey(), read.revision(), pageSize));
     }
 
     private void watch() {
         phase = Phase.WATCHING;
-        askedAt = -1;
-        begun = false;
-        order(new Order.Watch(call(times.call()), endpoints.current(), revision + 1));
+        progressCheck.stop();
+        watchCreated = false;
+        long callId = beginCall(timeouts.callMicros());
+        send(new RegistryCall.Watch(callId, servers.current(), revision + 1));
+    }
+
+    /** A member's own position contradicts what is known: the quorum's position shows which of both is out of date. */
+    private void checkPosition() {
+        phase = Phase.CHECKING_POSITION;
+        long callId = beginCall(timeouts.callMicros());
+        send(new RegistryCall.ReadPosition(callId, servers.current()));
     }
 
-    /** Where a member's own word contradicts what is known, the majority is asked which of both is out of date. */
-    private void check() {
-        phase = Phase.CHECKING;
-        order(new Order.Check(call(times.call()), endpoints.current()));
+    /** What is known cannot be continued; it stands until the read of all entries is complete. */
+    private void readAll() {
+        transaction.clear();
+        fullReadRequired = true;
+        read = null;
+        readNextPage();
     }
 
     @Override
-    protected void handle(Event event) {
-        if (event instanceof Event.Page e && phase == Phase.READING) {
-            onPage(e);
-        } else if (event instanceof Event.Compacted) {
+    void handle(RegistryEvent event) {
+        if (event instanceof RegistryEvent.Compacted) {
             onCompacted();
-        } else if (event instanceof Event.Checked e && phase == Phase.CHECKING) {
-            onChecked(e.header());
-        } else if (phase == Phase.WATCHING && event instanceof Event.Watching e) {
-            onWatching(e.header());
-        } else if (phase == Phase.WATCHING && event instanceof Event.Batch e) {
-            onBatch(e);
-        } else if (phase == Phase.WATCHING && event instanceof Event.Progress e) {
-            onProgress(e.header());
-        } else if (phase == Phase.WATCHING && event instanceof Event.Reached e) {
-            onReached(e.header());
+            return;
+        }
+        boolean expected = switch (phase) {
+            case IDLE -> false;
+            case READING -> handleWhileReading(event);
+            case CHECKING_POSITION -> handleWhileCheckingPosition(event);
+            case WATCHING -> handleWhileWatching(event);
+        };
+        if (!expected) {
+            failCall(Reason.MALFORMED, "unexpected response");
+        }
+    }
+
+    private boolean handleWhileReading(RegistryEvent event) {
+        if (event instanceof RegistryEvent.Page page) {
+            onPage(page);
+            return true;
+        }
+        return false;
+    }
+
+    private boolean handleWhileCheckingPosition(RegistryEvent event) {
+        if (event instanceof RegistryEvent.PositionRead positionRead) {
+            onPositionRead(positionRead.position());
+            return true;
+        }
+        return false;
+    }
+
+    private boolean handleWhileWatching(RegistryEvent event) {
+        if (event instanceof RegistryEvent.WatchCreated created) {
+            onWatchCreated(created.position());
+        } else if (event instanceof RegistryEvent.Changes changes) {
+            onChanges(changes);
+        } else if (event instanceof RegistryEvent.Progress progress) {
+            onProgress(progress.position());
+        } else if (event instanceof RegistryEvent.QuorumPosition quorum) {
+            onQuorumPosition(quorum.position());
         } else {
-            breakOff(Event.Reason.MALFORMED, "an answer that nobody asked for");
+            return false;
         }
+        return true;
     }
 
-    private void onPage(Event.Page e) {
-        if (!belongs(e.header())) {
+    private void onPage(RegistryEvent.Page page) {
+        if (!checkCluster(page.position())) {
             return;
         }
-        if (reading.pin == null) {
-            reading.pin = e.header();
-        } else if (reading.pin.cluster() != e.header().cluster()
-                || e.header().term() < reading.pin.term()
-                || e.header().revision() < reading.pin.revision()) {
+        if (!read.pinOrMatch(page.position())) {
             // The pages so far are of another history.
-            reading = null;
-            read();
+            read = null;
+            readNextPage();
             return;
         }
-        reading.add(e.items());
-        if (!e.more()) {
-            finishReading();
-        } else if (e.items().isEmpty()) {
-            breakOff(Event.Reason.MALFORMED, "an empty page that is not the last");
+        read.add(page.entries());
+        if (!page.more()) {
+            finishRead();
+        } else if (page.entries().isEmpty()) {
+            failCall(Reason.MALFORMED, "an empty page that is not the last");
         } else {
-            read();
+            readNextPage();
         }
     }
 
-    private void finishReading() {
-        Header pin = reading.pin;
-        boolean another = revision >= 0 && pin.cluster() != cluster;
-        boolean back = revision >= 0 && setBack(pin);
-        if (back) {
+    private void finishRead() {
+        RegistryPosition position = read.position();
+        boolean replaced = revision >= 0 && position.clusterId() != clusterId;
+        boolean wentBack = revision >= 0 && isBehind(position);
+        if (wentBack) {
             count("set_back");
-            say("its history was set back from revision " + revision + " to " + pin.revision());
+            log("history went back from revision " + revision + " to " + position.revision() + ", as after a restore");
         }
-        if (another) {
+        if (replaced) {
             count("replaced");
-            say("it is another one: cluster id " + Long.toUnsignedString(pin.cluster(), 16));
+            log("replaced by another registry, cluster id " + hex(position.clusterId()));
         }
-        table.overflown += reading.leftOut;
-        table.replace(reading.items(), pin.revision(), !another && !back, now, teller());
-        cluster = pin.cluster();
-        revision = pin.revision();
-        term = pin.term();
-        readAnew = false;
-        reading = null;
-        page = PAGE;
+        table.countOverflown(read.overflown());
+        table.replace(read.entries(), position.revision(), !replaced && !wentBack, nowMicros, updateSink());
+        clusterId = position.clusterId();
+        revision = position.revision();
+        term = position.term();
+        fullReadRequired = false;
+        read = null;
+        pageSize = INITIAL_PAGE_SIZE;
         count("readings");
-        fresh();
+        confirm();
         watch();
     }
 
-    /** Whether a header that the majority stands behind shows less than is known already. */
-    private boolean setBack(Header header) {
-        return header.cluster() == cluster && (header.revision() < revision || header.term() < term);
+    /** Whether a linearizable read at this position shows less of the same registry than is known already. */
+    private boolean isBehind(RegistryPosition position) {
+        return position.clusterId() == clusterId && isOlder(position);
+    }
+
+    private boolean isOlder(RegistryPosition position) {
+        return position.revision() < revision || position.term() < term;
     }
 
     private void onCompacted() {
         if (phase == Phase.READING) {
-            // The pin went away under the reading: larger pages make it faster than the compaction.
+            // Larger pages make the next read faster than the compaction.
             count("compacted_while_reading");
-            reading = null;
-            page = Math.min(MOST_PAGE, page * 2);
-            breakOff(Event.Reason.CANCELLED, "compacted while it was read");
+            read = null;
+            pageSize = Math.min(MAX_PAGE_SIZE, pageSize * 2);
+            failCall(Reason.CANCELLED, "compacted while it was read");
         } else {
             count("compacted");
-            forgetFragments();
-            startAnew();
+            readAll();
         }
     }
 
-    /** What is known can't be continued: it stands until a whole reading takes its place. */
-    private void startAnew() {
-        readAnew = true;
-        reading = null;
-        read();
-    }
-
-    private void onChecked(Header header) {
-        if (!belongs(header)) {
+    private void onPositionRead(RegistryPosition position) {
+        if (!checkCluster(position)) {
             return;
         }
-        if (header.cluster() != cluster || setBack(header)) {
-            startAnew();
+        if (position.clusterId() != clusterId || isBehind(position)) {
+            readAll();
         } else {
-            term = header.term();
-            breakOff(Event.Reason.LAGS, "it is behind revision " + revision);
+            term = position.term();
+            failCall(Reason.LAGS, "it is behind revision " + revision);
         }
     }
 
-    private void onWatching(Header header) {
-        if (!belongs(header)) {
+    private void onWatchCreated(RegistryPosition position) {
+        if (!checkCluster(position)) {
             return;
         }
-        if (header.cluster() != cluster) {
-            startAnew();
-        } else if (header.revision() < revision || header.term() < term) {
-            check();
+        if (position.clusterId() != clusterId) {
+            readAll();
+        } else if (isOlder(position)) {
+            checkPosition();
         } else {
-            begun = true;
-            askForSign();
+            watchCreated = true;
+            startProgressCheck();
         }
     }
 
-    private void onBatch(Event.Batch e) {
-        if (e.header().cluster() != cluster) {
-            startAnewIfItBelongs(e.header());
+    private void onChanges(RegistryEvent.Changes message) {
+        if (message.position().clusterId() != clusterId) {
+            onOtherCluster(message.position());
             return;
         }
-        heardSinceAsked = true;
-        for (Change change : e.changes()) {
-            fragments.add(change);
-            fragmentBytes += change.item().key().length() + change.item().value().length;
-        }
-        if (fragmentBytes > limits.batchBytes()) {
+        progressCheck.recordMessage();
+        transaction.add(message.changes());
+        if (transaction.isOverLimit()) {
             count("transactions_given_up");
-            forgetFragments();
-            startAnew();
-        } else if (!e.fragment()) {
-            takeIn();
+            readAll();
+        } else if (!message.fragment()) {
+            applyTransaction();
         }
     }
 
-    /** All messages of these revisions are here. */
-    private void takeIn() {
-        List<Change> changes = new ArrayList<>(fragments.size());
-        long newest = revision;
-        for (Change change : fragments) {
-            long at = change.item().modified();
-            if (at <= revision) {
+    private void applyTransaction() {
+        List<EntryChange> received = transaction.drain();
+        List<EntryChange> changes = new ArrayList<>(received.size());
+        long newestRevision = revision;
+        for (EntryChange change : received) {
+            long changeRevision = change.entry().modRevision();
+            if (changeRevision <= revision) {
                 count("repeated");
-            } else if (at < newest) {
-                forgetFragments();
-                breakOff(Event.Reason.MALFORMED, "changes out of order");
+            } else if (changeRevision < newestRevision) {
+                failCall(Reason.MALFORMED, "changes out of order");
                 return;
             } else {
-                newest = at;
+                newestRevision = changeRevision;
                 changes.add(change);
             }
         }
-        forgetFragments();
-        revision = newest;
+        revision = newestRevision;
         count("batches");
-        table.apply(changes, revision, now, teller());
-        maybeSigned();
+        table.apply(changes, revision, nowMicros, updateSink());
+        endProgressCheckIfPassed();
     }
 
-    private void onProgress(Header header) {
-        if (header.cluster() != cluster) {
-            startAnewIfItBelongs(header);
+    private void onProgress(RegistryPosition position) {
+        if (position.clusterId() != clusterId) {
+            onOtherCluster(position);
             return;
         }
-        heardSinceAsked = true;
-        if (!fragments.isEmpty()) {
+        progressCheck.recordMessage();
+        if (!transaction.isEmpty()) {
             return;
         }
-        if (header.revision() < revision) {
-            check();
+        if (position.revision() < revision) {
+            checkPosition();
         } else {
-            revision = header.revision();
-            maybeSigned();
+            revision = position.revision();
+            endProgressCheckIfPassed();
         }
     }
 
-    private void onReached(Header header) {
-        if (header.cluster() != cluster) {
-            startAnewIfItBelongs(header);
-        } else if (setBack(header)) {
-            forgetFragments();
-            startAnew();
+    private void onQuorumPosition(RegistryPosition position) {
+        if (position.clusterId() != clusterId) {
+            onOtherCluster(position);
+        } else if (isBehind(position)) {
+            readAll();
         } else {
-            term = header.term();
-            need = header.revision();
-            maybeSigned();
+            term = position.term();
+            progressCheck.recordQuorum(position.revision());
+            endProgressCheckIfPassed();
         }
     }
 
-    private void startAnewIfItBelongs(Header header) {
-        forgetFragments();
-        if (belongs(header)) {
-            startAnew();
+    private void onOtherCluster(RegistryPosition position) {
+        transaction.clear();
+        if (checkCluster(position)) {
+            readAll();
         }
     }
 
-    /** The sign is complete once the view has come to where the majority stood when it was asked for. */
-    private void maybeSigned() {
-        if (askedAt >= 0 && need >= 0 && revision >= need) {
-            askedAt = -1;
-            waitUntil(now + times.silence());
-            well();
-            fresh();
-        }
+    private void startProgressCheck() {
+        progressCheck.start(nowMicros, revision);
+        send(new RegistryCall.RequestProgress(callInProgress()));
+        setCallDeadline(nowMicros + timeouts.keepaliveTimeoutMicros());
     }
 
-    private void askForSign() {
-        askedAt = now;
-        need = -1;
-        revisionAsked = revision;
-        heardSinceAsked = false;
-        order(new Order.AskProgress(call()));
-        waitUntil(now + times.patience());
+    private void endProgressCheckIfPassed() {
+        if (progressCheck.passes(revision)) {
+            progressCheck.stop();
+            setCallDeadline(nowMicros + timeouts.keepaliveIntervalMicros());
+            resetReconnect();
+            confirm();
+        }
     }
 
     @Override
-    protected void quiet() {
-        if (phase != Phase.WATCHING || !begun) {
-            super.quiet();
-        } else if (askedAt < 0) {
-            askForSign();
-        } else if (need >= 0 && revision > revisionAsked && now < askedAt + CATCHING_UP * times.patience()) {
-            // It comes nearer: much may have been missed.
-            revisionAsked = revision;
-            waitUntil(now + times.patience() / 2);
-        } else if (heardSinceAsked || need >= 0) {
-            breakOff(Event.Reason.LAGS, "it stays behind revision " + need);
+    void onDeadline() {
+        if (phase != Phase.WATCHING || !watchCreated) {
+            super.onDeadline();
+        } else if (!progressCheck.isRunning()) {
+            startProgressCheck();
+        } else if (isCatchingUp()) {
+            setCallDeadline(nowMicros + timeouts.keepaliveTimeoutMicros() / 2);
+        } else if (progressCheck.isMemberResponding()) {
+            failCall(Reason.LAGS, "it stays behind revision " + progressCheck.quorumRevision());
         } else {
-            super.quiet();
+            super.onDeadline();
         }
     }
 
+    /** The watch comes nearer to the quorum: it may have missed much. */
+    private boolean isCatchingUp() {
+        return progressCheck.advancedTo(revision)
+                && !progressCheck.isOlderThan(CATCH_UP_FACTOR * timeouts.keepaliveTimeoutMicros(), nowMicros);
+    }
+
     @Override
-    protected void dropped(Event.Reason reason) {
-        if (phase == Phase.READING && (reason == Event.Reason.MALFORMED || reason == Event.Reason.LAGS)) {
-            // A pin that even the majority has not reached is of a history that was set back meanwhile.
-            reading = null;
+    void onCallLost(Reason reason) {
+        if (phase == Phase.READING && (reason == Reason.MALFORMED || reason == Reason.LAGS)) {
+            // Not even the quorum has reached the read's revision: it is of a history that was replaced by a restore.
+            read = null;
         }
         phase = Phase.IDLE;
-        forgetFragments();
-    }
-
-    private void forgetFragments() {
-        fragments.clear();
-        fragmentBytes = 0;
+        transaction.clear();
     }
 }
--- a/src/main/java/mintstair/registry/view/package-info.java
+++ b/src/main/java/mintstair/registry/view/package-info.java
@@ -1,8 +1,11 @@
 /**
- * What a proxy knows of a key-value registry and what it does to keep knowing it, without I/O: events of the wire and the time
- * come in, orders for the wire and changes of the host list go out. Neither clocks, threads nor sockets are seen here; a test
- * holds the package to it. {@link mintstair.registry.view.WatchView} follows a registry that streams changes by revision,
- * {@link mintstair.registry.view.PollView} one that answers blocking reads by index; what both share is in
- * {@link mintstair.registry.view.RegistryView}. All times are Unix microseconds.
+ * A replica of a key-value registry's endpoint list, and the protocol that keeps it current. Everything here is a state
+ * machine without I/O, clock or threads: events of the connection and the time go in, calls for the connection and
+ * updates for the rest of the program come out. A test holds the package to that.
+ *
+ * <p>{@link mintstair.registry.view.WatchView} follows a registry that streams changes by revision (etcd), {@link
+ * mintstair.registry.view.PollView} one that answers blocking queries by index (Consul); {@link
+ * mintstair.registry.view.RegistryView} is what both have in common. All times are Unix microseconds, all spans
+ * microseconds.
  */
 package mintstair.registry.view;
--- a/src/main/java/mintstair/serve/Proxy.java
+++ b/src/main/java/mintstair/serve/Proxy.java
@@ -396,7 +396,7 @@
     }
 
     private void registered(ViewUpdate.Endpoints told) {
-        services.get(told.front().equals(RegistryConfig.MONGODB) ? 1 : 0).told(told.list(), told.old());
+        services.get(told.front().equals(RegistryConfig.MONGODB) ? 1 : 0).told(told.list(), told.cached());
     }
 
     /** On SIGTERM: what arrives for a while is served, what is held is finished, then the program ends well. */
--- a/src/main/java/mintstair/serve/RegistryKeeper.java
+++ b/src/main/java/mintstair/serve/RegistryKeeper.java
@@ -8,8 +8,8 @@
 import mintstair.config.RegistryConfig;
 import mintstair.registry.RegistryClient;
 import mintstair.registry.view.RegistryView;
-import mintstair.registry.view.Times;
 import mintstair.registry.view.ViewMetrics;
+import mintstair.registry.view.ViewTimeouts;
 import mintstair.registry.view.ViewUpdate;
 import mintstair.stats.MetricsSnapshot;
 
@@ -30,7 +30,7 @@
             Consumer<ViewUpdate.Endpoints> hosts,
             SettingsTaker settings) {
         handover = new EndpointUpdateQueue(loop, hosts);
-        client = new RegistryClient(config, Times.USUAL, seed, (told, view) -> told(told, view, settings));
+        client = new RegistryClient(config, ViewTimeouts.DEFAULT, seed, (told, view) -> told(told, view, settings));
     }
 
     void start() {
@@ -39,7 +39,7 @@
 
     private void told(List<ViewUpdate> told, RegistryView view, SettingsTaker settings) {
         List<ViewUpdate.Endpoints> hosts = hosts(told);
-        handover.offer(hosts, () -> hosts(view.everything()));
+        handover.offer(hosts, () -> hosts(view.fullUpdate()));
         for (ViewUpdate each : told) {
             if (each instanceof ViewUpdate.Settings s) {
                 settings.take(s.text(), s.revision());
@@ -61,13 +61,13 @@
 
     /** Adds where the view stands to the figures of the second address; from any thread. */
     void addTo(MetricsSnapshot.Builder metrics) {
-        ViewMetrics f = client.figures();
+        ViewMetrics f = client.metrics();
         metrics.add("registry_live", f.live() ? 1 : 0)
                 .add("registry_revision", f.revision())
-                .add("registry_age_ms", f.age() < 0 ? -1 : f.age() / 1000)
+                .add("registry_age_ms", f.ageMicros() < 0 ? -1 : f.ageMicros() / 1000)
                 .add("registry_hosts", f.hosts())
                 .add("registry_digest", f.digest())
-                .add("registry_endpoint", f.endpoint())
+                .add("registry_endpoint", f.server())
                 .add("registry_conflated", handover.conflated());
         for (String name :
                 List.of("breaks", "readings", "compacted", "replaced", "set_back", "unreadable", "overflown")) {
--- a/src/test/java/mintstair/bench/BreakBytes.java
+++ b/src/test/java/mintstair/bench/BreakBytes.java
@@ -10,7 +10,7 @@
 import mintstair.program.Program;
 import mintstair.registry.RegistryClient;
 import mintstair.registry.etcd.EtcdMember;
-import mintstair.registry.view.Times;
+import mintstair.registry.view.ViewTimeouts;
 import mintstair.standin.RegistryModel;
 import mintstair.standin.Relay;
 
@@ -43,7 +43,8 @@
                     null,
                     null,
                     1_000_000);
-            try (RegistryClient client = new RegistryClient(config, Times.USUAL, 1, (told, view) -> live.set(true))) {
+            try (RegistryClient client =
+                    new RegistryClient(config, ViewTimeouts.DEFAULT, 1, (told, view) -> live.set(true))) {
                 client.start();
                 Program.await(live::get, "the first reading");
                 long plain = relay.toClients.get();
@@ -53,7 +54,7 @@
                             "reg/postgresql/hosts/h0",
                             "{\"uid\":\"h0\",\"endpoint\":\"127.0.0.1:" + i
                                     + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"SERVING\"}"));
-                    Program.await(() -> client.figures().revision() == at, "the change behind the break");
+                    Program.await(() -> client.metrics().revision() == at, "the change behind the break");
                 }
                 return new long[] {(relay.toClients.get() - plain) / BREAKS, plain};
             }
--- a/src/test/java/mintstair/bench/HerdCalls.java
+++ b/src/test/java/mintstair/bench/HerdCalls.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 import java.util.TreeMap;
-import mintstair.registry.view.Event;
-import mintstair.registry.view.Limits;
-import mintstair.registry.view.Names;
-import mintstair.registry.view.Order;
+import mintstair.registry.view.RegistryCall;
+import mintstair.registry.view.RegistryEvent;
+import mintstair.registry.view.RegistryKeys;
 import mintstair.registry.view.RegistryView;
-import mintstair.registry.view.Step;
-import mintstair.registry.view.Times;
+import mintstair.registry.view.ViewLimits;
+import mintstair.registry.view.ViewStep;
+import mintstair.registry.view.ViewTimeouts;
 import mintstair.registry.view.WatchView;
 
 /**
@@ -27,15 +27,22 @@
         TreeMap<Long, Integer> windows = new TreeMap<>();
         for (int c = 0; c < CLIENTS; c++) {
             RegistryView view = new WatchView(
-                    new Names("reg/", List.of("postgresql")), Limits.USUAL, Times.USUAL, 3, jitter ? c : 1);
-            Step step = view.start(0, null);
+                    new RegistryKeys("reg/", List.of("postgresql")),
+                    ViewLimits.DEFAULT,
+                    ViewTimeouts.DEFAULT,
+                    3,
+                    jitter ? c : 1);
+            ViewStep step = view.start(0, null);
             for (long now = 0; now < LOST; now = Math.max(now + 1, view.wakeAt()), step = view.tick(now)) {
-                for (Order order : step.orders()) {
-                    if (order instanceof Order.Read read) {
+                for (RegistryCall call : step.calls()) {
+                    if (call instanceof RegistryCall.Read read) {
                         if (now > 0) {
                             windows.merge(now / WINDOW, 1, Integer::sum);
                         }
-                        view.on(now, new Event.Ended(read.call(), Event.Reason.NO_LEADER, "no leader"));
+                        view.on(
+                                now,
+                                new RegistryEvent.CallFailed(
+                                        read.callId(), RegistryEvent.Reason.NO_LEADER, "no leader"));
                     }
                 }
             }
--- a/src/test/java/mintstair/registry/SnapshotFileTest.java
+++ b/src/test/java/mintstair/registry/SnapshotFileTest.java
@@ -11,109 +11,151 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import mintstair.program.Program;
-import mintstair.registry.view.Item;
+import mintstair.registry.view.RegistryEntry;
 import mintstair.registry.view.Snapshot;
+import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 class SnapshotFileTest {
+    private static final String PREFIX = "reg/";
+    private static final int MANY_HOSTS = 2_000;
+
     @TempDir
     Path folder;
 
+    private Path path;
+    private SnapshotFile file;
+    private final List<String> log = new ArrayList<>();
+
+    @BeforeEach
+    void createFile() {
+        path = folder.resolve("s");
+        file = new SnapshotFile(path);
+    }
+
     private static Snapshot snapshot(long revision, int hosts) {
-        List<Item> items = new ArrayList<>();
+        List<RegistryEntry> entries = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
-            items.add(new Item("reg/h" + i, ("value " + revision).getBytes(), i, revision));
+            entries.add(new RegistryEntry(PREFIX + "h" + i, valueAt(revision), i, revision));
         }
-        return new Snapshot("reg/", 7, revision, 3, 1234, items);
+        return new Snapshot(PREFIX, 7, revision, 3, 1234, entries);
+    }
+
+    private static byte[] valueAt(long revision) {
+        return ("value " + revision).getBytes();
     }
 
     /** Writes one snapshot after the other until it is killed. */
     public static void main(String[] args) throws IOException {
         SnapshotFile file = new SnapshotFile(Path.of(args[0]));
         for (long revision = 1; ; revision++) {
-            file.write(snapshot(revision, 2_000));
+            file.write(snapshot(revision, MANY_HOSTS));
         }
     }
 
     @Test
-    void whatIsReadIsWhatWasWritten() throws IOException {
-        SnapshotFile file = new SnapshotFile(folder.resolve("s"));
+    void readReturnsWhatWasWritten() throws IOException {
         file.write(snapshot(5, 3));
-        Snapshot read = file.read("reg/", line -> {});
-        assertEquals(7, read.cluster());
+
+        Snapshot read = file.readOrMoveAside(PREFIX, line -> {});
+
+        assertEquals(7, read.clusterId());
         assertEquals(5, read.revision());
         assertEquals(3, read.term());
-        assertEquals(1234, read.heard());
-        assertEquals("reg/h2", read.items().get(2).key());
-        assertArrayEquals("value 5".getBytes(), read.items().get(2).value());
+        assertEquals(1234, read.confirmedAtMicros());
+        assertEquals("reg/h2", read.entries().get(2).key());
+        assertArrayEquals(valueAt(5), read.entries().get(2).value());
     }
 
-    /** Torn after any byte, changed in any byte, longer, of another format, or of another prefix: set aside with one line. */
+    /** Torn after any byte, changed in any byte, or too long: moved aside with one line in the log. */
     @Test
-    void whatIsNotWholeIsSetAsideAndNeverTrusted() throws IOException {
-        Path path = folder.resolve("s");
-        SnapshotFile file = new SnapshotFile(path);
+    void corruptFileIsMovedAsideAndNotUsed() throws IOException {
         file.write(snapshot(5, 2));
-        byte[] whole = Files.readAllBytes(path);
-        List<byte[]> spoilt = new ArrayList<>();
+        List<byte[]> corruptContents = corrupt(Files.readAllBytes(path));
+
+        for (byte[] content : corruptContents) {
+            Files.write(path, content);
+            log.clear();
+            assertNull(file.readOrMoveAside(PREFIX, log::add));
+            assertEquals(1, log.size());
+            assertFalse(Files.exists(path));
+        }
+
+        byte[] last = corruptContents.get(corruptContents.size() - 1);
+        assertArrayEquals(last, Files.readAllBytes(folder.resolve("s.bad")));
+    }
+
+    private static List<byte[]> corrupt(byte[] whole) {
+        List<byte[]> contents = new ArrayList<>();
         for (int i = 0; i < whole.length; i++) {
-            spoilt.add(java.util.Arrays.copyOf(whole, i));
+            contents.add(Arrays.copyOf(whole, i));
             byte[] changed = whole.clone();
             changed[i] ^= 0x40;
-            spoilt.add(changed);
-        }
-        spoilt.add(java.util.Arrays.copyOf(whole, whole.length + 1));
-        List<String> lines = new ArrayList<>();
-        for (byte[] each : spoilt) {
-            Files.write(path, each);
-            lines.clear();
-            assertNull(file.read("reg/", lines::add));
-            assertEquals(1, lines.size());
-            assertFalse(Files.exists(path));
+            contents.add(changed);
         }
-        assertArrayEquals(spoilt.get(spoilt.size() - 1), Files.readAllBytes(folder.resolve("s.bad")));
-        byte[] older = whole.clone();
+        contents.add(Arrays.copyOf(whole, whole.length + 1));
+        return contents;
+    }
+
+    @Test
+    void fileOfAnotherFormatIsNotUsed() throws IOException {
+        file.write(snapshot(5, 2));
+        byte[] older = Files.readAllBytes(path);
         older["mintstair registry\n".length() + 3] = 0;
         Files.write(path, older);
-        file.read("reg/", lines::add);
-        assertTrue(lines.get(1).endsWith("its format is 0, not 1"), lines.get(1));
-        Files.write(path, whole);
-        assertNull(file.read("other/", lines::add));
-        assertTrue(lines.get(2).endsWith("it is of the prefix reg/"), lines.get(2));
+
+        file.readOrMoveAside(PREFIX, log::add);
+
+        assertTrue(log.get(0).endsWith("its format is 0, not 1"), log.get(0));
+    }
+
+    @Test
+    void fileOfAnotherPrefixIsNotUsed() throws IOException {
+        file.write(snapshot(5, 2));
+
+        assertNull(file.readOrMoveAside("other/", log::add));
+
+        assertTrue(log.get(0).endsWith("it is of the prefix reg/"), log.get(0));
     }
 
-    /** Killed at whatever it is at, over and over: what is left is always a whole one. */
+    /** Killed at whatever it does, over and over: what is left is always a whole file. */
     @Test
-    void aKillLeavesTheOldOrTheNewOne() throws Exception {
-        Path path = folder.resolve("s");
+    void killedWriterLeavesTheOldOrTheNewFile() throws Exception {
         for (int i = 0; i < 5; i++) {
-            Process writer = new ProcessBuilder(
-                            Path.of(System.getProperty("java.home"), "bin", "java")
-                                    .toString(),
-                            "-XX:+UseSerialGC",
-                            "-XX:TieredStopAtLevel=1",
-                            "-cp",
-                            System.getProperty("java.class.path"),
-                            SnapshotFileTest.class.getName(),
-                            path.toString())
-                    .redirectErrorStream(true)
-                    .start();
-            Path beside = folder.resolve("s.new");
-            long size = 1 + i * 15_000L;
-            // Caught while the new file holds more than so many bytes and is not in its place yet.
-            Program.await(() -> Files.exists(path) && sizeOf(beside) >= size, "a file half written");
-            writer.destroyForcibly().waitFor();
-            List<String> lines = new ArrayList<>();
-            Snapshot read = new SnapshotFile(path).read("reg/", lines::add);
-            assertNotNull(read, lines.toString());
-            assertEquals(2_000, read.items().size());
-            read.items().forEach(item -> assertArrayEquals(("value " + read.revision()).getBytes(), item.value()));
+            killWriterAfter(1 + i * 15_000L);
+
+            Snapshot read = file.readOrMoveAside(PREFIX, log::add);
+
+            assertNotNull(read, log.toString());
+            assertEquals(MANY_HOSTS, read.entries().size());
+            for (RegistryEntry entry : read.entries()) {
+                assertArrayEquals(valueAt(read.revision()), entry.value());
+            }
         }
     }
 
+    /** Kills a writer when its new file has at least so many bytes and has not replaced the old one yet. */
+    private void killWriterAfter(long bytes) throws Exception {
+        String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
+        Process writer = new ProcessBuilder(
+                        java,
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        SnapshotFileTest.class.getName(),
+                        path.toString())
+                .redirectErrorStream(true)
+                .start();
+        Path newFile = folder.resolve("s.new");
+        Program.await(() -> Files.exists(path) && sizeOf(newFile) >= bytes, "a file half written");
+        writer.destroyForcibly().waitFor();
+    }
+
     private static long sizeOf(Path file) {
         try {
             return Files.size(file);
--- /dev/null
+++ b/src/test/java/mintstair/registry/TransportFailureTest.java
@@ -0,0 +1,163 @@
+package mintstair.registry;
+
+import static mintstair.program.Program.await;
+import static mintstair.registry.RecordingClient.config;
+import static mintstair.registry.RegistryFixtures.hostJson;
+import static mintstair.registry.RegistryFixtures.hostKey;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import mintstair.config.RegistryConfig.Kind;
+import mintstair.registry.etcd.EtcdMember;
+import mintstair.standin.ConsulServer;
+import mintstair.standin.RegistryModel;
+import mintstair.standin.Relay;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The client over both transports, against two stand-in servers behind relays that fail: every change arrives all the
+ * same.
+ */
+class TransportFailureTest {
+    private static final long OTHER_CLUSTER_ID = 0xBEEF;
+
+    private final RegistryModel model = new RegistryModel();
+
+    private void putHost(String uid, int version) {
+        model.put(hostKey(uid), hostJson(uid, version));
+    }
+
+    /** One kind of failure, of the server in use and its relay; it stays until it is repaired. */
+    private interface Failure {
+        void begin() throws IOException;
+    }
+
+    @Test
+    void etcdIsFollowedThroughEveryKindOfFailure() throws Exception {
+        model.change(manyHosts(1_200));
+        try (EtcdMember one = new EtcdMember(model);
+                EtcdMember two = new EtcdMember(model);
+                Relay first = new Relay(one.port());
+                Relay second = new Relay(two.port());
+                RecordingClient client = new RecordingClient(config(Kind.ETCD, first.port(), second.port()), 3)) {
+            client.awaitVersion("h1199", 1199);
+            assertTrue(one.reads.get() + two.reads.get() >= 3, "three pages");
+            assertFragmentsArrive(one, two, client);
+
+            for (int kind = 0; kind < 8; kind++) {
+                int server = client.metrics().server();
+                Relay relay = server == 0 ? first : second;
+                EtcdMember member = server == 0 ? one : two;
+                etcdFailures(member, relay, List.of(first, second)).get(kind).begin();
+                putHost("h3", 6000 + kind);
+                client.awaitVersion("h3", 6000 + kind);
+                repair(relay);
+                member.noLeader = false;
+                member.lagsAt = -1;
+                // The next failure meets a watch that has begun.
+                await(() -> client.metrics().ageMicros() < 300_000, "a confirmation after failure " + kind);
+            }
+
+            assertEquals(-1, client.version("h9"), "deleted before a compaction");
+            assertEquals(7000, client.version("h8"));
+            assertEquals(1, client.count("compacted"));
+            assertEquals(OTHER_CLUSTER_ID, client.metrics().clusterId());
+        }
+    }
+
+    private static Map<String, String> manyHosts(int count) {
+        TreeMap<String, String> hosts = new TreeMap<>();
+        for (int i = 0; i < count; i++) {
+            hosts.put(hostKey("h" + i), hostJson("h" + i, i));
+        }
+        return hosts;
+    }
+
+    private void assertFragmentsArrive(EtcdMember one, EtcdMember two, RecordingClient client) {
+        one.fragment = 1;
+        two.fragment = 1;
+        model.change(new TreeMap<>(Map.of(hostKey("h1"), hostJson("h1", 5001), hostKey("h2"), hostJson("h2", 5002))));
+        client.awaitVersion("h2", 5002);
+        assertEquals(5001, client.version("h1"));
+    }
+
+    private List<Failure> etcdFailures(EtcdMember member, Relay relay, List<Relay> allRelays) {
+        return List.of(
+                relay::cut,
+                () -> relay.tear(37),
+                () -> relay.refuse(true),
+                () -> relay.silence(true),
+                () -> member.lagsAt = model.revision,
+                () -> compactBehindALostConnection(relay),
+                () -> member.noLeader = true,
+                () -> restoreAsAnotherCluster(allRelays));
+    }
+
+    private void compactBehindALostConnection(Relay relay) {
+        relay.cut();
+        model.delete(hostKey("h9"));
+        putHost("h8", 7000);
+        model.compact(model.revision);
+    }
+
+    private void restoreAsAnotherCluster(List<Relay> relays) {
+        model.restore(model.revision - 1, OTHER_CLUSTER_ID);
+        for (Relay relay : relays) {
+            relay.cut();
+        }
+    }
+
+    @Test
+    void consulIsFollowedThroughEveryKindOfFailure() throws Exception {
+        putHost("a", 1);
+        try (ConsulServer one = new ConsulServer(model, null);
+                ConsulServer two = new ConsulServer(model, null);
+                Relay first = new Relay(one.port());
+                Relay second = new Relay(two.port());
+                RecordingClient client = new RecordingClient(config(Kind.CONSUL, first.port(), second.port()), 3)) {
+            client.awaitVersion("a", 1);
+
+            for (int kind = 0; kind < 8; kind++) {
+                int index = client.metrics().server();
+                Relay relay = index == 0 ? first : second;
+                ConsulServer server = index == 0 ? one : two;
+                consulFailures(server, relay, client).get(kind).begin();
+                putHost("a", 10 + kind);
+                client.awaitVersion("a", 10 + kind);
+                repair(relay);
+                server.status = 0;
+                server.noLeader = false;
+            }
+
+            assertEquals(1, client.count("set_back"));
+            assertEquals(-1, client.version("gone"));
+        }
+    }
+
+    private List<Failure> consulFailures(ConsulServer server, Relay relay, RecordingClient client) {
+        return List.of(
+                relay::cut,
+                () -> relay.tear(30),
+                () -> relay.refuse(true),
+                () -> relay.silence(true),
+                () -> server.status = 429,
+                () -> server.status = 503,
+                () -> server.noLeader = true,
+                () -> restoreWithoutTheLastHost(client));
+    }
+
+    private void restoreWithoutTheLastHost(RecordingClient client) {
+        putHost("gone", 1);
+        client.awaitVersion("gone", 1);
+        model.restore(model.revision - 3, 0);
+    }
+
+    private static void repair(Relay relay) throws IOException {
+        relay.refuse(false);
+        relay.silence(false);
+    }
+}
--- a/src/test/java/mintstair/registry/etcd/EtcdMember.java
+++ b/src/test/java/mintstair/registry/etcd/EtcdMember.java
@@ -17,15 +17,18 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 import mintstair.registry.etcd.api.AuthenticateRequest;
 import mintstair.registry.etcd.api.AuthenticateResponse;
+import mintstair.registry.etcd.api.Compare;
 import mintstair.registry.etcd.api.Event;
 import mintstair.registry.etcd.api.KeyValue;
 import mintstair.registry.etcd.api.RangeRequest;
@@ -36,26 +39,27 @@
 import mintstair.registry.etcd.api.TxnResponse;
 import mintstair.registry.etcd.api.WatchRequest;
 import mintstair.registry.etcd.api.WatchResponse;
-import mintstair.registry.view.Change;
-import mintstair.registry.view.Item;
+import mintstair.registry.view.EntryChange;
+import mintstair.registry.view.RegistryEntry;
 import mintstair.standin.RegistryModel;
 import mintstair.standin.StandInHost;
 
-/** One member of a stand-in registry on etcd's v3 wire, as the public API describes it; scripted by its fields. */
+/** One member of a stand-in registry with etcd's v3 API, as it is published; scripted by its fields. */
 public final class EtcdMember implements AutoCloseable {
-    /** Run at each call. */
+    /** Runs at each call. */
     public volatile Runnable onCall = () -> {};
 
     public final AtomicInteger reads = new AtomicInteger();
     public final AtomicInteger authenticated = new AtomicInteger();
-    /** The member has come no further than this; negative: it is up to date. */
+    /** The revision that the member lags at; negative where it is up to date. */
     public volatile long lagsAt = -1;
 
     public volatile boolean noLeader;
-    /** Watches are given this many changes a message at most, the rest as fragments. */
+    /** The most changes in one message of a watch; the rest follows in fragments. */
     public volatile int fragment = Integer.MAX_VALUE;
-
+    /** Passwords by user; empty where none is needed. */
     public volatile Map<String, String> users = Map.of();
+
     public final Set<String> tokens = ConcurrentHashMap.newKeySet();
     private final RegistryModel model;
     private final Server server;
@@ -67,56 +71,78 @@
 
     public EtcdMember(RegistryModel model, ServerCredentials credentials) throws IOException {
         this.model = model;
-        ServerServiceDefinition.Builder kv = ServerServiceDefinition.builder("etcdserverpb.KV");
-        kv.addMethod(
-                Etcd.RANGE,
-                ServerCalls.asyncUnaryCall((RangeRequest r, StreamObserver<RangeResponse> out) -> range(r, out)));
-        kv.addMethod(
-                Etcd.TXN, ServerCalls.asyncUnaryCall((TxnRequest r, StreamObserver<TxnResponse> out) -> txn(r, out)));
-        ServerServiceDefinition.Builder watch = ServerServiceDefinition.builder("etcdserverpb.Watch");
-        watch.addMethod(Etcd.WATCH, ServerCalls.asyncBidiStreamingCall(out -> new Stream(out)));
-        ServerServiceDefinition.Builder auth = ServerServiceDefinition.builder("etcdserverpb.Auth");
-        auth.addMethod(
-                Etcd.AUTHENTICATE,
-                ServerCalls.asyncUnaryCall(
-                        (AuthenticateRequest r, StreamObserver<AuthenticateResponse> out) -> authenticate(r, out)));
+        ServerInterceptor admission = new Admission();
         server = OkHttpServerBuilder.forPort(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), credentials)
-                .executor(Executors.newCachedThreadPool(task -> {
-                    Thread thread = new Thread(task, "etcd");
-                    thread.setDaemon(true);
-                    return thread;
-                }))
-                .addService(ServerInterceptors.intercept(kv.build(), new Door()))
-                .addService(ServerInterceptors.intercept(watch.build(), new Door()))
-                .addService(auth.build())
+                .executor(daemonThreads())
+                .addService(ServerInterceptors.intercept(keyValueService(), admission))
+                .addService(ServerInterceptors.intercept(watchService(), admission))
+                .addService(authenticationService())
                 .build()
                 .start();
     }
 
+    private static ExecutorService daemonThreads() {
+        return Executors.newCachedThreadPool(task -> {
+            Thread thread = new Thread(task, "etcd");
+            thread.setDaemon(true);
+            return thread;
+        });
+    }
+
+    private ServerServiceDefinition keyValueService() {
+        return ServerServiceDefinition.builder("etcdserverpb.KV")
+                .addMethod(EtcdApi.RANGE, ServerCalls.asyncUnaryCall(this::range))
+                .addMethod(EtcdApi.TXN, ServerCalls.asyncUnaryCall(this::transaction))
+                .build();
+    }
+
+    private ServerServiceDefinition watchService() {
+        return ServerServiceDefinition.builder("etcdserverpb.Watch")
+                .addMethod(EtcdApi.WATCH, ServerCalls.asyncBidiStreamingCall(WatchStream::new))
+                .build();
+    }
+
+    private ServerServiceDefinition authenticationService() {
+        return ServerServiceDefinition.builder("etcdserverpb.Auth")
+                .addMethod(EtcdApi.AUTHENTICATE, ServerCalls.asyncUnaryCall(this::authenticate))
+                .build();
+    }
+
     public int port() {
         return server.getPort();
     }
 
-    /** Turns away who has no valid token, and everybody while no leader is known. */
-    private final class Door implements ServerInterceptor {
+    /** Rejects calls without a valid token, and all calls while there is no leader. */
+    private final class Admission implements ServerInterceptor {
+        private final Metadata.Key<String> tokenHeader = Metadata.Key.of("token", Metadata.ASCII_STRING_MARSHALLER);
+
         @Override
-        public <A, B> ServerCall.Listener<A> interceptCall(
-                ServerCall<A, B> call, Metadata headers, ServerCallHandler<A, B> next) {
+        public <Q, R> ServerCall.Listener<Q> interceptCall(
+                ServerCall<Q, R> call, Metadata headers, ServerCallHandler<Q, R> next) {
             onCall.run();
-            String token = headers.get(Metadata.Key.of("token", Metadata.ASCII_STRING_MARSHALLER));
-            Status status = !users.isEmpty() && (token == null || !tokens.contains(token))
-                    ? Status.UNAUTHENTICATED.withDescription("etcdserver: invalid auth token")
-                    : noLeader ? Status.UNAVAILABLE.withDescription("etcdserver: no leader") : null;
-            if (status != null) {
-                call.close(status, new Metadata());
-                return new ServerCall.Listener<>() {};
+            Status rejection = rejection(headers.get(tokenHeader));
+            if (rejection == null) {
+                return next.startCall(call, headers);
+            }
+            call.close(rejection, new Metadata());
+            return new ServerCall.Listener<>() {};
+        }
+
+        private Status rejection(String token) {
+            if (!users.isEmpty() && (token == null || !tokens.contains(token))) {
+                return Status.UNAUTHENTICATED.withDescription("etcdserver: invalid auth token");
             }
-            return next.startCall(call, headers);
+            return noLeader ? Status.UNAVAILABLE.withDescription("etcdserver: no leader") : null;
         }
     }
 
-    private void authenticate(AuthenticateRequest r, StreamObserver<AuthenticateResponse> out) {
-        if (!r.getPassword().equals(users.get(r.getName()))) {
+    private static <R> void respond(StreamObserver<R> out, R response) {
+        out.onNext(response);
+        out.onCompleted();
+    }
+
+    private void authenticate(AuthenticateRequest request, StreamObserver<AuthenticateResponse> out) {
+        if (!request.getPassword().equals(users.get(request.getName()))) {
             out.onError(Status.INVALID_ARGUMENT
                     .withDescription("etcdserver: authentication failed, invalid user ID or password")
                     .asRuntimeException());
@@ -124,11 +150,12 @@
         }
         String token = "token" + authenticated.incrementAndGet();
         tokens.add(token);
-        out.onNext(AuthenticateResponse.newBuilder()
-                .setHeader(header())
-                .setToken(token)
-                .build());
-        out.onCompleted();
+        respond(
+                out,
+                AuthenticateResponse.newBuilder()
+                        .setHeader(header())
+                        .setToken(token)
+                        .build());
     }
 
     private ResponseHeader header() {
@@ -145,188 +172,209 @@
         return lagsAt < 0 ? model.revision : Math.min(lagsAt, model.revision);
     }
 
-    private static KeyValue kv(Item item, boolean keysOnly) {
+    private static String text(ByteString key) {
+        return key.toString(StandardCharsets.ISO_8859_1);
+    }
+
+    private static KeyValue keyValue(RegistryEntry entry, boolean keysOnly) {
         return KeyValue.newBuilder()
-                .setKey(Etcd.bytes(item.key()))
-                .setCreateRevision(item.created())
-                .setModRevision(item.modified())
-                .setValue(keysOnly ? ByteString.EMPTY : ByteString.copyFrom(item.value()))
+                .setKey(EtcdMessages.keyBytes(entry.key()))
+                .setCreateRevision(entry.createRevision())
+                .setModRevision(entry.modRevision())
+                .setValue(keysOnly ? ByteString.EMPTY : ByteString.copyFrom(entry.value()))
                 .build();
     }
 
-    private void range(RangeRequest r, StreamObserver<RangeResponse> out) {
+    private void range(RangeRequest request, StreamObserver<RangeResponse> out) {
         reads.incrementAndGet();
-        RangeResponse answer;
+        RangeResponse response;
         synchronized (model) {
-            long at = r.getRevision() == 0 ? model.revision : r.getRevision();
-            if (at < model.compacted || at > model.revision) {
+            long revision = request.getRevision() == 0 ? model.revision : request.getRevision();
+            if (revision < model.compacted || revision > model.revision) {
+                String reason = revision > model.revision ? "is a future revision" : "has been compacted";
                 out.onError(Status.OUT_OF_RANGE
-                        .withDescription(
-                                at > model.revision
-                                        ? "etcdserver: mvcc: required revision is a future revision"
-                                        : "etcdserver: mvcc: required revision has been compacted")
+                        .withDescription("etcdserver: mvcc: required revision " + reason)
                         .asRuntimeException());
                 return;
             }
-            String from = r.getKey().toString(java.nio.charset.StandardCharsets.ISO_8859_1);
-            String end = r.getRangeEnd().isEmpty()
-                    ? from + '\0'
-                    : r.getRangeEnd().toString(java.nio.charset.StandardCharsets.ISO_8859_1);
-            List<Item> all = new ArrayList<>(model.at(at).subMap(from, end).values());
-            int size = r.getLimit() > 0 ? (int) Math.min(r.getLimit(), all.size()) : all.size();
-            RangeResponse.Builder b = RangeResponse.newBuilder()
-                    .setHeader(header())
-                    .setMore(size < all.size())
-                    .setCount(all.size());
-            all.subList(0, size).forEach(item -> b.addKvs(kv(item, r.getKeysOnly())));
-            answer = b.build();
+            response = rangeAt(request, revision);
         }
-        out.onNext(answer);
-        out.onCompleted();
+        respond(out, response);
+    }
+
+    private RangeResponse rangeAt(RangeRequest request, long revision) {
+        String from = text(request.getKey());
+        String end = request.getRangeEnd().isEmpty() ? from + '\0' : text(request.getRangeEnd());
+        List<RegistryEntry> entries =
+                new ArrayList<>(model.at(revision).subMap(from, end).values());
+        int size = request.getLimit() > 0 ? (int) Math.min(request.getLimit(), entries.size()) : entries.size();
+        RangeResponse.Builder response = RangeResponse.newBuilder()
+                .setHeader(header())
+                .setMore(size < entries.size())
+                .setCount(entries.size());
+        for (RegistryEntry entry : entries.subList(0, size)) {
+            response.addKvs(keyValue(entry, request.getKeysOnly()));
+        }
+        return response.build();
     }
 
-    private void txn(TxnRequest r, StreamObserver<TxnResponse> out) {
-        TxnResponse answer;
+    private void transaction(TxnRequest request, StreamObserver<TxnResponse> out) {
+        TxnResponse response;
         synchronized (model) {
-            boolean holds = r.getCompareList().stream().allMatch(c -> {
-                Item item = model.now().get(c.getKey().toString(java.nio.charset.StandardCharsets.ISO_8859_1));
-                return (item == null ? 0 : item.modified()) == c.getModRevision();
-            });
-            for (RequestOp op : holds ? r.getSuccessList() : List.<RequestOp>of()) {
-                if (op.hasRequestPut()) {
-                    model.put(
-                            op.getRequestPut().getKey().toString(java.nio.charset.StandardCharsets.ISO_8859_1),
-                            op.getRequestPut().getValue().toStringUtf8());
-                } else {
-                    model.delete(
-                            op.getRequestDeleteRange().getKey().toString(java.nio.charset.StandardCharsets.ISO_8859_1));
-                }
+            boolean succeeded = request.getCompareList().stream().allMatch(this::holds);
+            if (succeeded) {
+                request.getSuccessList().forEach(this::apply);
             }
-            answer = TxnResponse.newBuilder()
+            response = TxnResponse.newBuilder()
                     .setHeader(header())
-                    .setSucceeded(holds)
+                    .setSucceeded(succeeded)
                     .build();
         }
-        out.onNext(answer);
-        out.onCompleted();
+        respond(out, response);
     }
 
-    /** One watch stream with one watch, served by a thread of its own. */
-    private final class Stream implements StreamObserver<WatchRequest> {
+    private boolean holds(Compare compare) {
+        RegistryEntry entry = model.now().get(text(compare.getKey()));
+        return (entry == null ? 0 : entry.modRevision()) == compare.getModRevision();
+    }
+
+    private void apply(RequestOp operation) {
+        if (operation.hasRequestPut()) {
+            model.put(
+                    text(operation.getRequestPut().getKey()),
+                    operation.getRequestPut().getValue().toStringUtf8());
+        } else {
+            model.delete(text(operation.getRequestDeleteRange().getKey()));
+        }
+    }
+
+    /** A watch stream with one watch, served by a thread of its own. */
+    private final class WatchStream implements StreamObserver<WatchRequest> {
+        private static final long ENDED = Long.MAX_VALUE;
+        private static final int REVISIONS_AT_ONCE = 50;
+
         private final StreamObserver<WatchResponse> out;
-        private boolean progress;
-        private boolean over;
+        private long clusterId;
+        private long nextRevision;
+        private boolean progressRequested;
+        private boolean cancelled;
 
-        Stream(StreamObserver<WatchResponse> out) {
+        WatchStream(StreamObserver<WatchResponse> out) {
             this.out = out;
         }
 
         @Override
-        public void onNext(WatchRequest r) {
-            if (r.hasCreateRequest()) {
-                StandInHost.daemon(() -> serve(r.getCreateRequest().getStartRevision()));
-            } else {
-                synchronized (model) {
-                    progress = true;
-                    model.notifyAll();
-                }
+        public void onNext(WatchRequest request) {
+            if (request.hasCreateRequest()) {
+                StandInHost.daemon(() -> serve(request.getCreateRequest().getStartRevision()));
+                return;
+            }
+            synchronized (model) {
+                progressRequested = true;
+                model.notifyAll();
             }
         }
 
-        private void serve(long from) {
+        private void serve(long startRevision) {
+            nextRevision = startRevision;
+            clusterId = model.cluster;
             try {
-                long next = from;
-                long cluster = model.cluster;
-                out.onNext(WatchResponse.newBuilder()
-                        .setHeader(headerAt(reached()))
-                        .setCreated(true)
-                        .build());
-                while (true) {
-                    List<Change> changes = new ArrayList<>();
-                    WatchResponse answer = null;
-                    synchronized (model) {
-                        while (!over
-                                && !closed
-                                && next > reached()
-                                && !progress
-                                && !noLeader
-                                && cluster == model.cluster
-                                && next <= model.revision + 1) {
-                            model.wait(500);
-                        }
-                        if (over || closed || cluster != model.cluster || next > model.revision + 1) {
-                            out.onError(Status.UNAVAILABLE
-                                    .withDescription("the member ends")
-                                    .asRuntimeException());
-                            return;
-                        }
-                        if (noLeader) {
-                            out.onError(Status.UNAVAILABLE
-                                    .withDescription("etcdserver: no leader")
-                                    .asRuntimeException());
-                            return;
-                        }
-                        if (next <= model.compacted && next <= reached()) {
-                            answer = WatchResponse.newBuilder()
-                                    .setHeader(header())
-                                    .setCanceled(true)
-                                    .setCompactRevision(model.compacted + 1)
-                                    .build();
-                            next = Long.MAX_VALUE;
-                        } else if (next <= reached()) {
-                            for (long end = Math.min(reached(), next + 50); next <= end; next++) {
-                                changes.addAll(model.changes(next));
-                            }
-                        } else {
-                            progress = false;
-                            answer = WatchResponse.newBuilder()
-                                    .setHeader(headerAt(reached()))
-                                    .setWatchId(-1)
-                                    .build();
-                        }
-                    }
-                    if (answer != null) {
-                        out.onNext(answer);
-                        if (answer.getCanceled()) {
-                            out.onCompleted();
-                            return;
-                        }
-                    }
-                    for (int i = 0; i < changes.size(); i += fragment) {
-                        int end = (int) Math.min(changes.size(), (long) i + fragment);
-                        WatchResponse.Builder b = WatchResponse.newBuilder()
-                                .setHeader(headerAt(reached()))
-                                .setFragment(end < changes.size());
-                        changes.subList(i, end)
-                                .forEach(c -> b.addEvents(Event.newBuilder()
-                                        .setType(c.deleted() ? Event.EventType.DELETE : Event.EventType.PUT)
-                                        .setKv(kv(c.item(), false))));
-                        out.onNext(b.build());
+                out.onNext(response().setCreated(true).build());
+                while (nextRevision != ENDED) {
+                    List<EntryChange> changes = new ArrayList<>();
+                    WatchResponse response = awaitResponse(changes);
+                    if (response != null) {
+                        out.onNext(response);
                     }
+                    sendFragments(changes);
                 }
+                out.onCompleted();
+            } catch (WatchFailure failure) {
+                out.onError(
+                        Status.UNAVAILABLE.withDescription(failure.getMessage()).asRuntimeException());
             } catch (InterruptedException | RuntimeException e) {
-                // The client went away.
+                // The client closed the connection.
             }
         }
 
-        private ResponseHeader headerAt(long revision) {
-            return EtcdMember.this.header().toBuilder().setRevision(revision).build();
+        /** Waits until there is something to send: either a response, or changes, which are added to the list. */
+        private WatchResponse awaitResponse(List<EntryChange> changes) throws InterruptedException, WatchFailure {
+            synchronized (model) {
+                while (!isFailed() && !noLeader && !progressRequested && nextRevision > reached()) {
+                    model.wait(500);
+                }
+                if (isFailed()) {
+                    throw new WatchFailure("the member ends");
+                }
+                if (noLeader) {
+                    throw new WatchFailure("etcdserver: no leader");
+                }
+                if (nextRevision > reached()) {
+                    progressRequested = false;
+                    return response().setWatchId(-1).build();
+                }
+                if (nextRevision <= model.compacted) {
+                    nextRevision = ENDED;
+                    return WatchResponse.newBuilder()
+                            .setHeader(header())
+                            .setCanceled(true)
+                            .setCompactRevision(model.compacted + 1)
+                            .build();
+                }
+                long end = Math.min(reached(), nextRevision + REVISIONS_AT_ONCE);
+                for (; nextRevision <= end; nextRevision++) {
+                    changes.addAll(model.changes(nextRevision));
+                }
+                return null;
+            }
+        }
+
+        private boolean isFailed() {
+            return cancelled || closed || clusterId != model.cluster || nextRevision > model.revision + 1;
+        }
+
+        private void sendFragments(List<EntryChange> changes) {
+            for (int from = 0; from < changes.size(); from += fragment) {
+                int to = (int) Math.min(changes.size(), (long) from + fragment);
+                WatchResponse.Builder response = response().setFragment(to < changes.size());
+                for (EntryChange change : changes.subList(from, to)) {
+                    response.addEvents(Event.newBuilder()
+                            .setType(change.deleted() ? Event.EventType.DELETE : Event.EventType.PUT)
+                            .setKv(keyValue(change.entry(), false)));
+                }
+                out.onNext(response.build());
+            }
+        }
+
+        /** A response with the position that this member has reached. */
+        private WatchResponse.Builder response() {
+            return WatchResponse.newBuilder()
+                    .setHeader(header().toBuilder().setRevision(reached()).build());
         }
 
         @Override
-        public void onError(Throwable why) {
+        public void onError(Throwable cause) {
             onCompleted();
         }
 
         @Override
         public void onCompleted() {
             synchronized (model) {
-                over = true;
+                cancelled = true;
                 model.notifyAll();
             }
         }
     }
 
+    /** The member ends a watch with an error. */
+    private static final class WatchFailure extends Exception {
+        private static final long serialVersionUID = 1L;
+
+        WatchFailure(String message) {
+            super(message);
+        }
+    }
+
     @Override
     public void close() {
         closed = true;
--- a/src/test/java/mintstair/standin/ConsulServer.java
+++ b/src/test/java/mintstair/standin/ConsulServer.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Collectors;
 import javax.net.ssl.SSLContext;
-import mintstair.registry.view.Item;
+import mintstair.registry.view.RegistryEntry;
 
 /** A stand-in of Consul's HTTP API: recursive blocking reads, check-and-set, the leader; scripted by its fields. */
 public final class ConsulServer implements AutoCloseable {
@@ -77,8 +77,8 @@
         } else {
             boolean done;
             synchronized (model) {
-                Item item = model.now().get(key);
-                done = (item == null ? 0 : item.modified()) == Long.parseLong(parameter(query, "cas"));
+                RegistryEntry item = model.now().get(key);
+                done = (item == null ? 0 : item.modRevision()) == Long.parseLong(parameter(query, "cas"));
                 if (done && exchange.getRequestMethod().equals("PUT")) {
                     model.put(key, new String(body, StandardCharsets.UTF_8));
                 } else if (done) {
@@ -91,7 +91,7 @@
 
     private void read(HttpExchange exchange, String key, String query) throws IOException {
         String known = parameter(query, "index");
-        List<Item> items;
+        List<RegistryEntry> items;
         synchronized (model) {
             long end = System.nanoTime() + 4_000_000_000L;
             while (!known.isEmpty()
@@ -122,8 +122,8 @@
                                 .map(i -> "{\"Key\":\"" + i.key()
                                         + "\",\"Value\":\""
                                         + Base64.getEncoder().encodeToString(i.value()) + "\",\"CreateIndex\":"
-                                        + i.created()
-                                        + ",\"ModifyIndex\":" + i.modified() + ",\"Flags\":0,\"LockIndex\":0}")
+                                        + i.createRevision()
+                                        + ",\"ModifyIndex\":" + i.modRevision() + ",\"Flags\":0,\"LockIndex\":0}")
                                 .collect(Collectors.joining(",", "[", "]")));
     }
 
--- a/src/test/java/mintstair/standin/RegistryModel.java
+++ b/src/test/java/mintstair/standin/RegistryModel.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import mintstair.registry.view.Change;
-import mintstair.registry.view.Item;
+import mintstair.registry.view.EntryChange;
+import mintstair.registry.view.RegistryEntry;
 
 /** A key-value registry's history, as its API describes it: one revision a transaction, compaction, another history after a restore. */
 public final class RegistryModel {
@@ -15,11 +15,11 @@
     public long revision = 1;
     public long compacted;
     /** The changes of each revision from the first on, the compacted ones too: they are only not given out any more. */
-    private List<List<Change>> history = new ArrayList<>(List.of(List.of(), List.of()));
+    private List<List<EntryChange>> history = new ArrayList<>(List.of(List.of(), List.of()));
 
-    private TreeMap<String, Item> now = new TreeMap<>();
+    private TreeMap<String, RegistryEntry> now = new TreeMap<>();
     private long cachedAt = -1;
-    private TreeMap<String, Item> cached;
+    private TreeMap<String, RegistryEntry> cached;
 
     /** Its history as it is now, for one who remembers it after a restore. */
     public synchronized RegistryModel copy() {
@@ -33,17 +33,17 @@
     /** One transaction; a null value deletes. */
     public synchronized long change(Map<String, String> values) {
         long at = revision + 1;
-        List<Change> changes = new ArrayList<>();
+        List<EntryChange> changes = new ArrayList<>();
         values.forEach((key, value) -> {
-            Item before = now.get(key);
+            RegistryEntry before = now.get(key);
             if (value != null) {
-                Item item = new Item(
-                        key, value.getBytes(StandardCharsets.UTF_8), before == null ? at : before.created(), at);
+                RegistryEntry item = new RegistryEntry(
+                        key, value.getBytes(StandardCharsets.UTF_8), before == null ? at : before.createRevision(), at);
                 now.put(key, item);
-                changes.add(new Change(false, item));
+                changes.add(new EntryChange(false, item));
             } else if (before != null) {
                 now.remove(key);
-                changes.add(new Change(true, new Item(key, new byte[0], 0, at)));
+                changes.add(new EntryChange(true, new RegistryEntry(key, new byte[0], 0, at)));
             }
         });
         if (!changes.isEmpty()) {
@@ -80,23 +80,23 @@
         notifyAll();
     }
 
-    public synchronized TreeMap<String, Item> now() {
+    public synchronized TreeMap<String, RegistryEntry> now() {
         return new TreeMap<>(now);
     }
 
     /** What there was at a revision. */
-    public synchronized TreeMap<String, Item> at(long at) {
+    public synchronized TreeMap<String, RegistryEntry> at(long at) {
         if (at == revision) {
             return now;
         }
         if (cachedAt != at) {
             cached = new TreeMap<>();
             for (int r = 0; r <= at; r++) {
-                for (Change c : history.get(r)) {
+                for (EntryChange c : history.get(r)) {
                     if (c.deleted()) {
-                        cached.remove(c.item().key());
+                        cached.remove(c.entry().key());
                     } else {
-                        cached.put(c.item().key(), c.item());
+                        cached.put(c.entry().key(), c.entry());
                     }
                 }
             }
@@ -106,7 +106,7 @@
     }
 
     /** The changes of one revision. */
-    public synchronized List<Change> changes(long at) {
+    public synchronized List<EntryChange> changes(long at) {
         return history.get((int) at);
     }
 }
