--- a/src/main/java/mintstair/registry/RegistryChangePrinter.java
+++ b/src/main/java/mintstair/registry/RegistryChangePrinter.java
@@ -51,6 +51,15 @@
     /** A host on one line, without its name. */
     static String describe(EndpointList.Entry entry) {
         String role = entry.primary() ? " primary" : "";
-        return entry.state() + " " + entry.endpoint() + " group=" + entry.cluster() + role;
+        return stateName(entry.state()) + " " + entry.endpoint() + " group=" + entry.cluster() + role;
+    }
+
+    /** The state as operators know it, by the names of the list's own format. */
+    private static String stateName(EndpointList.State state) {
+        return switch (state) {
+            case SERVING -> "SERVING";
+            case DRAINING -> "DRAINING";
+            case REMOVED -> "DELETED";
+        };
     }
 }
