--- a/src/main/java/mintstair/registry/view/EndpointTable.java
+++ b/src/main/java/mintstair/registry/view/EndpointTable.java
@@ -193,7 +193,7 @@
 
     /** Adds a row to the totals, or removes it with {@code sign} -1. */
     private void addToTotals(String key, Row row, int sign) {
-        bytes += sign * (key.length() + row.valueBytes());
+        bytes += (long) sign * (key.length() + row.valueBytes());
         if (row.host != null) {
             hosts += sign;
             digest += sign * digestOf(key, row.host);
--- a/src/test/java/mintstair/discovery/EndpointWatchTest.java
+++ b/src/test/java/mintstair/discovery/EndpointWatchTest.java
@@ -8,6 +8,7 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.CopyOnWriteArrayList;
@@ -68,7 +69,7 @@
         String body = script.respond(queries.size(), query);
         exchange.sendResponseHeaders(body == null ? 503 : 200, body == null ? -1 : body.length());
         if (body != null) {
-            exchange.getResponseBody().write(body.getBytes());
+            exchange.getResponseBody().write(body.getBytes(StandardCharsets.UTF_8));
         }
         exchange.close();
     }
--- a/src/test/java/mintstair/registry/RegistryCommandTest.java
+++ b/src/test/java/mintstair/registry/RegistryCommandTest.java
@@ -12,6 +12,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import mintstair.config.ConfigException;
 import mintstair.config.RegistryConfig;
@@ -55,7 +56,7 @@
     }
 
     private String valueOf(String uid) {
-        return new String(model.now().get(hostKey(uid)).value());
+        return new String(model.now().get(hostKey(uid)).value(), StandardCharsets.UTF_8);
     }
 
     @ParameterizedTest
@@ -97,14 +98,14 @@
     @EnumSource(Kind.class)
     void entryThatWasChangedAfterItWasReadIsNotOverwritten(Kind kind) throws Exception {
         try (RegistryEditor editor = RegistryClient.editor(configOf(kind))) {
-            assertTrue(editor.put(hostKey("a"), hostJson("a", 1).getBytes(), 0));
+            assertTrue(editor.put(hostKey("a"), hostJson("a", 1).getBytes(StandardCharsets.UTF_8), 0));
             long readRevision = editor.get(hostKey("a")).modRevision();
             model.put(hostKey("a"), hostJson("a", 2));
 
-            assertFalse(editor.put(hostKey("a"), hostJson("a", 3).getBytes(), readRevision));
+            assertFalse(editor.put(hostKey("a"), hostJson("a", 3).getBytes(StandardCharsets.UTF_8), readRevision));
             assertFalse(editor.delete(hostKey("a"), readRevision));
 
-            assertEquals(hostJson("a", 2), new String(editor.get(hostKey("a")).value()));
+            assertEquals(hostJson("a", 2), new String(editor.get(hostKey("a")).value(), StandardCharsets.UTF_8));
             assertTrue(editor.delete(hostKey("a"), editor.get(hostKey("a")).modRevision()));
             assertNull(editor.get(hostKey("a")));
         }
--- a/src/test/java/mintstair/registry/SnapshotFileTest.java
+++ b/src/test/java/mintstair/registry/SnapshotFileTest.java
@@ -8,6 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -46,7 +47,7 @@
     }
 
     private static byte[] valueAt(long revision) {
-        return ("value " + revision).getBytes();
+        return ("value " + revision).getBytes(StandardCharsets.UTF_8);
     }
 
     /** Writes one snapshot after the other until it is killed. */
--- a/src/test/java/mintstair/registry/ViewMirror.java
+++ b/src/test/java/mintstair/registry/ViewMirror.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
+import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
@@ -56,7 +57,7 @@
     }
 
     private boolean matches(String uid, RegistryEntry entry) {
-        String value = new String(entry.value());
+        String value = new String(entry.value(), StandardCharsets.UTF_8);
         if (!value.startsWith("{")) {
             return true;
         }
@@ -85,8 +86,8 @@
 
     static String describe(Map<String, RegistryEntry> entries) {
         Map<String, String> versions = new TreeMap<>();
-        entries.forEach(
-                (key, entry) -> versions.put(uidOf(key), new String(entry.value()).replaceAll(".*boot_ms", "")));
+        entries.forEach((key, entry) -> versions.put(
+                uidOf(key), new String(entry.value(), StandardCharsets.UTF_8).replaceAll(".*boot_ms", "")));
         return versions.toString();
     }
 }
