--- a/src/main/java/mintstair/backend/HostConnection.java
+++ b/src/main/java/mintstair/backend/HostConnection.java
@@ -64,8 +64,6 @@
     /** Whether the last byte of the request was written; set by the network thread. */
     private volatile boolean written;
 
-    private final Runnable onWritten = () -> written = true;
-
     private long idleSinceMicros;
     /** How long it had been idle before the current attempt. */
     private long idleBeforeAttemptMicros;
@@ -157,7 +155,12 @@
     private void write(byte[] request, boolean countsAsAttempt) {
         parser.requestSent(request);
         transcript.said(true, request);
-        connector.write(connection, request, countsAsAttempt, onWritten);
+        connector.write(connection, request, countsAsAttempt, this::requestWritten);
+    }
+
+    /** The last byte of the request was written; on the network thread. */
+    private void requestWritten() {
+        written = true;
     }
 
     /** Closes it without notice to its pool. */
--- a/src/main/java/mintstair/backend/IdleReusePolicy.java
+++ b/src/main/java/mintstair/backend/IdleReusePolicy.java
@@ -55,7 +55,7 @@
         double brokenBefore = 0;
         for (int bucket = 0; bucket < BUCKETS; bucket++) {
             if (bucket >= FIRST_AVOIDABLE_BUCKET && breaksMoreOften(bucket, brokenBefore / usedBefore)) {
-                return FIRST_BUCKET_MICROS << bucket - 1;
+                return FIRST_BUCKET_MICROS << (bucket - 1);
             }
             usedBefore += used[bucket];
             brokenBefore += broken[bucket];
--- a/src/main/java/mintstair/backend/pg/PgReplyParser.java
+++ b/src/main/java/mintstair/backend/pg/PgReplyParser.java
@@ -207,7 +207,7 @@
     }
 
     private static int int16(byte[] bytes, int offset) {
-        return (bytes[offset] & 255) << 8 | bytes[offset + 1] & 255;
+        return ((bytes[offset] & 255) << 8) | (bytes[offset + 1] & 255);
     }
 
     private static int int32(byte[] bytes, int offset) {
--- a/src/main/java/mintstair/front/ClientSession.java
+++ b/src/main/java/mintstair/front/ClientSession.java
@@ -27,7 +27,6 @@
     private static final long LINGER_TIMEOUT_MICROS = 250_000;
 
     private static final long NEVER = Long.MAX_VALUE;
-    private static final Runnable NOTHING = () -> {};
 
     private final Front front;
     private final Connection<?> connection;
@@ -377,7 +376,7 @@
     }
 
     protected final void write(byte[] message) {
-        write(message, NOTHING);
+        write(message, () -> {});
     }
 
     private void write(byte[] bytes, Runnable onWritten) {
--- a/src/main/java/mintstair/front/SessionInput.java
+++ b/src/main/java/mintstair/front/SessionInput.java
@@ -51,6 +51,8 @@
     }
 
     /** Passes the bytes on to the event loop, or discards them; on the network thread. */
+    // Only the network thread writes these counts, so that a plain increment of a volatile one loses none.
+    @SuppressWarnings("NonAtomicVolatileUpdate")
     void read(ByteBuffer bytes) {
         int length = bytes.remaining();
         if (discarding) {
--- a/src/main/java/mintstair/front/pg/PgStatement.java
+++ b/src/main/java/mintstair/front/pg/PgStatement.java
@@ -71,7 +71,7 @@
     private static void checkCharacters(String query) {
         for (int i = 0; i < query.length(); i++) {
             char c = query.charAt(i);
-            if (c < ' ' && c != '\n' && c != '\r' && c != '\t' || c >= 127) {
+            if ((c < ' ' && c != '\n' && c != '\r' && c != '\t') || c >= 127) {
                 throw new ProtocolException("a statement is plain text, with values in hexadecimal");
             }
         }
--- a/src/main/java/mintstair/wire/Framer.java
+++ b/src/main/java/mintstair/wire/Framer.java
@@ -110,9 +110,9 @@
 
     /** A 32-bit number, big-endian. */
     protected static int int32(byte[] bytes, int offset) {
-        return (bytes[offset] & 255) << 24
-                | (bytes[offset + 1] & 255) << 16
-                | (bytes[offset + 2] & 255) << 8
-                | bytes[offset + 3] & 255;
+        return ((bytes[offset] & 255) << 24)
+                | ((bytes[offset + 1] & 255) << 16)
+                | ((bytes[offset + 2] & 255) << 8)
+                | (bytes[offset + 3] & 255);
     }
 }
