--- a/src/test/java/mintstair/pins/MetricNamesTest.java
+++ b/src/test/java/mintstair/pins/MetricNamesTest.java
@@ -16,10 +16,11 @@
 import mintstair.front.ClientCloseReason;
 import mintstair.program.Program;
 import mintstair.registry.etcd.EtcdMember;
-import mintstair.registry.view.Event;
-import mintstair.registry.view.Limits;
+import mintstair.registry.view.RegistryEvent;
+import mintstair.registry.view.ViewLimits;
+import mintstair.registry.view.RegistryKeys;
 import mintstair.registry.view.RegistryView;
-import mintstair.registry.view.Times;
+import mintstair.registry.view.ViewTimeouts;
 import mintstair.registry.view.WatchView;
 import mintstair.request.ConnectionEnd;
 import mintstair.standin.Client;
@@ -36,7 +37,7 @@
 /** The names of all figures and counters, as those who collect them read them. */
 class MetricNamesTest {
     private static final long AHEAD = System.currentTimeMillis() + 3_600_000;
-    /** MetricsSnapshot that are there only once there was something to count. */
+    /** Metrics that are there only once there was something to count. */
     private static final String COUNTED = "/pins/telemetry-counted.txt";
 
     private static final Pattern COUNTER = Pattern.compile("([a-z_]+)=(\\{[^}]*\\}|-?\\d+)");
@@ -134,26 +135,26 @@
     /** The counts of a registry's view all of whose calls break, for each reason once. */
     private static List<String> breaks() {
         RegistryView view = new WatchView(
-                new mintstair.registry.view.Names("reg/", List.of("postgresql")),
-                new Limits(60, 200, 300, 5, 10_000, 2_000),
-                Times.USUAL,
+                new RegistryKeys("reg/", List.of("postgresql")),
+                new ViewLimits(60, 200, 300, 5, 10_000, 2_000),
+                ViewTimeouts.DEFAULT,
                 3,
                 1);
         long now = 1_000_000_000;
         view.start(now, null);
-        for (Event.Reason reason : Event.Reason.values()) {
+        for (RegistryEvent.Reason reason : RegistryEvent.Reason.values()) {
             for (long call = 0;
-                    !view.figures(now)
+                    !view.metrics(now)
                             .counts()
                             .containsKey("breaks_" + reason.name().toLowerCase(java.util.Locale.ROOT));
                     call++) {
                 assertTrue(call < 1_000, "no call that " + reason + " ends");
-                view.on(now, new Event.Ended(call, reason, "for the test"));
+                view.on(now, new RegistryEvent.CallFailed(call, reason, "for the test"));
             }
             now = Math.max(now, view.wakeAt());
             view.tick(now);
         }
-        return view.figures(now).counts().keySet().stream()
+        return view.metrics(now).counts().keySet().stream()
                 .filter(name -> name.startsWith("breaks_"))
                 .toList();
     }
--- a/src/test/java/mintstair/pins/StoredData.java
+++ b/src/test/java/mintstair/pins/StoredData.java
@@ -16,7 +16,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Stream;
-import mintstair.registry.view.Item;
+import mintstair.registry.view.RegistryEntry;
 import mintstair.registry.view.Snapshot;
 import mintstair.traffic.RecordedExchange;
 
@@ -78,19 +78,19 @@
     }
 
     static Snapshot registry() {
-        List<Item> items = new ArrayList<>();
+        List<RegistryEntry> items = new ArrayList<>();
         for (int host = 0; host < 3; host++) {
             String value = "{\"uid\":\"p" + host + "\",\"endpoint\":\"127.0.0.1:" + (6001 + host)
                     + "\",\"az\":\"a\",\"pod_group\":1," + "\"state\":\"SERVING\",\"rank\":\""
                     + (host == 0 ? "source" : "copy") + "\"}";
-            items.add(new Item(
+            items.add(new RegistryEntry(
                     PREFIX + "postgresql/hosts/p" + host,
                     value.getBytes(StandardCharsets.UTF_8),
                     2 + host,
                     REVISION - host));
         }
-        items.add(new Item(PREFIX + "postgresql/hosts/\u00e9\u00ff", new byte[] {0, -1, 10, 13, 127, -128}, 9, 10));
-        items.add(new Item(PREFIX + "settings", new byte[0], 11, 12));
+        items.add(new RegistryEntry(PREFIX + "postgresql/hosts/\u00e9\u00ff", new byte[] {0, -1, 10, 13, 127, -128}, 9, 10));
+        items.add(new RegistryEntry(PREFIX + "settings", new byte[0], 11, 12));
         return new Snapshot(PREFIX, CLUSTER, REVISION, TERM, HEARD, items);
     }
 
--- a/src/test/java/mintstair/pins/StoredDataTest.java
+++ b/src/test/java/mintstair/pins/StoredDataTest.java
@@ -21,7 +21,7 @@
 import mintstair.pcap.Rotation;
 import mintstair.pcap.TrafficLog;
 import mintstair.registry.SnapshotFile;
-import mintstair.registry.view.Item;
+import mintstair.registry.view.RegistryEntry;
 import mintstair.registry.view.Snapshot;
 import mintstair.store.Store;
 import mintstair.traffic.RecordedExchange;
@@ -100,27 +100,27 @@
         Path kept = StoredData.copy(StoredData.REGISTRY, folder);
         byte[] before = Files.readAllBytes(kept);
         List<String> lines = new ArrayList<>();
-        Snapshot read = new SnapshotFile(kept).read(StoredData.PREFIX, lines::add);
+        Snapshot read = new SnapshotFile(kept).readOrMoveAside(StoredData.PREFIX, lines::add);
         assertEquals(List.of(), lines);
         Snapshot written = StoredData.registry();
         assertEquals(written.prefix(), read.prefix());
         assertEquals(
-                List.of(written.cluster(), written.revision(), written.term(), written.heard()),
-                List.of(read.cluster(), read.revision(), read.term(), read.heard()));
-        assertEquals(written.items().size(), read.items().size());
-        for (int item = 0; item < written.items().size(); item++) {
-            assertItem(written.items().get(item), read.items().get(item));
+                List.of(written.clusterId(), written.revision(), written.term(), written.confirmedAtMicros()),
+                List.of(read.clusterId(), read.revision(), read.term(), read.confirmedAtMicros()));
+        assertEquals(written.entries().size(), read.entries().size());
+        for (int item = 0; item < written.entries().size(); item++) {
+            assertItem(written.entries().get(item), read.entries().get(item));
         }
         new SnapshotFile(kept).write(read);
         assertArrayEquals(before, Files.readAllBytes(kept), "written again it is the same");
     }
 
-    private static void assertItem(Item written, Item read) {
+    private static void assertItem(RegistryEntry written, RegistryEntry read) {
         assertEquals(written.key(), read.key());
         assertArrayEquals(written.value(), read.value(), written.key());
         assertEquals(
-                List.of(written.created(), written.modified()),
-                List.of(read.created(), read.modified()),
+                List.of(written.createRevision(), written.modRevision()),
+                List.of(read.createRevision(), read.modRevision()),
                 written.key());
     }
 
