--- a/src/main/java/mintstair/adapter/Wire.java
+++ b/src/main/java/mintstair/adapter/Wire.java
@@ -189,7 +189,7 @@
         ReplicationRole role = (mark & 3) == 1
                 ? ReplicationRole.PRIMARY
                 : (mark & 3) == 2 ? ReplicationRole.REPLICA : ReplicationRole.UNKNOWN;
-        long position = mark >> 2 == 0 ? Positions.UNKNOWN : to.env.positionZero + (mark >> 2) * 1000;
+        long position = mark >> 2 == 0 ? Positions.UNKNOWN : to.env.positionZeroMicros + (mark >> 2) * 1000;
         to.router.onAttemptEnded(now, new AttemptResult(id, attempt, host, outcome, latency, finished, role, position));
     }
 
@@ -213,7 +213,7 @@
         for (t = in.nextToken(); t != JsonToken.END_ARRAY && t != null; t = in.nextToken(), i++) {
             Object field = i < env.reportFields.size() ? env.reportFields.get(i) : "";
             if (t.isNumeric() && field.equals("x0")) {
-                position = env.positionZero + InstanceSettings.toMicros(in.getDoubleValue());
+                position = env.positionZeroMicros + InstanceSettings.toMicros(in.getDoubleValue());
             } else if (t.isNumeric() && field.equals("x1")) {
                 role = in.getDoubleValue() == 1 ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA;
             }
--- a/src/main/java/mintstair/config/InstanceSettings.java
+++ b/src/main/java/mintstair/config/InstanceSettings.java
@@ -1,6 +1,7 @@
 package mintstair.config;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -14,171 +15,207 @@
 import mintstair.decision.RouterSettings;
 import mintstair.decision.Tenant;
 
-/** The start-up settings of one instance: from the wire's object to the module's records. */
+/**
+ * The settings of one proxy, read from the platform's object {@code settings}. Here its keys are turned into the
+ * terms of the code, and times in seconds into microseconds. Immutable.
+ *
+ * <p>Settings are lenient, as the platform may add to them: a key that is missing or of another type has its default
+ * value. What must be there is checked by {@link SettingsCheck}.
+ */
 public final class InstanceSettings {
+    /** The settings of the decision module. */
     public final RouterSettings settings;
-    public final Map<String, Integer> classes = new LinkedHashMap<>();
-    /** How many proxies share the hosts and their list, this one included. */
-    public final int proxies;
-    /** Whether an agent on this machine is sent the list, rather than all proxies asking one service. */
+    /** The index of each request class in {@code settings.classes()}, by its name, in the order of the settings. */
+    public final Map<String, Integer> classes;
+    /** The index of each tenant in {@code settings.tenants()}, by its name. */
+    public final Map<String, Integer> tenants;
+    /** How many proxies share the hosts and the endpoint list, this one included: {@code balancers}. */
+    public final int fleetSize;
+    /**
+     * Whether an agent on this machine has the endpoint list pushed to it, {@code "discovery": "automatic"}, rather
+     * than all proxies polling one service.
+     */
     public final boolean listPushed;
-    /** For so long a host may still be sent to once it is told to leave, in microseconds. */
-    public final long drainGrace;
-
-    public final Map<String, Integer> tenants = new LinkedHashMap<>();
-    public final long positionZero;
+    /** For so long a host may still be sent requests after it began to drain: {@code invariants.drainGraceS}. */
+    public final long drainGraceMicros;
+    /** What replication positions in replies count from: {@code familyInfo.positionZeroS}. */
+    public final long positionZeroMicros;
+    /** The names of the fields of a host's report, in their order: {@code report.fields}. */
     public final List<?> reportFields;
-    /** After this long without use a host may close a connection, in microseconds. */
-    public final long connectionIdle;
-    /** A connection that is not up by then counts as never made, in microseconds. */
-    public final long connectTimeout;
-
-    public InstanceSettings(Map<?, ?> env) {
-        Map<?, ?> info = map(env, "familyInfo");
-        Map<?, ?> prices = map(env, "prices");
-        List<RequestClass> kinds = new ArrayList<>();
-        for (Object each : list(env, "classes")) {
-            Map<?, ?> c = (Map<?, ?>) each;
-            classes.put(string(c, "name", ""), kinds.size());
-            kinds.add(requestClass(c, info, kinds.size()));
-        }
-        List<Tenant> shares = new ArrayList<>();
-        for (Object each : list(env, "tenants")) {
-            Map<?, ?> t = (Map<?, ?>) each;
-            tenants.put(string(t, "name", ""), shares.size());
-            shares.add(new Tenant(string(t, "name", ""), number(t, "quotaRps", 0)));
-        }
-        positionZero = micros(info, "positionZeroS", 0);
-        Map<?, ?> report = map(env, "report");
-        reportFields = list(report, "fields");
-        connectionIdle = micros(map(env, "limits"), "connIdleS", 15);
-        connectTimeout = micros(map(env, "limits"), "connectTimeoutS", 0.25);
-        proxies = (int) number(env, "balancers", 1);
-        listPushed = string(env, "discovery", "").equals("automatic");
-        settings = new RouterSettings(
-                proxies,
-                (int) number(env, "position", 0),
-                string(env, "locality", ""),
-                kinds,
-                shares,
-                number(env, "overShareWorth", 1),
-                string(info, "sessionMarks", "").equals("remembered"),
-                check(string(info, "serverChecks", "none")),
-                truth(info, "tellsPosition", false),
-                string(info, "listRole", "none").equals("late"),
-                string(env, "discovery", "").equals("subscribe"),
-                truth(map(env, "clients"), "marksRetry", false),
-                number(prices, "probe", 0),
-                number(prices, "crossZone", 0),
-                protection(map(env, "invariants")),
-                limits(map(env, "limits")));
-        drainGrace = settings.protection().drainGraceMicros();
+    /** After this long without use a host may close a connection: {@code limits.connIdleS}. */
+    public final long connectionIdleMicros;
+    /** A connection that is not up by then counts as failed: {@code limits.connectTimeoutS}. */
+    public final long connectTimeoutMicros;
+
+    /**
+     * Reads the settings.
+     *
+     * @param json the object {@code settings}, as {@link Json} reads it
+     * @throws ConfigException where a word is unknown
+     */
+    public InstanceSettings(Map<?, ?> json) {
+        JsonObject root = JsonObject.root(json);
+        JsonObject info = root.object("familyInfo");
+        JsonObject limits = root.object("limits");
+        Map<String, Integer> classIndexes = new LinkedHashMap<>();
+        List<RequestClass> requestClasses = requestClasses(root, info, classIndexes);
+        classes = Collections.unmodifiableMap(classIndexes);
+        Map<String, Integer> tenantIndexes = new LinkedHashMap<>();
+        List<Tenant> quotas = tenants(root, tenantIndexes);
+        tenants = Collections.unmodifiableMap(tenantIndexes);
+        positionZeroMicros = info.micros("positionZeroS", 0);
+        reportFields = root.object("report").list("fields");
+        connectionIdleMicros = limits.micros("connIdleS", 15);
+        connectTimeoutMicros = limits.micros("connectTimeoutS", 0.25);
+        fleetSize = (int) root.number("balancers", 1);
+        listPushed = root.text("discovery", "").equals("automatic");
+        settings = routerSettings(root, fleetSize, requestClasses, quotas);
+        drainGraceMicros = settings.protection().drainGraceMicros();
     }
 
-    /** The longest time, in microseconds, that a request of any class may wait. */
-    public long longestDeadline() {
+    /** The longest time that a request of any class may take; 0 without classes. */
+    public long longestDeadlineMicros() {
         return settings.classes().stream()
                 .mapToLong(RequestClass::deadlineMicros)
                 .max()
                 .orElse(0);
     }
 
-    private static RequestClass requestClass(Map<?, ?> c, Map<?, ?> info, int index) {
-        Idempotency idempotency = switch (string(c, "repeat", "at_most_once")) {
+    /** Seconds, as the platform has all times, in microseconds. */
+    public static long toMicros(double seconds) {
+        return JsonObject.toMicros(seconds);
+    }
+
+    private static List<RequestClass> requestClasses(JsonObject root, JsonObject info, Map<String, Integer> indexes) {
+        List<RequestClass> requestClasses = new ArrayList<>();
+        for (Object element : root.list("classes")) {
+            JsonObject json = JsonObject.root((Map<?, ?>) element);
+            int index = requestClasses.size();
+            indexes.put(json.text("name", ""), index);
+            requestClasses.add(requestClass(json, info, index));
+        }
+        return requestClasses;
+    }
+
+    /** Consistency and staleness of a class stand in lists of their own, in the order of the classes. */
+    private static RequestClass requestClass(JsonObject json, JsonObject info, int index) {
+        Idempotency idempotency = idempotency(json);
+        DeduplicationScope deduplicationScope = deduplicationScope(json);
+        Consistency consistency = consistency(info.list("consistency"), index);
+        return new RequestClass(
+                json.text("name", ""),
+                consistency,
+                idempotency,
+                deduplicationScope,
+                maxStalenessMicros(info.list("classBoundS"), index),
+                json.micros("sloS", 1), // latency objective
+                json.micros("deadlineS", 1),
+                json.micros("windowS", 0), // deduplication window
+                json.number("worth", 1), // priority weight
+                json.number("lateValue", 0));
+    }
+
+    private static Idempotency idempotency(JsonObject requestClass) {
+        return switch (requestClass.text("repeat", "at_most_once")) {
             case "idempotent" -> Idempotency.IDEMPOTENT;
             case "deduplicated" -> Idempotency.IDEMPOTENCY_KEY;
             case "at_most_once" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new ConfigException("unknown repeat " + c.get("repeat"));
+            default -> throw requestClass.error("repeat", "unknown repeat " + requestClass.get("repeat"));
         };
-        DeduplicationScope deduplicationScope = switch (string(c, "group", "all")) {
+    }
+
+    /** Which hosts share the idempotency keys that they have seen. */
+    private static DeduplicationScope deduplicationScope(JsonObject requestClass) {
+        return switch (requestClass.text("group", "all")) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.GROUP;
-            default -> throw new ConfigException("unknown group " + c.get("group"));
+            default -> throw requestClass.error("group", "unknown group " + requestClass.get("group"));
         };
-        List<?> needs = list(info, "consistency");
-        Consistency consistency = switch (index < needs.size() ? String.valueOf(needs.get(index)) : "any") {
+    }
+
+    private static Consistency consistency(List<?> words, int index) {
+        return switch (index < words.size() ? String.valueOf(words.get(index)) : "any") {
             case "write" -> Consistency.WRITE;
             case "fresh" -> Consistency.STRONG;
             case "session" -> Consistency.SESSION;
             case "bounded" -> Consistency.BOUNDED_STALENESS;
             case "any" -> Consistency.EVENTUAL;
-            default -> throw new ConfigException("unknown consistency " + needs.get(index));
+            default -> throw ConfigException.at("familyInfo.consistency", "unknown consistency " + words.get(index));
         };
-        List<?> bounds = list(info, "classBoundS");
-        long bound = index < bounds.size() ? toMicros(((Number) bounds.get(index)).doubleValue()) : 0;
-        return new RequestClass(
-                string(c, "name", ""),
-                consistency,
-                idempotency,
-                deduplicationScope,
-                bound,
-                micros(c, "sloS", 1),
-                micros(c, "deadlineS", 1),
-                micros(c, "windowS", 0),
-                number(c, "worth", 1),
-                number(c, "lateValue", 0));
     }
 
-    private static ReplicaReadCheck check(String word) {
+    private static long maxStalenessMicros(List<?> seconds, int index) {
+        return index < seconds.size() ? toMicros(((Number) seconds.get(index)).doubleValue()) : 0;
+    }
+
+    private static List<Tenant> tenants(JsonObject root, Map<String, Integer> indexes) {
+        List<Tenant> tenants = new ArrayList<>();
+        for (Object element : root.list("tenants")) {
+            JsonObject json = JsonObject.root((Map<?, ?>) element);
+            String name = json.text("name", "");
+            indexes.put(name, tenants.size());
+            tenants.add(new Tenant(name, json.number("quotaRps", 0)));
+        }
+        return tenants;
+    }
+
+    private static RouterSettings routerSettings(
+            JsonObject root, int fleetSize, List<RequestClass> requestClasses, List<Tenant> tenants) {
+        JsonObject info = root.object("familyInfo");
+        JsonObject prices = root.object("prices");
+        return new RouterSettings(
+                fleetSize,
+                (int) root.number("position", 0),
+                root.text("locality", ""),
+                requestClasses,
+                tenants,
+                root.number("overShareWorth", 1), // priority weight of a tenant above its quota
+                info.text("sessionMarks", "").equals("remembered"),
+                replicaReadCheck(info),
+                info.flag("tellsPosition", false),
+                info.text("listRole", "none").equals("late"),
+                root.text("discovery", "").equals("subscribe"),
+                root.object("clients").flag("marksRetry", false),
+                prices.number("probe", 0), // cost of a health check
+                prices.number("crossZone", 0),
+                protection(root.object("invariants")),
+                attemptLimits(root.object("limits")));
+    }
+
+    /** What a replica does with a read that is ahead of its position. */
+    private static ReplicaReadCheck replicaReadCheck(JsonObject info) {
+        String word = info.text("serverChecks", "none");
         return switch (word) {
             case "none" -> ReplicaReadCheck.NONE;
             case "refuse" -> ReplicaReadCheck.REJECT;
             case "wait" -> ReplicaReadCheck.WAIT;
-            default -> throw new ConfigException("unknown serverChecks " + word);
+            default -> throw info.error("serverChecks", "unknown serverChecks " + word);
         };
     }
 
-    private static ProtectionSettings protection(Map<?, ?> rules) {
-        Object gone = rules.get("goneIsAdvice");
-        if (gone != null && !(gone instanceof Boolean)) {
-            throw new ConfigException("goneIsAdvice must be true or false");
+    private static ProtectionSettings protection(JsonObject invariants) {
+        Object removalIsAdvisory = invariants.get("goneIsAdvice");
+        if (removalIsAdvisory != null && !(removalIsAdvisory instanceof Boolean)) {
+            throw invariants.error("goneIsAdvice", "goneIsAdvice must be true or false");
         }
         return new ProtectionSettings(
-                micros(rules, "drainGraceS", 0),
-                number(rules, "coldFrom", 1),
-                micros(rules, "warmAfterS", 0),
-                number(rules, "fallMultiple", 1),
-                micros(rules, "fallS", 1),
-                Boolean.TRUE.equals(gone));
+                invariants.micros("drainGraceS", 0),
+                invariants.number("coldFrom", 1), // weight at the start of a slow start
+                invariants.micros("warmAfterS", 0), // length of a slow start
+                invariants.number("fallMultiple", 1), // bound of the fallback to the primary
+                invariants.micros("fallS", 1), // window of that bound
+                Boolean.TRUE.equals(removalIsAdvisory));
     }
 
-    private static AttemptLimits limits(Map<?, ?> limits) {
+    private static AttemptLimits attemptLimits(JsonObject limits) {
         return new AttemptLimits(
-                (int) number(limits, "maxAttempts", 1),
-                truth(limits, "cancelling", false),
-                truth(limits, "probing", false),
-                truth(limits, "peerMessages", false),
-                truth(limits, "secondCopies", false),
-                truth(limits, "retryAfter", false),
-                micros(limits, "maxRetryAfterS", 0));
-    }
-
-    public static long toMicros(double seconds) {
-        return Math.round(seconds * 1e6);
-    }
-
-    private static Map<?, ?> map(Map<?, ?> from, String key) {
-        return from.get(key) instanceof Map<?, ?> m ? m : Map.of();
-    }
-
-    private static List<?> list(Map<?, ?> from, String key) {
-        return from.get(key) instanceof List<?> l ? l : List.of();
-    }
-
-    private static double number(Map<?, ?> from, String key, double otherwise) {
-        return from.get(key) instanceof Number n ? n.doubleValue() : otherwise;
-    }
-
-    private static long micros(Map<?, ?> from, String key, double otherwise) {
-        return toMicros(number(from, key, otherwise));
-    }
-
-    private static boolean truth(Map<?, ?> from, String key, boolean otherwise) {
-        return from.get(key) instanceof Boolean b ? b : otherwise;
-    }
-
-    private static String string(Map<?, ?> from, String key, String otherwise) {
-        return from.get(key) instanceof String s ? s : otherwise;
+                (int) limits.number("maxAttempts", 1),
+                limits.flag("cancelling", false),
+                limits.flag("probing", false), // health checks
+                limits.flag("peerMessages", false), // gossip
+                limits.flag("secondCopies", false), // hedged requests
+                limits.flag("retryAfter", false),
+                limits.micros("maxRetryAfterS", 0));
     }
 }
--- a/src/main/java/mintstair/config/Json.java
+++ b/src/main/java/mintstair/config/Json.java
@@ -11,95 +11,113 @@
 import java.util.List;
 import java.util.Map;
 
-/** Small JSON values as plain maps, lists, strings, numbers and truth values. */
+/**
+ * Reads and writes small JSON values as plain maps, lists, strings, doubles and booleans; null is null. Maps keep the
+ * order of their keys. Safe for use by several threads.
+ */
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private Json() {}
 
-    /** The one value that the text holds. */
+    /**
+     * The one value that the text holds.
+     *
+     * @throws IOException where the text is no JSON, or holds more than one value
+     */
     public static Object read(byte[] text) throws IOException {
-        try (JsonParser in = FACTORY.createParser(text)) {
-            in.nextToken();
-            Object value = value(in);
-            if (in.nextToken() != null) {
+        try (JsonParser parser = FACTORY.createParser(text)) {
+            parser.nextToken();
+            Object value = value(parser);
+            if (parser.nextToken() != null) {
                 throw new IOException("something follows the value");
             }
             return value;
         }
     }
 
-    /** The value at the parser's current token; the parser stands at its last token afterwards. */
-    public static Object value(JsonParser in) throws IOException {
-        JsonToken t = in.currentToken();
-        if (t == null) {
+    /** The value that begins at the parser's current token; the parser is left at its last token. */
+    public static Object value(JsonParser parser) throws IOException {
+        JsonToken token = parser.currentToken();
+        if (token == null) {
             throw new IOException("the input ended inside a message");
         }
-        switch (t) {
-            case START_OBJECT: {
-                Map<String, Object> map = new LinkedHashMap<>();
-                while (in.nextToken() == JsonToken.FIELD_NAME) {
-                    String key = in.currentName();
-                    in.nextToken();
-                    map.put(key, value(in));
-                }
-                return map;
-            }
-            case START_ARRAY: {
-                List<Object> list = new ArrayList<>();
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(in));
-                }
-                return list;
-            }
-            case VALUE_STRING:
-                return in.getText();
-            case VALUE_TRUE:
-                return true;
-            case VALUE_FALSE:
-                return false;
-            case VALUE_NULL:
-                return null;
-            default:
-                return in.getDoubleValue();
+        return switch (token) {
+            case START_OBJECT -> object(parser);
+            case START_ARRAY -> array(parser);
+            case VALUE_STRING -> parser.getText();
+            case VALUE_TRUE -> true;
+            case VALUE_FALSE -> false;
+            case VALUE_NULL -> null;
+            default -> parser.getDoubleValue();
+        };
+    }
+
+    private static Map<String, Object> object(JsonParser parser) throws IOException {
+        Map<String, Object> object = new LinkedHashMap<>();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String key = parser.currentName();
+            parser.nextToken();
+            object.put(key, value(parser));
+        }
+        return object;
+    }
+
+    private static List<Object> array(JsonParser parser) throws IOException {
+        List<Object> array = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            array.add(value(parser));
         }
+        return array;
     }
 
-    /** The text of a value that {@link #read} gives; whole numbers are written as such. */
+    /** The text of a value of the kinds that {@link #read} gives; whole numbers are written without a fraction. */
     public static String write(Object value) throws IOException {
         StringWriter text = new StringWriter();
-        try (JsonGenerator out = FACTORY.createGenerator(text)) {
-            write(out, value);
+        try (JsonGenerator generator = FACTORY.createGenerator(text)) {
+            write(generator, value);
         }
         return text.toString();
     }
 
-    private static void write(JsonGenerator out, Object value) throws IOException {
-        if (value instanceof Map<?, ?> map) {
-            out.writeStartObject();
-            for (Map.Entry<?, ?> each : map.entrySet()) {
-                out.writeFieldName(each.getKey().toString());
-                write(out, each.getValue());
-            }
-            out.writeEndObject();
-        } else if (value instanceof List<?> list) {
-            out.writeStartArray();
-            for (Object each : list) {
-                write(out, each);
-            }
-            out.writeEndArray();
-        } else if (value instanceof Number n) {
-            if (n.doubleValue() == n.longValue()) {
-                out.writeNumber(n.longValue());
-            } else {
-                out.writeNumber(n.doubleValue());
-            }
-        } else if (value instanceof Boolean b) {
-            out.writeBoolean(b);
+    private static void write(JsonGenerator generator, Object value) throws IOException {
+        if (value instanceof Map<?, ?> object) {
+            writeObject(generator, object);
+        } else if (value instanceof List<?> array) {
+            writeArray(generator, array);
+        } else if (value instanceof Number number) {
+            writeNumber(generator, number);
+        } else if (value instanceof Boolean flag) {
+            generator.writeBoolean(flag);
         } else if (value == null) {
-            out.writeNull();
+            generator.writeNull();
+        } else {
+            generator.writeString(value.toString());
+        }
+    }
+
+    private static void writeObject(JsonGenerator generator, Map<?, ?> object) throws IOException {
+        generator.writeStartObject();
+        for (Map.Entry<?, ?> entry : object.entrySet()) {
+            generator.writeFieldName(entry.getKey().toString());
+            write(generator, entry.getValue());
+        }
+        generator.writeEndObject();
+    }
+
+    private static void writeArray(JsonGenerator generator, List<?> array) throws IOException {
+        generator.writeStartArray();
+        for (Object element : array) {
+            write(generator, element);
+        }
+        generator.writeEndArray();
+    }
+
+    private static void writeNumber(JsonGenerator generator, Number number) throws IOException {
+        if (number.doubleValue() == number.longValue()) {
+            generator.writeNumber(number.longValue());
         } else {
-            out.writeString(value.toString());
+            generator.writeNumber(number.doubleValue());
         }
     }
 }
--- a/src/main/java/mintstair/config/MembershipConfig.java
+++ b/src/main/java/mintstair/config/MembershipConfig.java
@@ -3,56 +3,71 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
+import java.util.regex.Pattern;
 
 /**
- * The fleet that this proxy is a member of: its name, the address where this one takes messages of the others and the one at which
- * they reach it, some that it asks first, and the period of its protocol in microseconds.
+ * The fleet that this proxy is a member of.
+ *
+ * @param fleet the fleet's name: members of others are ignored
+ * @param listen where this member takes messages
+ * @param advertise the address at which the others reach this member; null for the one that it listens on
+ * @param seeds the addresses of some members, which are asked first
+ * @param periodMicros the period of the membership protocol
  */
 public record MembershipConfig(
-        String fleet, InetSocketAddress listen, String advertise, List<String> seeds, long period) {
-    private static final Set<String> NAMES = Set.of("fleet", "listen", "advertise", "seeds", "period_s");
-    /** What goes into datagrams beside others of its kind. */
-    private static final int LONGEST_ADDRESS = 64;
+        String fleet, InetSocketAddress listen, String advertise, List<String> seeds, long periodMicros) {
+    private static final Set<String> KEYS = Set.of("fleet", "listen", "advertise", "seeds", "period_s");
+    /** Addresses go into datagrams, many to one. */
+    private static final int MAX_ADDRESS_CHARACTERS = 64;
 
-    private static final double PERIOD = 0.4;
+    private static final Pattern ADDRESS = Pattern.compile("[!-~]{1," + MAX_ADDRESS_CHARACTERS + "}");
+    private static final double DEFAULT_PERIOD_SECONDS = 0.4;
+    private static final double MIN_PERIOD_SECONDS = 0.05;
+    private static final double MAX_PERIOD_SECONDS = 60;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    static MembershipConfig read(Map<?, ?> m) {
-        for (Object name : m.keySet()) {
-            if (!NAMES.contains(name)) {
-                throw new ConfigException("membership: unknown setting " + name);
-            }
-        }
-        String fleet = NodeConfig.text(m, "fleet");
-        InetSocketAddress listen = NodeConfig.address(NodeConfig.text(m, "listen"));
-        String advertise = m.get("advertise") == null ? null : address(NodeConfig.text(m, "advertise"));
+    static MembershipConfig read(JsonObject json) {
+        json.requireKnownKeys(KEYS, "membership: ");
+        String fleet = json.text("fleet");
+        InetSocketAddress listen = NodeConfig.address(json.text("listen"));
+        String advertised = json.textOrNull("advertise");
+        String advertise = advertised == null ? null : address(json, "advertise", advertised);
         if (listen.isUnresolved()) {
-            throw new ConfigException("membership: no address " + listen.getHostString());
+            throw json.error("listen", "membership: no address " + listen.getHostString());
         }
         if (advertise == null && listen.getAddress().isAnyLocalAddress()) {
-            throw new ConfigException("membership: advertise is needed where listen is any address");
+            throw json.error("advertise", "membership: advertise is needed where listen is any address");
         }
-        List<String> seeds = new ArrayList<>();
-        if (!(m.get("seeds") instanceof List<?> list)) {
-            throw new ConfigException("membership: seeds is a list of addresses");
+        List<String> seeds = seeds(json);
+        return new MembershipConfig(fleet, listen, advertise, seeds, periodMicros(json));
+    }
+
+    private static List<String> seeds(JsonObject json) {
+        if (!(json.get("seeds") instanceof List<?> listed)) {
+            throw json.error("seeds", "membership: seeds is a list of addresses");
         }
-        for (Object each : list) {
-            seeds.add(address(String.valueOf(each)));
+        List<String> seeds = new ArrayList<>();
+        for (Object seed : listed) {
+            seeds.add(address(json, "seeds", String.valueOf(seed)));
         }
-        double period =
-                m.get("period_s") == null ? PERIOD : m.get("period_s") instanceof Number n ? n.doubleValue() : 0;
-        if (!(period >= 0.05 && period <= 60)) {
-            throw new ConfigException("membership: period_s must be from 0.05 to 60");
+        return List.copyOf(seeds);
+    }
+
+    private static long periodMicros(JsonObject json) {
+        double seconds = json.has("period_s") ? json.number("period_s", Double.NaN) : DEFAULT_PERIOD_SECONDS;
+        if (!(seconds >= MIN_PERIOD_SECONDS && seconds <= MAX_PERIOD_SECONDS)) {
+            throw json.error("period_s", "membership: period_s must be from 0.05 to 60");
         }
-        return new MembershipConfig(fleet, listen, advertise, List.copyOf(seeds), (long) (period * 1e6));
+        return (long) (seconds * MICROS_PER_SECOND);
     }
 
-    private static String address(String text) {
+    private static String address(JsonObject json, String key, String text) {
         NodeConfig.address(text);
-        if (!text.matches("[!-~]{1," + LONGEST_ADDRESS + "}")) {
-            throw new ConfigException(
-                    "membership: an address has at most " + LONGEST_ADDRESS + " printable ASCII characters");
+        if (!ADDRESS.matcher(text).matches()) {
+            throw json.error(
+                    key,
+                    "membership: an address has at most " + MAX_ADDRESS_CHARACTERS + " printable ASCII characters");
         }
         return text;
     }
--- a/src/main/java/mintstair/config/OperatorConfig.java
+++ b/src/main/java/mintstair/config/OperatorConfig.java
@@ -9,18 +9,90 @@
 import java.util.Set;
 import mintstair.request.EndpointList;
 
-/** What an operator sets up beside the platform's front; every part is off where its name is missing. */
+/**
+ * What an operator sets up beside the platform's front, in a file of its own; every part that the file does not name
+ * is off, and null here. Immutable.
+ *
+ * @param mongodb the second front
+ * @param record the recording of traffic
+ * @param store this proxy's member of the replicated store
+ * @param registry the registry that stands in for discovery
+ * @param membership the fleet that this proxy joins
+ */
 public record OperatorConfig(
         Mongo mongodb, Recording record, Members store, RegistryConfig registry, MembershipConfig membership) {
-    /** The second front: where it listens, and its hosts, listed here or by a discovery of their own. */
+    /** Without an operator's file. */
+    public static final OperatorConfig NONE = new OperatorConfig(null, null, null, null, null);
+
+    private static final Set<String> PARTS = Set.of("mongodb", "record", "store", "registry", "membership");
+
+    /**
+     * Where the MongoDB front listens, and its hosts: listed here, or by a discovery service of their own; null for
+     * none.
+     */
     public record Mongo(InetSocketAddress listen, InetSocketAddress discovery, EndpointList hosts) {}
 
-    /** The file that client traffic is recorded to, and the bytes that it may grow to; or rotated files in a folder. */
-    public record Recording(Path file, long mostBytes, Rotated rotated) {}
+    /**
+     * One file of client traffic and the bytes that it may grow to, or rotated files.
+     *
+     * @param file the one file; null with rotated files
+     * @param rotated the rotated files; null with one file
+     */
+    public record Recording(Path file, long maxBytes, Rotated rotated) {
+        private static final Set<String> KEYS =
+                Set.of("folder", "file_bytes", "file_s", "total_bytes", "queue_bytes", "hosts", "share", "digests");
+        private static final long DEFAULT_FILE_BYTES = 64 << 20;
+        private static final long MIN_FILE_BYTES = 1 << 16;
+        private static final long DEFAULT_FILE_SECONDS = 600;
+        private static final long DEFAULT_FILES = 16;
+        private static final long DEFAULT_QUEUE_BYTES = 8 << 20;
+        private static final double MAX_NUMBER = 1e15;
+        private static final double MICROS_PER_SECOND = 1e6;
+
+        private static Recording read(JsonObject json) {
+            if (!json.has("folder")) {
+                Path file = Path.of(json.text("file"));
+                return new Recording(file, (long) number(json, "most_bytes", DEFAULT_FILE_BYTES, 1), null);
+            }
+            json.requireKnownKeys(KEYS, "record: ");
+            long fileBytes = (long) number(json, "file_bytes", DEFAULT_FILE_BYTES, MIN_FILE_BYTES);
+            Rotated rotated = new Rotated(
+                    Path.of(json.text("folder")),
+                    fileBytes,
+                    (long) (number(json, "file_s", DEFAULT_FILE_SECONDS, 1) * MICROS_PER_SECOND),
+                    (long) number(json, "total_bytes", (double) (DEFAULT_FILES * fileBytes), (double) fileBytes),
+                    (long) number(json, "queue_bytes", DEFAULT_QUEUE_BYTES, MIN_FILE_BYTES),
+                    json.flag("hosts", false),
+                    number(json, "share", 1, 0),
+                    json.flag("digests", false));
+            if (rotated.share() > 1) {
+                throw json.error("share", "record: share must be from 0 to 1");
+            }
+            return new Recording(null, 0, rotated);
+        }
+
+        private static double number(JsonObject json, String key, double defaultValue, double min) {
+            if (!json.has(key)) {
+                return defaultValue;
+            }
+            double number = json.number(key, Double.NaN);
+            if (!(number >= min) || number > MAX_NUMBER) {
+                throw json.error(key, "record: " + key + " must be a number from " + (long) min + " on");
+            }
+            return number;
+        }
+    }
 
     /**
-     * Rotated files: bytes and age at which one is followed by the next, bytes of all and of what may wait for the disk, whether
-     * connections to hosts are recorded, the share of connections that are, and whether values are replaced by digests.
+     * Rotated files of traffic.
+     *
+     * @param fileBytes the size at which a file is followed by the next
+     * @param fileMicros the age at which a file is followed by the next
+     * @param totalBytes the size of all files together
+     * @param queueBytes what may wait for the disk
+     * @param hosts whether connections to database hosts are recorded as well
+     * @param share the share of the connections that is recorded, from 0 to 1
+     * @param digests whether values are replaced by digests
      */
     public record Rotated(
             Path folder,
@@ -32,98 +104,71 @@
             double share,
             boolean digests) {}
 
-    /** The replicated store: this daemon's member of it, all members, and the folder that this one keeps. */
-    public record Members(String member, Map<String, InetSocketAddress> members, Path folder) {}
-
-    public static final OperatorConfig NONE = new OperatorConfig(null, null, null, null, null);
-    private static final Set<String> NAMES = Set.of("mongodb", "record", "store", "registry", "membership");
-    private static final Set<String> RECORD_NAMES =
-            Set.of("folder", "file_bytes", "file_s", "total_bytes", "queue_bytes", "hosts", "share", "digests");
-    private static final long MOST_BYTES = 64 << 20;
+    /**
+     * The replicated store: the name of this proxy's member, the addresses of all members by name, and this one's
+     * folder.
+     */
+    public record Members(String member, Map<String, InetSocketAddress> members, Path folder) {
+        private static Members read(JsonObject json) {
+            if (!(json.get("members") instanceof Map<?, ?> listed)) {
+                throw json.error("members", "store needs its members");
+            }
+            Map<String, InetSocketAddress> members = new LinkedHashMap<>();
+            listed.forEach(
+                    (name, address) -> members.put(name.toString(), NodeConfig.address(String.valueOf(address))));
+            String member = json.text("member");
+            if (!members.containsKey(member)) {
+                throw json.error("member", "store: " + member + " is none of its members");
+            }
+            return new Members(member, members, Path.of(json.text("folder")));
+        }
+    }
 
-    /** Reads the file; throws {@link ConfigException} with one plain line where it cannot be used. */
+    /**
+     * Reads a file.
+     *
+     * @throws ConfigException where it cannot be used
+     */
     public static OperatorConfig read(Path file) {
         try {
             if (!(Json.read(Files.readAllBytes(file)) instanceof Map<?, ?> map)) {
                 throw new ConfigException("not an object");
             }
-            for (Object name : map.keySet()) {
-                if (!NAMES.contains(name) || !(map.get(name) instanceof Map<?, ?>)) {
-                    throw new ConfigException("unknown setting " + name);
-                }
-            }
-            RegistryConfig registry = map.get("registry") instanceof Map<?, ?> m ? RegistryConfig.read(m) : null;
-            boolean listed = registry != null && registry.fronts().contains(RegistryConfig.MONGODB);
-            if (listed && map.get("mongodb") == null) {
-                throw new ConfigException("registry lists hosts of mongodb, which is not set up");
-            }
-            return new OperatorConfig(
-                    map.get("mongodb") instanceof Map<?, ?> m ? mongo(m, listed) : null,
-                    map.get("record") instanceof Map<?, ?> m ? recording(m) : null,
-                    map.get("store") instanceof Map<?, ?> m ? members(m) : null,
-                    registry,
-                    map.get("membership") instanceof Map<?, ?> m ? MembershipConfig.read(m) : null);
+            return of(JsonObject.root(map));
         } catch (IOException | IllegalArgumentException | ConfigException e) {
-            throw NodeConfig.unusable(file, e);
+            throw ConfigException.inFile(file, e);
         }
     }
 
-    private static Mongo mongo(Map<?, ?> m, boolean listed) throws IOException {
-        InetSocketAddress discovery =
-                m.get("discovery") == null ? null : NodeConfig.address(NodeConfig.text(m, "discovery"));
-        EndpointList hosts = m.get("hosts") == null ? null : ListReader.read(m.get("hosts"));
-        if (discovery == null && hosts == null && !listed) {
-            throw new ConfigException("mongodb needs hosts or discovery, or a registry");
+    private static OperatorConfig of(JsonObject root) {
+        requireParts(root);
+        RegistryConfig registry = root.has("registry") ? RegistryConfig.read(root.object("registry")) : null;
+        boolean registered = registry != null && registry.fronts().contains(RegistryConfig.MONGODB);
+        if (registered && !root.has("mongodb")) {
+            throw root.error("mongodb", "registry lists hosts of mongodb, which is not set up");
         }
-        return new Mongo(NodeConfig.address(NodeConfig.text(m, "listen")), discovery, hosts);
+        Mongo mongodb = root.has("mongodb") ? mongodb(root.object("mongodb"), registered) : null;
+        Recording record = root.has("record") ? Recording.read(root.object("record")) : null;
+        Members store = root.has("store") ? Members.read(root.object("store")) : null;
+        MembershipConfig membership = root.has("membership") ? MembershipConfig.read(root.object("membership")) : null;
+        return new OperatorConfig(mongodb, record, store, registry, membership);
     }
 
-    private static Recording recording(Map<?, ?> m) {
-        if (m.get("folder") == null) {
-            return new Recording(
-                    Path.of(NodeConfig.text(m, "file")), (long) number(m, "most_bytes", MOST_BYTES, 1), null);
-        }
-        for (Object name : m.keySet()) {
-            if (!RECORD_NAMES.contains(name)) {
-                throw new ConfigException("record: unknown setting " + name);
+    private static void requireParts(JsonObject root) {
+        for (Object key : root.values().keySet()) {
+            if (!PARTS.contains(key) || !(root.values().get(key) instanceof Map<?, ?>)) {
+                throw root.error(String.valueOf(key), "unknown setting " + key);
             }
         }
-        long fileBytes = (long) number(m, "file_bytes", MOST_BYTES, 1 << 16);
-        Rotated rotated = new Rotated(
-                Path.of(NodeConfig.text(m, "folder")),
-                fileBytes,
-                (long) (number(m, "file_s", 600, 1) * 1e6),
-                (long) number(m, "total_bytes", (double) (16 * fileBytes), (double) fileBytes),
-                (long) number(m, "queue_bytes", 8 << 20, 1 << 16),
-                Boolean.TRUE.equals(m.get("hosts")),
-                number(m, "share", 1, 0),
-                Boolean.TRUE.equals(m.get("digests")));
-        if (rotated.share() > 1) {
-            throw new ConfigException("record: share must be from 0 to 1");
-        }
-        return new Recording(null, 0, rotated);
-    }
-
-    private static double number(Map<?, ?> m, String name, double otherwise, double least) {
-        if (m.get(name) == null) {
-            return otherwise;
-        }
-        if (!(m.get(name) instanceof Number n) || !(n.doubleValue() >= least) || n.doubleValue() > 1e15) {
-            throw new ConfigException("record: " + name + " must be a number from " + (long) least + " on");
-        }
-        return n.doubleValue();
     }
 
-    private static Members members(Map<?, ?> m) {
-        if (!(m.get("members") instanceof Map<?, ?> listed)) {
-            throw new ConfigException("store needs its members");
-        }
-        Map<String, InetSocketAddress> members = new LinkedHashMap<>();
-        listed.forEach((name, address) -> members.put(name.toString(), NodeConfig.address(String.valueOf(address))));
-        String member = NodeConfig.text(m, "member");
-        if (!members.containsKey(member)) {
-            throw new ConfigException("store: " + member + " is none of its members");
+    private static Mongo mongodb(JsonObject json, boolean registered) {
+        String discoveryText = json.textOrNull("discovery");
+        InetSocketAddress discovery = discoveryText == null ? null : NodeConfig.address(discoveryText);
+        EndpointList hosts = json.has("hosts") ? ListReader.read(json.get("hosts")) : null;
+        if (discovery == null && hosts == null && !registered) {
+            throw json.error("hosts", "mongodb needs hosts or discovery, or a registry");
         }
-        return new Members(member, members, Path.of(NodeConfig.text(m, "folder")));
+        return new Mongo(NodeConfig.address(json.text("listen")), discovery, hosts);
     }
 }
--- a/src/main/java/mintstair/config/RegistryConfig.java
+++ b/src/main/java/mintstair/config/RegistryConfig.java
@@ -4,14 +4,22 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
+import java.util.regex.Pattern;
 
 /**
- * The registry that holds the host list: its endpoints, the prefix of its entries, the fronts whose hosts it lists. {@code user},
- * {@code secret} (the password, or Consul's token), {@code tls} and {@code snapshot} may be null.
+ * The registry that holds the endpoint lists in place of discovery.
+ *
+ * @param kind whose protocol it speaks
+ * @param endpoints its members, one of which is used at a time
+ * @param prefix what the keys of its entries begin with
+ * @param fronts the names of the fronts whose hosts it lists
+ * @param user the user's name; null for none
+ * @param secret the user's password, or Consul's token; null for none
+ * @param tls the files of its TLS connections; null for plain ones
+ * @param snapshot the file that keeps the last view; null for none
+ * @param snapshotEveryMicros how often a view that changes is kept
  */
 public record RegistryConfig(
         Kind kind,
@@ -23,21 +31,12 @@
         Tls tls,
         Path snapshot,
         long snapshotEveryMicros) {
-    /** The wires. */
-    public enum Kind {
-        ETCD,
-        CONSUL
-    }
-
-    /** PEM files: the authorities that vouch for the servers, and this client's certificate and key, or null for both. */
-    public record Tls(Path ca, Path certificate, Path key) {}
-
-    /** The fronts by their names in the registry. */
+    /** The name of the PostgreSQL front in the registry. */
     public static final String POSTGRESQL = "postgresql";
-
+    /** The name of the MongoDB front in the registry. */
     public static final String MONGODB = "mongodb";
 
-    private static final Set<String> NAMES = Set.of(
+    private static final Set<String> KEYS = Set.of(
             "kind",
             "endpoints",
             "prefix",
@@ -48,76 +47,118 @@
             "tls",
             "snapshot",
             "snapshot_every_s");
+    private static final Pattern PREFIX = Pattern.compile("[!-~]*/");
+    private static final int MAX_PREFIX_CHARACTERS = 200;
+    private static final double DEFAULT_SNAPSHOT_SECONDS = 5;
+    private static final double MIN_SNAPSHOT_SECONDS = 0.1;
+    private static final double MAX_SNAPSHOT_SECONDS = 3600;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    static RegistryConfig read(Map<?, ?> m) throws IOException {
-        for (Object name : m.keySet()) {
-            if (!NAMES.contains(name)) {
-                throw new ConfigException("registry: unknown setting " + name);
-            }
-        }
-        Kind kind = switch (NodeConfig.text(m, "kind")) {
-            case "etcd" -> Kind.ETCD;
-            case "consul" -> Kind.CONSUL;
-            default -> throw new ConfigException("registry: kind is etcd or consul");
-        };
-        List<InetSocketAddress> endpoints = new ArrayList<>();
-        for (String each : texts(m, "endpoints", List.of())) {
-            endpoints.add(NodeConfig.address(each));
-        }
-        String prefix = NodeConfig.text(m, "prefix");
-        if (!prefix.matches("[!-~]*/") || prefix.length() > 200) {
-            throw new ConfigException("registry: prefix must be of printable ASCII and end with /");
-        }
-        List<String> fronts = texts(m, "fronts", List.of(POSTGRESQL));
+    /** The protocols of registries. */
+    public enum Kind {
+        ETCD,
+        CONSUL
+    }
+
+    /**
+     * PEM files: the authorities that the servers are trusted by, and this client's certificate and key, or null for
+     * both.
+     */
+    public record Tls(Path ca, Path certificate, Path key) {}
+
+    static RegistryConfig read(JsonObject json) {
+        json.requireKnownKeys(KEYS, "registry: ");
+        Kind kind = kind(json);
+        List<InetSocketAddress> endpoints = texts(json, "endpoints", List.of()).stream()
+                .map(NodeConfig::address)
+                .toList();
+        String prefix = prefix(json);
+        List<String> fronts = texts(json, "fronts", List.of(POSTGRESQL));
         if (endpoints.isEmpty()
                 || fronts.isEmpty()
                 || !Set.of(POSTGRESQL, MONGODB).containsAll(fronts)) {
-            throw new ConfigException("registry needs endpoints, and fronts among " + POSTGRESQL + " and " + MONGODB);
-        }
-        String secretFile = kind == Kind.ETCD ? "password_file" : "token_file";
-        String user = m.get("user") == null ? null : NodeConfig.text(m, "user");
-        if (user != null && m.get(secretFile) == null) {
-            throw new ConfigException("registry: user needs password_file");
+            throw json.error(
+                    "endpoints", "registry needs endpoints, and fronts among " + POSTGRESQL + " and " + MONGODB);
         }
-        double every = m.get("snapshot_every_s") instanceof Number n ? n.doubleValue() : 5;
-        if (!(every >= 0.1 && every <= 3600)) {
-            throw new ConfigException("registry: snapshot_every_s must be from 0.1 to 3600");
+        String secretKey = kind == Kind.ETCD ? "password_file" : "token_file";
+        String user = json.textOrNull("user");
+        if (user != null && !json.has(secretKey)) {
+            throw json.error("user", "registry: user needs password_file");
         }
+        long snapshotEveryMicros = snapshotEveryMicros(json);
         return new RegistryConfig(
                 kind,
                 endpoints,
                 prefix,
                 fronts,
                 user,
-                m.get(secretFile) == null ? null : secret(Path.of(NodeConfig.text(m, secretFile))),
-                m.get("tls") instanceof Map<?, ?> t ? tls(t) : null,
-                m.get("snapshot") == null ? null : Path.of(NodeConfig.text(m, "snapshot")),
-                (long) (every * 1e6));
+                secret(json, secretKey),
+                tls(json),
+                pathOrNull(json, "snapshot"),
+                snapshotEveryMicros);
+    }
+
+    private static Kind kind(JsonObject json) {
+        return switch (json.text("kind")) {
+            case "etcd" -> Kind.ETCD;
+            case "consul" -> Kind.CONSUL;
+            default -> throw json.error("kind", "registry: kind is etcd or consul");
+        };
     }
 
-    private static Tls tls(Map<?, ?> m) {
-        boolean shown = m.get("certificate") != null;
-        return new Tls(
-                Path.of(NodeConfig.text(m, "ca")),
-                shown ? Path.of(NodeConfig.text(m, "certificate")) : null,
-                shown ? Path.of(NodeConfig.text(m, "key")) : null);
+    private static String prefix(JsonObject json) {
+        String prefix = json.text("prefix");
+        if (!PREFIX.matcher(prefix).matches() || prefix.length() > MAX_PREFIX_CHARACTERS) {
+            throw json.error("prefix", "registry: prefix must be of printable ASCII and end with /");
+        }
+        return prefix;
     }
 
-    /** Secrets are only ever named by their file. */
-    private static String secret(Path file) throws IOException {
+    private static long snapshotEveryMicros(JsonObject json) {
+        double seconds = json.number("snapshot_every_s", DEFAULT_SNAPSHOT_SECONDS);
+        if (!(seconds >= MIN_SNAPSHOT_SECONDS && seconds <= MAX_SNAPSHOT_SECONDS)) {
+            throw json.error("snapshot_every_s", "registry: snapshot_every_s must be from 0.1 to 3600");
+        }
+        return (long) (seconds * MICROS_PER_SECOND);
+    }
+
+    private static Tls tls(JsonObject json) {
+        if (!json.hasObject("tls")) {
+            return null;
+        }
+        JsonObject tls = json.object("tls");
+        Path ca = Path.of(tls.text("ca"));
+        if (!tls.has("certificate")) {
+            return new Tls(ca, null, null);
+        }
+        return new Tls(ca, Path.of(tls.text("certificate")), Path.of(tls.text("key")));
+    }
+
+    /** Secrets are named by their file alone, which may be readable to fewer than the configuration. */
+    private static String secret(JsonObject json, String key) {
+        Path file = pathOrNull(json, key);
+        if (file == null) {
+            return null;
+        }
         try {
             return Files.readString(file).strip();
         } catch (IOException e) {
-            throw NodeConfig.unusable(file, e);
+            throw ConfigException.inFile(file, e);
         }
     }
 
-    private static List<String> texts(Map<?, ?> m, String name, List<String> otherwise) {
-        if (m.get(name) == null) {
-            return otherwise;
+    private static Path pathOrNull(JsonObject json, String key) {
+        String text = json.textOrNull(key);
+        return text == null ? null : Path.of(text);
+    }
+
+    private static List<String> texts(JsonObject json, String key, List<String> defaultValue) {
+        if (!json.has(key)) {
+            return defaultValue;
         }
-        if (!(m.get(name) instanceof List<?> list) || !list.stream().allMatch(each -> each instanceof String)) {
-            throw new ConfigException("registry: " + name + " must be a list of texts");
+        List<?> list = json.list(key);
+        if (!(json.get(key) instanceof List<?>) || !list.stream().allMatch(String.class::isInstance)) {
+            throw json.error(key, "registry: " + key + " must be a list of texts");
         }
         return list.stream().map(Object::toString).toList();
     }
--- a/src/main/java/mintstair/membership/FleetMember.java
+++ b/src/main/java/mintstair/membership/FleetMember.java
@@ -78,7 +78,7 @@
         datagrams.configureBlocking(false);
         datagrams.register(selector, SelectionKey.OP_READ);
         address = config.advertise() == null ? config.listen().getHostString() + ":" + bound.port : config.advertise();
-        SwimSettings settings = SwimSettings.usual(size).withPeriod(config.period());
+        SwimSettings settings = SwimSettings.usual(size).withPeriod(config.periodMicros());
         swim = new Swim(now(), seed, name, address, config.seeds(), settings, new Out());
         view = swim.view();
         tally = swim.tally();
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -131,7 +131,7 @@
 
     /** An attempt is about to be written, and its host is told to work for so many microseconds at most. */
     public List<RouterAction> attemptStarted(long at, RouterAction.Send send, long wait) {
-        found(monitor.begun(at, send.request(), send.attempt(), send.host(), wait, env.drainGrace));
+        found(monitor.begun(at, send.request(), send.attempt(), send.host(), wait, env.drainGraceMicros));
         return takeDue();
     }
 
--- a/src/main/java/mintstair/serve/PcapRecorder.java
+++ b/src/main/java/mintstair/serve/PcapRecorder.java
@@ -17,7 +17,7 @@
 
     PcapRecorder(EventLoop loop, OperatorConfig.Recording recording) throws IOException {
         this.loop = loop;
-        file = new PcapWriter(recording.file(), recording.mostBytes());
+        file = new PcapWriter(recording.file(), recording.maxBytes());
         loop.at(loop.now(), this::flush);
     }
 
--- a/src/main/java/mintstair/serve/ProtocolService.java
+++ b/src/main/java/mintstair/serve/ProtocolService.java
@@ -63,8 +63,8 @@
                 loop,
                 protocol,
                 transport,
-                env.connectTimeout,
-                env.connectionIdle,
+                env.connectTimeoutMicros,
+                env.connectionIdleMicros,
                 mostHostConnections,
                 random,
                 counters);
@@ -93,7 +93,7 @@
         if (former != null) {
             former.pace(pace());
         }
-        hosts.times(env.connectTimeout, env.connectionIdle);
+        hosts.times(env.connectTimeoutMicros, env.connectionIdleMicros);
         dispatcher.settings(env);
     }
 
@@ -135,8 +135,8 @@
 
     private WatchPacing pace() {
         return env.listPushed
-                ? WatchPacing.pushed(env.drainGrace, random)
-                : WatchPacing.asked(env.proxies, lines, random);
+                ? WatchPacing.pushed(env.drainGraceMicros, random)
+                : WatchPacing.asked(env.fleetSize, lines, random);
     }
 
     /** Takes a list from elsewhere than discovery; on the loop. */
--- a/src/main/java/mintstair/serve/Proxy.java
+++ b/src/main/java/mintstair/serve/Proxy.java
@@ -101,7 +101,7 @@
     public Proxy(NodeConfig config, OperatorConfig operator) {
         this.config = config;
         current = config;
-        longestDeadline = config.env().longestDeadline();
+        longestDeadline = config.settings().longestDeadlineMicros();
         this.operator = operator;
         transport = transport();
     }
@@ -163,7 +163,7 @@
                 ? null
                 : new LogRecorder(loop, record.rotated(), config.seed());
         DescriptorBudget share = DescriptorBudget.of(
-                config.sockets(),
+                config.descriptors(),
                 operator.mongodb() == null ? 1 : 2,
                 control != null,
                 config.known() == null ? 0 : config.known().entries().size());
@@ -230,7 +230,7 @@
             membership = SocketRetry.untilMade(() -> new MembershipKeeper(
                     operator.membership(),
                     config.name(),
-                    config.env().proxies,
+                    config.settings().fleetSize,
                     config.seed(),
                     loop::execute,
                     proxies -> services.forEach(service -> service.proxies(proxies))));
@@ -256,7 +256,7 @@
     private void rehearse(InetSocketAddress listen) throws IOException {
         Front front = services.get(0).front;
         int port = SocketRetry.untilMade(() -> front.listen(new InetSocketAddress(listen.getAddress(), 0)));
-        WarmUp.run(config.env(), new InetSocketAddress(listen.getAddress(), port), REHEARSAL_MILLIS);
+        WarmUp.run(config.settings(), new InetSocketAddress(listen.getAddress(), port), REHEARSAL_MILLIS);
         front.stopListening();
     }
 
@@ -286,7 +286,7 @@
 
     private ProtocolService add(Protocol protocol, int most, ProtocolService.FrontMaker maker) {
         ProtocolService service =
-                new ProtocolService(loop, transport, protocol, config.seed(), config.env(), most, maker);
+                new ProtocolService(loop, transport, protocol, config.seed(), config.settings(), most, maker);
         services.add(service);
         return service;
     }
@@ -354,7 +354,7 @@
                         services.get(0).discover(read.discovery());
                     }
                 },
-                read -> "configuration read anew: " + read.env().classes.size() + " classes, discovery at "
+                read -> "configuration read anew: " + read.settings().classes.size() + " classes, discovery at "
                         + read.discovery().getHostString() + ":"
                         + read.discovery().getPort());
     }
@@ -365,7 +365,7 @@
                 () -> current.withSettings(text, "settings at revision " + revision),
                 read -> {},
                 read -> "settings taken over from the registry at revision " + revision + ": "
-                        + read.env().classes.size() + " classes");
+                        + read.settings().classes.size() + " classes");
     }
 
     /** Goes over to a configuration on the loop at once; one that cannot be used changes nothing. */
@@ -374,11 +374,11 @@
         try {
             NodeConfig read = reading.get();
             // What the module itself would turn down must not get as far as the loop.
-            new RequestRouter(loop.now(), 0, read.env());
-            longestDeadline = read.env().longestDeadline();
+            new RequestRouter(loop.now(), 0, read.settings());
+            longestDeadline = read.settings().longestDeadlineMicros();
             current = read;
             loop.execute(() -> {
-                services.forEach(service -> service.settings(read.env()));
+                services.forEach(service -> service.settings(read.settings()));
                 besides.accept(read);
                 services.get(0).counters.reloadsOk++;
             });
--- a/src/main/java/mintstair/serve/WarmUp.java
+++ b/src/main/java/mintstair/serve/WarmUp.java
@@ -60,7 +60,7 @@
 
     private WarmUp(InstanceSettings env) {
         classes = new ArrayList<>(env.classes.keySet());
-        left = requests(env.proxies);
+        left = requests(env.fleetSize);
         dispatcher =
                 new Dispatcher(loop, new RequestRouter(loop.now(), 1, env), new Scripted(), new Counters(), line -> {});
         rules = new RequestRules(dispatcher);
@@ -77,7 +77,7 @@
         WarmUp rehearsal = new WarmUp(env);
         try (EventLoop loop = rehearsal.loop) {
             loop.execute(rehearsal::begin);
-            askFront(front, Math.max(3, requests(env.proxies) / A_CLIENT), end);
+            askFront(front, Math.max(3, requests(env.fleetSize) / A_CLIENT), end);
             return rehearsal.done.await(end - System.nanoTime(), TimeUnit.NANOSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/test/java/mintstair/config/MembershipConfigTest.java
+++ b/src/test/java/mintstair/config/MembershipConfigTest.java
@@ -8,10 +8,10 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.List;
-import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 class MembershipConfigTest {
     @TempDir
@@ -23,34 +23,53 @@
     }
 
     @Test
-    void theExampleIsWholeAndNothingIsOnWithoutIt() {
+    void exampleIsComplete() {
         MembershipConfig example =
                 OperatorConfig.read(Path.of("deploy/membership.json")).membership();
+
         assertEquals("saskatoon-main", example.fleet());
         assertEquals(7946, example.listen().getPort());
         assertEquals(3, example.seeds().size());
-        assertEquals(400_000, example.period());
+        assertEquals(400_000, example.periodMicros());
         assertNull(example.advertise());
+    }
+
+    @Test
+    void membershipIsOffWithoutAnOperatorsFile() {
         assertNull(OperatorConfig.NONE.membership());
     }
 
-    /** What is wrong is named, in one line. */
+    /** The error is one line, which names what is wrong. */
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '\'',
+            value = {
+                "{\"seeds\":[],\"listen\":\"127.0.0.1:1\"} | membership.fleet | fleet is missing",
+                "{\"fleet\":\"f\",\"seeds\":[]} | membership.listen | listen is missing",
+                "{\"fleet\":\"f\",\"listen\":\"127.0.0.1:1\"} | membership.seeds | seeds is a list",
+                "{\"fleet\":\"f\",\"seeds\":[],\"listen\":\"0.0.0.0:1\"} | membership.advertise | advertise is needed",
+                "{\"fleet\":\"f\",\"period_s\":0,\"seeds\":[],\"listen\":\"127.0.0.1:1\"} | membership.period_s"
+                        + " | period_s must be from 0.05 to 60",
+                "{\"fleet\":\"f\",\"period\":1,\"seeds\":[],\"listen\":\"127.0.0.1:1\"} | membership.period"
+                        + " | unknown setting period"
+            })
+    void unusableSettingIsNamed(String membership, String jsonPath, String message) {
+        ConfigException error = assertThrows(ConfigException.class, () -> read(membership));
+
+        assertTrue(error.getMessage().contains(message), error.getMessage());
+        assertEquals(1, error.getMessage().lines().count());
+        assertEquals(jsonPath, error.jsonPath().orElseThrow());
+        assertEquals(folder.resolve("operator.json"), error.file().orElseThrow());
+    }
+
     @Test
-    void whatCannotBeUsedIsNamed() throws IOException {
-        String rest = "\"seeds\":[],\"listen\":\"127.0.0.1:1\"";
-        for (Map.Entry<String, String> bad : List.of(
-                Map.entry("{" + rest + "}", "fleet is missing"),
-                Map.entry("{\"fleet\":\"f\",\"seeds\":[]}", "listen is missing"),
-                Map.entry("{\"fleet\":\"f\",\"listen\":\"127.0.0.1:1\"}", "seeds is a list"),
-                Map.entry(
-                        "{\"fleet\":\"f\",\"seeds\":[\"here\"],\"listen\":\"127.0.0.1:1\"}",
-                        "no address and port: here"),
-                Map.entry("{\"fleet\":\"f\",\"seeds\":[],\"listen\":\"0.0.0.0:1\"}", "advertise is needed"),
-                Map.entry("{\"fleet\":\"f\",\"period_s\":0," + rest + "}", "period_s must be from 0.05 to 60"),
-                Map.entry("{\"fleet\":\"f\",\"period\":1," + rest + "}", "unknown setting period"))) {
-            String told = assertThrows(ConfigException.class, () -> read(bad.getKey()))
-                    .getMessage();
-            assertTrue(told.contains(bad.getValue()) && told.lines().count() == 1, told);
-        }
+    void seedThatIsNoAddressIsNamed() {
+        String membership = "{\"fleet\":\"f\",\"seeds\":[\"here\"],\"listen\":\"127.0.0.1:1\"}";
+
+        ConfigException error = assertThrows(ConfigException.class, () -> read(membership));
+
+        assertTrue(error.getMessage().endsWith("no address and port: here"), error.getMessage());
+        assertEquals(1, error.getMessage().lines().count());
     }
 }
