--- a/src/main/java/mintstair/control/ControlCommands.java
+++ b/src/main/java/mintstair/control/ControlCommands.java
@@ -3,35 +3,38 @@
 import java.util.function.Supplier;
 import mintstair.stats.MetricsSnapshot;
 
-/** What the staff and the platform may ask on the second address, and the words of the answers. */
+/** The commands of the control address and their responses. Safe for use by several threads. */
 public final class ControlCommands {
-    private static final String NO = "fail\n";
+    private static final String FAIL = "fail\n";
+    private static final String OK = "ok\n";
+    private static final String EOF = "eof\n";
+
+    private final Supplier<MetricsSnapshot> metrics;
     private volatile boolean takesClients;
-    private final Supplier<MetricsSnapshot> figures;
     private volatile Supplier<String> members;
 
-    /** {@code figures} gives the newest snapshot at once, whatever the loop is at. */
-    public ControlCommands(Supplier<MetricsSnapshot> figures) {
-        this.figures = figures;
+    /** {@code metrics} gives the latest snapshot without waiting for the event loop. */
+    public ControlCommands(Supplier<MetricsSnapshot> metrics) {
+        this.metrics = metrics;
     }
 
-    /** Says whether this process takes clients: from when its front listens until it is told to end. */
-    public void takesClients(boolean does) {
-        takesClients = does;
+    /** Sets the readiness: true from the time the fronts listen until the process is to end. */
+    public void takesClients(boolean ready) {
+        takesClients = ready;
     }
 
-    /** Gives the lines of the fleet as this process sees it; without, nobody is told of it. */
+    /** Sets what gives the members of the fleet, a line each; without it the command {@code members} fails. */
     public void members(Supplier<String> lines) {
         members = lines;
     }
 
-    /** The whole answer to one line; {@code fail} to what is no call. */
-    String answer(String line) {
+    /** The whole response to the line of a command; {@code fail} to an unknown one. */
+    String respond(String line) {
         return switch (line.strip()) {
-            case "readyz" -> takesClients ? "ok\n" : NO;
-            case "telemetry" -> "ok\n" + figures.get() + "eof\n";
-            case "members" -> members == null ? NO : "ok\n" + members.get() + "eof\n";
-            default -> NO;
+            case "readyz" -> takesClients ? OK : FAIL;
+            case "telemetry" -> OK + metrics.get() + EOF;
+            case "members" -> members == null ? FAIL : OK + members.get() + EOF;
+            default -> FAIL;
         };
     }
 }
--- a/src/main/java/mintstair/control/ControlServer.java
+++ b/src/main/java/mintstair/control/ControlServer.java
@@ -6,6 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
+import java.util.Optional;
 import java.util.Set;
 import mintstair.wire.AcceptRetryStrategy;
 import mintstair.wire.Framer;
@@ -24,22 +25,24 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransportBuilder;
 
 /**
- * The second address: one line a connection, one answer, the end. It has a thread and a listener of its own, so that it
- * answers whatever clients do to the front, and whatever the loop is at.
+ * Serves the control address: a connection sends one command line, receives the response, and is closed. All
+ * connections are handled by one thread of the server's own transport, so that it responds however busy the fronts
+ * and the event loop are.
  */
 public final class ControlServer implements AutoCloseable {
-    /** Callers that may be connected at once; their descriptors are set aside. */
-    public static final int MOST_CALLERS = 16;
+    /** Connections that may be open without a whole command; their descriptors are reserved. */
+    public static final int MAX_INCOMPLETE = 16;
 
-    private final ControlCommands calls;
+    private static final int BACKLOG = 64;
+
+    private final ControlCommands commands;
     private final TCPNIOTransport transport;
-    /** Those that have not sent their line yet, the oldest first. */
-    private final Set<Caller> incomplete = new LinkedHashSet<>();
 
-    private TCPNIOServerConnection listener;
+    /** Connections that have not sent a whole command yet, the oldest first. Guarded by {@code incomplete}. */
+    private final Set<CommandConnection> incomplete = new LinkedHashSet<>();
 
-    public ControlServer(ControlCommands calls) {
-        this.calls = calls;
+    public ControlServer(ControlCommands commands) {
+        this.commands = commands;
         transport = TCPNIOTransportBuilder.newInstance()
                 .setName("control")
                 .setIOStrategy(new AcceptRetryStrategy())
@@ -55,40 +58,40 @@
         if (transport.isStopped()) {
             transport.start();
         }
-        MessageFilter filter = new MessageFilter(connection -> {
-            Caller caller = new Caller(connection);
-            begin(caller);
-            return caller;
-        });
-        listener = TCPNIOBindingHandler.builder(transport)
-                .processor(FilterChainBuilder.stateless()
-                        .add(new TransportFilter())
-                        .add(filter)
-                        .build())
+        FilterChainBuilder filters =
+                FilterChainBuilder.stateless().add(new TransportFilter()).add(new MessageFilter(this::accept));
+        TCPNIOServerConnection listener = TCPNIOBindingHandler.builder(transport)
+                .processor(filters.build())
                 .build()
-                .bind(address, 64);
+                .bind(address, BACKLOG);
         return ((InetSocketAddress) listener.getLocalAddress()).getPort();
     }
 
-    /** Callers that keep a connection without a whole call must not keep others out: the oldest of them gives way. */
-    private void begin(Caller caller) {
-        Caller oldest = null;
+    /** Connections that send no whole command must not keep others out: the oldest is closed for a new one. */
+    private CommandConnection accept(Connection<?> connection) {
+        CommandConnection accepted = new CommandConnection(connection);
+        add(accepted).ifPresent(evicted -> evicted.connection.terminateSilently());
+        return accepted;
+    }
+
+    /** Returns the connection that is over the limit. */
+    private Optional<CommandConnection> add(CommandConnection accepted) {
         synchronized (incomplete) {
-            incomplete.add(caller);
-            if (incomplete.size() > MOST_CALLERS) {
-                Iterator<Caller> callers = incomplete.iterator();
-                oldest = callers.next();
-                callers.remove();
+            incomplete.add(accepted);
+            if (incomplete.size() <= MAX_INCOMPLETE) {
+                return Optional.empty();
             }
-        }
-        if (oldest != null) {
-            oldest.connection.terminateSilently();
+            Iterator<CommandConnection> oldestFirst = incomplete.iterator();
+            CommandConnection oldest = oldestFirst.next();
+            oldestFirst.remove();
+            return Optional.of(oldest);
         }
     }
 
-    private boolean end(Caller caller) {
+    /** Returns false where the connection was closed, or had its command, before. */
+    private boolean remove(CommandConnection completed) {
         synchronized (incomplete) {
-            return incomplete.remove(caller);
+            return incomplete.remove(completed);
         }
     }
 
@@ -101,12 +104,12 @@
         }
     }
 
-    /** One connection; all of it happens on the transport's one thread. */
-    private final class Caller implements MessageFilter.Listener {
+    /** One connection: reads are on the transport's thread, the close is on any. */
+    private final class CommandConnection implements MessageFilter.Listener {
         private final Connection<?> connection;
         private final Framer framer = new LineFramer();
 
-        Caller(Connection<?> connection) {
+        CommandConnection(Connection<?> connection) {
             this.connection = connection;
         }
 
@@ -121,34 +124,36 @@
                 }
                 line = new String(whole, StandardCharsets.ISO_8859_1);
             } catch (ProtocolException e) {
+                // Too long a line is no command, and is responded to as one that is unknown.
                 line = "";
             }
-            if (end(this)) {
-                write(calls.answer(line).getBytes(StandardCharsets.UTF_8));
+            if (remove(this)) {
+                write(commands.respond(line).getBytes(StandardCharsets.UTF_8));
             }
         }
 
+        /** The connection's type parameter is its address type, which its writer wants as a raw one. */
         @SuppressWarnings({"unchecked", "rawtypes"})
-        private void write(byte[] words) {
+        private void write(byte[] response) {
             ((Connection) connection)
-                    .write(
-                            Buffers.wrap(transport.getMemoryManager(), words),
-                            new EmptyCompletionHandler<WriteResult>() {
-                                @Override
-                                public void completed(WriteResult result) {
-                                    connection.closeSilently();
-                                }
-
-                                @Override
-                                public void failed(Throwable why) {
-                                    connection.terminateSilently();
-                                }
-                            });
+                    .write(Buffers.wrap(transport.getMemoryManager(), response), new CloseWhenWritten());
         }
 
         @Override
         public void closed() {
-            end(this);
+            remove(this);
+        }
+
+        private final class CloseWhenWritten extends EmptyCompletionHandler<WriteResult> {
+            @Override
+            public void completed(WriteResult result) {
+                connection.closeSilently();
+            }
+
+            @Override
+            public void failed(Throwable cause) {
+                connection.terminateSilently();
+            }
         }
     }
 }
--- /dev/null
+++ b/src/test/java/mintstair/control/ControlCommandsTest.java
@@ -0,0 +1,41 @@
+package mintstair.control;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import mintstair.stats.MetricsSnapshot;
+import org.junit.jupiter.api.Test;
+
+class ControlCommandsTest {
+    private final ControlCommands commands = new ControlCommands(
+            () -> new MetricsSnapshot.Builder().add("taken", 3).build());
+
+    @Test
+    void readinessFollowsWhetherClientsAreTaken() {
+        assertEquals("fail\n", commands.respond("readyz"));
+
+        commands.takesClients(true);
+        assertEquals("ok\n", commands.respond("readyz"));
+
+        commands.takesClients(false);
+        assertEquals("fail\n", commands.respond("readyz"));
+    }
+
+    @Test
+    void telemetryIsTheLatestSnapshot() {
+        assertEquals("ok\nsvc.taken=3\neof\n", commands.respond("telemetry\r"));
+    }
+
+    @Test
+    void membersAreShownByAMemberOfAFleetOnly() {
+        assertEquals("fail\n", commands.respond("members"));
+
+        commands.members(() -> "member a\n");
+        assertEquals("ok\nmember a\neof\n", commands.respond("members"));
+    }
+
+    @Test
+    void unknownCommandFails() {
+        assertEquals("fail\n", commands.respond("shutdown"));
+        assertEquals("fail\n", commands.respond(""));
+    }
+}
