--- a/src/main/java/mintstair/Main.java
+++ b/src/main/java/mintstair/Main.java
@@ -18,7 +18,8 @@
 import mintstair.log.NonBlockingOutput;
 import mintstair.pcap.Replay;
 import mintstair.registry.RegistryCommand;
-import mintstair.serve.Proxy;
+import mintstair.serve.ConfigurationCheck;
+import mintstair.serve.ProxyStartup;
 import mintstair.serve.ReloadSignal;
 import mintstair.store.Store;
 import mintstair.traffic.TrafficCommand;
@@ -44,7 +45,7 @@
             } else if (args.length >= 1 && args[0].equals("serve")) {
                 serve(Arrays.asList(args).subList(1, args.length));
             } else if (args.length == 2 && args[0].equals("check")) {
-                Proxy.check(NodeConfig.read(Path.of(args[1])));
+                ConfigurationCheck.run(NodeConfig.read(Path.of(args[1])));
                 System.exit(0);
             } else if (args.length >= 2 && args[0].equals("replay")) {
                 replay(Arrays.asList(args).subList(1, args.length));
@@ -71,7 +72,7 @@
     /** The configuration is the file named, or the platform's; the operator's file is named or there is none. */
     private static void serve(List<String> args) throws IOException {
         NonBlockingOutput.install();
-        ReloadSignal hangUps = new ReloadSignal();
+        ReloadSignal reloadSignal = new ReloadSignal();
         OperatorConfig operator = OperatorConfig.NONE;
         String file = System.getenv("NODE_CONFIG");
         for (int i = 0; i < args.size(); i++) {
@@ -87,7 +88,7 @@
             throw new ConfigException("no configuration: name a file or set NODE_CONFIG");
         }
         Path path = Path.of(file);
-        new Proxy(NodeConfig.read(path), operator).start(path, hangUps);
+        new ProxyStartup(NodeConfig.read(path), operator).start(path, reloadSignal);
     }
 
     /** Plays the requests of a capture once more; by default those to the port that is played to. */
--- a/src/main/java/mintstair/serve/DescriptorBudget.java
+++ b/src/main/java/mintstair/serve/DescriptorBudget.java
@@ -3,27 +3,59 @@
 import mintstair.front.Front;
 
 /**
- * How the descriptors of the configuration are shared out, for each front. Clients with requests hold at most a third of
- * them, but many more stay connected between requests: turned away, they would come again at once. Hosts' connections
- * find room for each other, as idle ones are closed for want of descriptors.
+ * How many of the process's file descriptors one front may use: {@code clients} connections of clients and {@code
+ * hosts} connections to database hosts.
+ *
+ * <p>Clients with a request in flight hold at most a third of the descriptors, but many more stay connected between
+ * requests; rejected, those would reconnect at once. Connections to hosts make room for each other, as idle ones are
+ * closed for want of descriptors.
  */
 record DescriptorBudget(int clients, int hosts) {
-    /** Neither a client's nor a host's: the jar, listeners, selectors, discovery. */
-    static final int OWN = 40;
+    /** Descriptors of the process itself: the jar, listeners, selectors, discovery. */
+    static final int RESERVED = 40;
+
+    private static final int MIN_CLIENTS = 8;
+    private static final int MIN_HOSTS = 16;
+    /** Connections to each known host, below which requests rarely find an idle one. */
+    private static final int CONNECTIONS_PER_HOST = 2;
 
     /**
-     * Where a successor may start beside this process, its own descriptors and those to hosts are set aside for it. With many
-     * hosts known, theirs become more, up to a third, or a quarter where they are set aside twice: with fewer than two to a
-     * host, requests find no connection that is kept.
+     * Divides the descriptors of one process.
+     *
+     * <p>Where a successor may start beside this process, the successor's own descriptors and its connections to
+     * hosts are set aside, as both processes share one limit. With many hosts known the part of the hosts grows, up
+     * to a third of all, or to a quarter where it is set aside twice.
+     *
+     * @param descriptors the process's limit
+     * @param fronts how many fronts share it
+     * @param upgradable whether a successor may run beside this process
+     * @param knownHosts hosts listed in the configuration
      */
-    static DescriptorBudget of(int sockets, int fronts, boolean upgradable, int known) {
-        int usual = sockets / fronts / (upgradable ? 6 : 4);
-        int hosts = Math.max(16, Math.max(usual, Math.min(2 * known, sockets / fronts / (upgradable ? 4 : 3))));
-        int each = (sockets - OWN - (upgradable ? OWN : 0)) / fronts - (upgradable ? hosts : 0);
-        int clients = Math.max(8, (each - hosts) * 8 / 9);
-        while (clients > 8 && clients + Front.slack(clients) + hosts > each) {
+    static DescriptorBudget of(int descriptors, int fronts, boolean upgradable, int knownHosts) {
+        int perFront = descriptors / fronts;
+        int usualHosts = perFront / (upgradable ? 6 : 4);
+        int maxHosts = perFront / (upgradable ? 4 : 3);
+        int wantedHosts = Math.min(CONNECTIONS_PER_HOST * knownHosts, maxHosts);
+        int hosts = Math.max(MIN_HOSTS, Math.max(usualHosts, wantedHosts));
+        int reserved = upgradable ? 2 * RESERVED : RESERVED;
+        int available = (descriptors - reserved) / fronts - (upgradable ? hosts : 0);
+        return new DescriptorBudget(clientsWithin(available, hosts), hosts);
+    }
+
+    /**
+     * The most clients whose connections, with the slack for those that are being rejected, fit beside those to
+     * hosts.
+     */
+    private static int clientsWithin(int available, int hosts) {
+        int clients = Math.max(MIN_CLIENTS, (available - hosts) * 8 / 9);
+        while (clients > MIN_CLIENTS && clients + Front.slack(clients) + hosts > available) {
             clients--;
         }
-        return new DescriptorBudget(clients, hosts);
+        return clients;
+    }
+
+    /** The budget of a process that starts beside its predecessor: until that has drained, both share one limit. */
+    DescriptorBudget besidePredecessor() {
+        return new DescriptorBudget(clients / 2, hosts);
     }
 }
--- a/src/main/java/mintstair/serve/EndpointUpdateQueue.java
+++ b/src/main/java/mintstair/serve/EndpointUpdateQueue.java
@@ -9,65 +9,80 @@
 import mintstair.registry.view.ViewUpdate;
 
 /**
- * Hands lists of hosts from the registry's thread to the loop: what was told together is taken together, in order. Bounded: where
- * the loop is that far behind, the lists that wait give way to one whole list, which holds all that they would have led to.
+ * Hands endpoint lists from the registry's thread to the event loop, in order; lists that were offered together are
+ * applied together. Bounded by conflation: where the loop is too far behind, the waiting lists are replaced by one
+ * snapshot, which holds all that they would have led to.
  */
 final class EndpointUpdateQueue {
-    static final int MOST = 1_024;
-    /** And with no more hosts in all: from a registry that tells whole lists, fewer would fill the heap. */
-    static final int MOST_HOSTS = 32_768;
+    /** Batches that may wait. */
+    static final int MAX_BATCHES = 1_024;
+    /** Entries of all waiting lists: a registry that sends snapshots would fill the heap with fewer batches. */
+    static final int MAX_ENTRIES = 32_768;
 
     private final Executor loop;
-    private final Consumer<ViewUpdate.Endpoints> taker;
-    private final Deque<List<ViewUpdate.Endpoints>> waiting = new ArrayDeque<>();
-    private int hosts;
-    private long conflated;
+    private final Consumer<ViewUpdate.Endpoints> consumer;
 
-    /** {@code taker} runs on the loop. */
-    EndpointUpdateQueue(Executor loop, Consumer<ViewUpdate.Endpoints> taker) {
+    /** Guarded by this object. */
+    private final Deque<List<ViewUpdate.Endpoints>> batches = new ArrayDeque<>();
+
+    /** Guarded by this object. */
+    private int entries;
+
+    /** Guarded by this object. */
+    private long conflations;
+
+    /** {@code consumer} runs on the loop. */
+    EndpointUpdateQueue(Executor loop, Consumer<ViewUpdate.Endpoints> consumer) {
         this.loop = loop;
-        this.taker = taker;
+        this.consumer = consumer;
     }
 
-    /** Hands these over; {@code whole} gives everything as it is now, these included. */
-    synchronized void offer(List<ViewUpdate.Endpoints> together, Supplier<List<ViewUpdate.Endpoints>> whole) {
-        if (together.isEmpty()) {
+    /** Enqueues one batch; {@code snapshot} gives the present state of all lists, this batch included. */
+    synchronized void offer(List<ViewUpdate.Endpoints> batch, Supplier<List<ViewUpdate.Endpoints>> snapshot) {
+        if (batch.isEmpty()) {
             return;
         }
-        if (waiting.size() < MOST && (waiting.isEmpty() || hosts + hostsOf(together) <= MOST_HOSTS)) {
-            add(together);
+        if (hasRoomFor(batch)) {
+            add(batch);
         } else {
-            waiting.clear();
-            hosts = 0;
-            add(whole.get());
-            conflated++;
+            batches.clear();
+            entries = 0;
+            add(snapshot.get());
+            conflations++;
         }
-        if (waiting.size() == 1) {
-            loop.execute(this::take);
+        if (batches.size() == 1) {
+            loop.execute(this::drain);
         }
     }
 
-    private void add(List<ViewUpdate.Endpoints> together) {
-        waiting.add(together);
-        hosts += hostsOf(together);
+    /** Called under the lock. */
+    private boolean hasRoomFor(List<ViewUpdate.Endpoints> batch) {
+        return batches.size() < MAX_BATCHES && (batches.isEmpty() || entries + entriesOf(batch) <= MAX_ENTRIES);
+    }
+
+    /** Called under the lock. */
+    private void add(List<ViewUpdate.Endpoints> batch) {
+        batches.add(batch);
+        entries += entriesOf(batch);
     }
 
-    private static int hostsOf(List<ViewUpdate.Endpoints> together) {
-        return together.stream().mapToInt(told -> told.list().entries().size()).sum();
+    private static int entriesOf(List<ViewUpdate.Endpoints> batch) {
+        return batch.stream().mapToInt(update -> update.list().entries().size()).sum();
     }
 
-    private void take() {
-        List<List<ViewUpdate.Endpoints>> all;
+    /** On the loop; the lists are applied outside the lock, so that the registry's thread never waits for the loop. */
+    private void drain() {
+        List<List<ViewUpdate.Endpoints>> drained;
         synchronized (this) {
-            all = List.copyOf(waiting);
-            waiting.clear();
-            hosts = 0;
+            drained = List.copyOf(batches);
+            batches.clear();
+            entries = 0;
         }
-        all.forEach(together -> together.forEach(taker));
+        drained.forEach(batch -> batch.forEach(consumer));
     }
 
-    /** How often waiting lists gave way to a whole one. */
-    synchronized long conflated() {
-        return conflated;
+    /** How often waiting lists were replaced by a snapshot. */
+    synchronized long conflations() {
+        return conflations;
     }
 }
--- /dev/null
+++ b/src/main/java/mintstair/serve/MetricsPublisher.java
@@ -0,0 +1,68 @@
+package mintstair.serve;
+
+import java.util.List;
+import java.util.concurrent.atomic.AtomicReference;
+import mintstair.log.NonBlockingOutput;
+import mintstair.proxy.EventLoop;
+import mintstair.stats.HeapFloor;
+import mintstair.stats.MetricsSnapshot;
+import mintstair.wire.AcceptRetryStrategy;
+import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
+
+/**
+ * Takes a snapshot of all metrics at a fixed interval, so that whoever asks for them never waits for the event loop,
+ * and logs the heap in use. Confined to the event loop.
+ */
+final class MetricsPublisher {
+    private static final long SNAPSHOT_INTERVAL_MICROS = 100_000;
+    /** Memory that leaks shows in the log over a long day. */
+    private static final long HEAP_LOG_INTERVAL_MICROS = 60_000_000;
+
+    private static final int BYTES_PER_KB = 1_024;
+
+    /** A part of the program that has metrics; asked on the loop. */
+    interface Source {
+        void addTo(MetricsSnapshot.Builder metrics);
+    }
+
+    private final EventLoop loop;
+    private final AcceptRetryStrategy acceptStrategy;
+    private final List<Source> sources;
+    private final AtomicReference<MetricsSnapshot> latest;
+    private final HeapFloor heap = new HeapFloor();
+
+    /**
+     * @param sources give their metrics in this order
+     * @param latest receives each snapshot
+     */
+    MetricsPublisher(
+            EventLoop loop, TCPNIOTransport transport, List<Source> sources, AtomicReference<MetricsSnapshot> latest) {
+        this.loop = loop;
+        acceptStrategy = (AcceptRetryStrategy) transport.getIOStrategy();
+        this.sources = sources;
+        this.latest = latest;
+    }
+
+    /** Publishes now and then at the interval; on any thread. */
+    void start() {
+        loop.execute(this::publish);
+        loop.every(SNAPSHOT_INTERVAL_MICROS, this::publish);
+        loop.every(HEAP_LOG_INTERVAL_MICROS, this::logHeap);
+    }
+
+    /** Takes one snapshot. */
+    void publish() {
+        MetricsSnapshot.Builder metrics = new MetricsSnapshot.Builder();
+        sources.forEach(source -> source.addTo(metrics));
+        metrics.add("unexpected_errors", loop.failures())
+                .add("log_lines_dropped", NonBlockingOutput.droppedByInstalled())
+                .add("accepts_failed", acceptStrategy.failures());
+        latest.set(metrics.build());
+        Runtime runtime = Runtime.getRuntime();
+        heap.sample(runtime.totalMemory() - runtime.freeMemory());
+    }
+
+    private void logHeap() {
+        System.out.println("heap: least in use " + heap.take() / BYTES_PER_KB + " kB in the last minute");
+    }
+}
--- /dev/null
+++ b/src/main/java/mintstair/serve/PcapRecording.java
@@ -0,0 +1,98 @@
+package mintstair.serve;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import mintstair.config.OperatorConfig;
+import mintstair.pcap.PcapWriter;
+import mintstair.proxy.EventLoop;
+import mintstair.stats.MetricsSnapshot;
+import mintstair.wire.Recorder;
+
+/**
+ * Records client traffic to one pcap file, on the event loop. A file that cannot be written ends the recording, not
+ * the service.
+ */
+final class PcapRecording implements TrafficRecording, Recorder {
+    private static final long FLUSH_INTERVAL_MICROS = 1_000_000;
+
+    private final EventLoop loop;
+    private final PcapWriter file;
+    private boolean failed;
+
+    PcapRecording(EventLoop loop, OperatorConfig.Recording config) throws IOException {
+        this.loop = loop;
+        file = new PcapWriter(config.file(), config.maxBytes());
+        loop.at(loop.now(), this::flushPeriodically);
+    }
+
+    /** One write to the file. */
+    private interface Write {
+        void run(long nowMicros) throws IOException;
+    }
+
+    /** Does nothing once a write has failed: what follows a gap could not be read. */
+    private void write(Write write) {
+        if (failed) {
+            return;
+        }
+        try {
+            write.run(loop.now());
+        } catch (IOException e) {
+            failed = true;
+            System.err.println("the recording ends: " + e.getMessage());
+        }
+    }
+
+    private void flushPeriodically() {
+        write(now -> file.flush());
+        loop.at(loop.now() + FLUSH_INTERVAL_MICROS, this::flushPeriodically);
+    }
+
+    @Override
+    public Conversation begin(InetSocketAddress client, InetSocketAddress proxy) {
+        PcapConversation conversation = new PcapConversation();
+        write(now -> conversation.file = file.new Conversation(now, client, proxy));
+        return conversation.file == null ? Conversation.NONE : conversation;
+    }
+
+    /** One client connection in the file. */
+    private final class PcapConversation implements Conversation {
+        private PcapWriter.Conversation file;
+
+        @Override
+        public void said(boolean byClient, byte[] bytes) {
+            write(now -> file.said(now, byClient, bytes));
+        }
+
+        @Override
+        public void ended() {
+            write(now -> file.ended(now));
+        }
+    }
+
+    @Override
+    public Recorder postgresql() {
+        return this;
+    }
+
+    @Override
+    public Recorder mongodb() {
+        return this;
+    }
+
+    @Override
+    public boolean recordsHosts() {
+        return false;
+    }
+
+    @Override
+    public void addTo(MetricsSnapshot.Builder metrics) {
+        // A single file has no metrics of its own.
+    }
+
+    /** Flushes the file; the system closes it with the process. */
+    @Override
+    public void close() {
+        flushPeriodically();
+    }
+}
--- a/src/main/java/mintstair/serve/ReloadSignal.java
+++ b/src/main/java/mintstair/serve/ReloadSignal.java
@@ -4,44 +4,50 @@
 import sun.misc.SignalHandler;
 
 /**
- * The SIGHUPs of this process from its first moment on, as the virtual machine would end at one otherwise. Those that come before
- * anybody takes them are kept as one: the settings that they tell of must not be lost because the program is still starting.
+ * Receives the reload signal, SIGHUP, from the process's first moment on: without a handler the virtual machine would
+ * end. Signals that arrive before a listener is set are kept as one, so that a reload during start-up is not lost.
+ * Safe for use by several threads.
  */
 public final class ReloadSignal {
-    private Runnable taker;
-    private boolean waits;
+    private static final String SIGHUP = "HUP";
 
-    /** Takes over the signal. */
+    /** Guarded by this object. */
+    private Runnable listener;
+
+    /** Guarded by this object. */
+    private boolean pending;
+
+    /** Takes over SIGHUP. */
     public ReloadSignal() {
-        this("HUP", () -> {});
+        this(SIGHUP, () -> {});
     }
 
-    /** {@code seen} is run for each, on the signal's thread. */
-    ReloadSignal(String signal, Runnable seen) {
-        SignalHandler before = Signal.handle(new Signal(signal), came -> {
-            came();
-            seen.run();
+    /** Takes over this signal; {@code received} runs after each, on the signal's thread. */
+    ReloadSignal(String signal, Runnable received) {
+        SignalHandler previous = Signal.handle(new Signal(signal), raised -> {
+            receive();
+            received.run();
         });
-        if (before == SignalHandler.SIG_IGN) {
+        if (previous == SignalHandler.SIG_IGN) {
             System.err.println(
                     "mintstair: SIG" + signal + " is ignored, as by nohup: settings are not read anew while this runs");
         }
     }
 
-    /** Ones that come while one is at work are handled after it, in turn. */
-    private synchronized void came() {
-        if (taker == null) {
-            waits = true;
+    /** Under the lock: a signal that arrives while a reload is at work is handled after it. */
+    private synchronized void receive() {
+        if (listener == null) {
+            pending = true;
         } else {
-            taker.run();
+            listener.run();
         }
     }
 
-    /** Runs this at each signal from now on, on the signal's thread, and right now if one waits. */
-    synchronized void take(Runnable reload) {
-        taker = reload;
-        if (waits) {
-            waits = false;
+    /** Runs {@code reload} at each signal from now on, on the signal's thread, and at once if one is pending. */
+    synchronized void onReload(Runnable reload) {
+        listener = reload;
+        if (pending) {
+            pending = false;
             reload.run();
         }
     }
--- /dev/null
+++ b/src/main/java/mintstair/serve/SimulatedHosts.java
@@ -0,0 +1,110 @@
+package mintstair.serve;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import mintstair.backend.Protocol;
+import mintstair.backend.pg.PgProtocol;
+import mintstair.proxy.Backend;
+import mintstair.proxy.EventLoop;
+import mintstair.request.ConnectionEnd;
+import mintstair.request.EndpointList;
+import mintstair.request.HostReply;
+import mintstair.request.Statement;
+import mintstair.wire.Framer;
+import mintstair.wire.PgWriter;
+
+/**
+ * The database hosts of the {@link WarmUp}, in memory: they reply at once, a few replies are those of a misdirected
+ * request, and a few requests lose their connection, so that these paths are compiled as well. Confined to the event
+ * loop.
+ */
+final class SimulatedHosts implements Backend {
+    private static final int HOSTS = 3;
+    private static final String PRIMARY = "r0";
+    private static final int REQUESTS_PER_MISDIRECTED = 20;
+    private static final int REQUESTS_PER_LOST = 50;
+    private static final byte[] MISDIRECTED =
+            new PgWriter().error("ERROR", "25006", "no primary", null).ready().bytes();
+
+    private final EventLoop loop;
+    private final Protocol protocol = new PgProtocol();
+    private int sent;
+
+    SimulatedHosts(EventLoop loop) {
+        this.loop = loop;
+    }
+
+    /** The hosts' endpoint list. */
+    static EndpointList list() {
+        List<EndpointList.Entry> hosts = new ArrayList<>();
+        for (int i = 0; i < HOSTS; i++) {
+            String name = "r" + i;
+            hosts.add(new EndpointList.Entry(
+                    name, "127.0.0.1:" + i, "z", 1, EndpointList.State.SERVING, PRIMARY.equals(name), 1, 0));
+        }
+        return new EndpointList(1, true, hosts);
+    }
+
+    @Override
+    public Attempt send(String host, Statement statement, long writeBy, long until, AttemptListener listener) {
+        statement.encode(until - loop.now());
+        sent++;
+        boolean lost = sent % REQUESTS_PER_LOST == 0;
+        loop.execute(() -> {
+            if (lost) {
+                listener.end(HostReply.of(ConnectionEnd.BROKEN_AFTER_WRITTEN));
+                return;
+            }
+            // By the requests sent until now: those that wait with it are misdirected together.
+            boolean misdirected = sent % REQUESTS_PER_MISDIRECTED == 0;
+            listener.end(parse(misdirected ? MISDIRECTED : row(host, "rehearsed")));
+        });
+        return () -> {};
+    }
+
+    @Override
+    public void probe(String host, AttemptListener listener) {
+        loop.execute(() -> {
+            int role = host.equals(PRIMARY) ? 1 : 0;
+            String report = "inflight=1,util=0.5,x0=" + loop.now() / 1e6 + ",x1=" + role;
+            HostReply reply = parse(row(host, report));
+            listener.end(new HostReply(reply.end(), null, protocol.report(reply.body())));
+        });
+    }
+
+    @Override
+    public void listed(EndpointList list) {
+        // No connection depends on the list.
+    }
+
+    @Override
+    public void failQueuedForUnavailable() {
+        // Nothing is ever queued.
+    }
+
+    private HostReply parse(byte[] bytes) {
+        Framer framer = protocol.newFramer();
+        Protocol.Parser parser = protocol.newParser();
+        framer.feed(ByteBuffer.wrap(bytes));
+        HostReply reply = null;
+        while (reply == null) {
+            reply = parser.take(framer.next());
+        }
+        return reply;
+    }
+
+    /** The reply of a host: one row with one column, and the host's replication status. */
+    private byte[] row(String host, String value) {
+        byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
+        return new PgWriter()
+                .message('T', '\0', '\1', "payload", 0, '\0', '\0', 17, '\0', '\4', -1, '\0', '\1')
+                .message('D', '\0', '\1', bytes.length, bytes)
+                .message('C', "SELECT 1")
+                .message('S', "rank", host.equals(PRIMARY) ? "source" : "copy")
+                .message('S', "as_of", Long.toString(loop.now() / 1000))
+                .ready()
+                .bytes();
+    }
+}
--- a/src/main/java/mintstair/serve/SocketRetry.java
+++ b/src/main/java/mintstair/serve/SocketRetry.java
@@ -4,54 +4,60 @@
 import java.net.BindException;
 import java.net.SocketException;
 import java.nio.channels.ServerSocketChannel;
-import java.util.concurrent.TimeUnit;
+import java.time.Duration;
 
 /**
- * Makes sockets of the start again where the system has none to give for a moment, as after a crash under load. An address that cannot be
- * had is a fault of the configuration, and is told at once.
+ * Retries the creation of sockets during start-up while the system has none to give, as after a crash under load. An
+ * address that cannot be bound is a fault of the configuration and fails at once.
  */
 final class SocketRetry {
-    /** As long as the platform gives a restarted process to become ready, less what the rest of the start takes. */
-    private static final long MOST_MILLIS = 20_000;
+    /** The platform's limit for a restarted process to become ready, less the rest of the start. */
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
-    private static final long BETWEEN_MILLIS = 50;
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(50);
 
     private SocketRetry() {}
 
-    /** Something that makes a socket, and leaves nothing behind where it fails. */
-    interface Making<T> {
-        T make() throws IOException;
+    /** Creates something that holds a socket; leaves nothing open where it fails. */
+    interface SocketFactory<T> {
+        T create() throws IOException;
     }
 
-    /** Waits until a socket is to be had: what the virtual machine finds out of sockets at their first use, it never asks again. */
+    /**
+     * Waits until the system gives a socket: what the virtual machine probes at the first one, it never probes again.
+     */
     static void awaitSockets() throws IOException {
-        untilMade(ServerSocketChannel::open).close();
+        retry(ServerSocketChannel::open).close();
     }
 
-    /** What is made, at the first or a later try; throws what the last one threw. */
-    static <T> T untilMade(Making<T> making) throws IOException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MOST_MILLIS);
-        boolean told = false;
+    /**
+     * Calls the factory until it succeeds, fails for good, or the timeout is over. Blocks the calling thread.
+     *
+     * @throws IOException what the last attempt threw
+     */
+    static <T> T retry(SocketFactory<T> factory) throws IOException {
+        long end = System.nanoTime() + TIMEOUT.toNanos();
+        boolean logged = false;
         while (true) {
             try {
-                return making.make();
+                return factory.create();
             } catch (IOException e) {
                 if (!isTransient(e) || System.nanoTime() > end) {
                     throw e;
                 }
-                if (!told) {
+                if (!logged) {
                     System.err.println("starting: " + e.getMessage() + "; tried again until a socket is to be had");
                 }
-                told = true;
+                logged = true;
             }
             pause();
         }
     }
 
     private static boolean isTransient(Throwable failure) {
-        for (Throwable each = failure; each != null; each = each.getCause()) {
-            if (each instanceof SocketException) {
-                return !(each instanceof BindException);
+        for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
+            if (cause instanceof SocketException) {
+                return !(cause instanceof BindException);
             }
         }
         return false;
@@ -59,7 +65,7 @@
 
     private static void pause() throws IOException {
         try {
-            Thread.sleep(BETWEEN_MILLIS);
+            Thread.sleep(RETRY_INTERVAL.toMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
--- a/src/test/java/mintstair/serve/AttemptRulesTest.java
+++ b/src/test/java/mintstair/serve/AttemptRulesTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -11,19 +10,14 @@
 import mintstair.standin.LateHost;
 import org.junit.jupiter.api.Test;
 
-/** What must hold at the moment in which an attempt is written, which may be long after it was decided on. */
-class AttemptRulesTest extends OneServiceFixture {
-    private static final Pattern TOLD_DEADLINE = Pattern.compile("d=(\\d+)");
-
-    private LateHost lateHost() throws IOException {
-        LateHost host = new LateHost();
-        open.add(host);
-        return host;
-    }
+/** The rules that hold when an attempt is written, which may be long after the decision to send it. */
+class AttemptRulesTest extends ServiceFixture {
+    private static final Pattern SENT_DEADLINE = Pattern.compile("d=(\\d+)");
 
     /**
-     * The first attempt broke off after it was written, and the connection for the repeat comes up when the time in which hosts drop
-     * repeats is over: the repeat would run a second time. The next request is the first that comes on that connection.
+     * The first attempt lost its connection after it was written, and the connection for the retry comes up when the
+     * deduplication window is over: the retry would run a second time. The next request is the first that comes on
+     * that connection.
      */
     @Test
     void repeatThatWaitedForItsConnectionBeyondItsWindowIsNotSent() throws Exception {
@@ -46,7 +40,7 @@
         assertTrue(seen.contains("id=next,"), seen);
     }
 
-    /** A request is read while the loop is busy for 400 ms: what the host is told is what the client then has left. */
+    /** A request is read while the loop is busy for 400 ms: the host gets the time that the client then has left. */
     @Test
     void deadlineThatIsPassedOnCountsFromWhenTheRequestWasRead() throws Exception {
         LateHost late = lateHost();
@@ -59,21 +53,21 @@
         late.say(0, LateHost.answer("warm"));
         assertEquals("served warm", client.answer());
         CountDownLatch busy = new CountDownLatch(1);
-        hold(loop::execute, busy);
+        suspend(loop::execute, busy);
         long bytes = bytesRead();
         long sent = System.nanoTime();
-        client.send(true, "id=told,c=write,cluster=1", 2_000);
+        client.send(true, "id=late,c=write,cluster=1", 2_000);
         awaitRead(bytes);
         awaitTime(loop.now() + 400_000);
         busy.countDown();
         String statement = late.statement(0);
         long waited = (System.nanoTime() - sent) / 1_000_000;
-        Matcher told = TOLD_DEADLINE.matcher(statement);
-        assertTrue(told.find(), statement);
+        Matcher deadline = SENT_DEADLINE.matcher(statement);
+        assertTrue(deadline.find(), statement);
         long left = 2_000 - 400;
         assertTrue(
-                Long.parseLong(told.group(1)) <= left + 150,
-                "told " + told.group(1) + " ms of " + left + " left, seen after " + waited);
+                Long.parseLong(deadline.group(1)) <= left + 150,
+                "sent " + deadline.group(1) + " ms of " + left + " left, seen after " + waited);
     }
 
     /** The connection comes up while the loop is busy, which it is until the request's time is over. */
@@ -86,7 +80,7 @@
         late.accept();
         late.hear(0);
         CountDownLatch busy = new CountDownLatch(1);
-        hold(loop::execute, busy);
+        suspend(loop::execute, busy);
         long bytes = bytesRead();
         late.welcome(0);
         awaitRead(bytes);
--- a/src/test/java/mintstair/serve/BothFrontsTest.java
+++ b/src/test/java/mintstair/serve/BothFrontsTest.java
@@ -9,7 +9,6 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.Collectors;
@@ -40,26 +39,27 @@
     private static final long AHEAD = NOW + 3_600_000;
     private static final long BEHIND = NOW - 3_600_000;
 
-    private record Asked(boolean write, String comment, int deadline) {}
+    private record Query(boolean write, String comment, int deadlineMillis) {}
 
     /** Makes one kind of stand-in host. */
     interface Maker {
         StandInHost host(String name, boolean primary, long position) throws IOException;
     }
 
-    private static List<Asked> mix() {
-        List<Asked> mix = new ArrayList<>();
+    private static List<Query> mix() {
+        List<Query> mix = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            String[] kinds = {"any", "bounded", "session", "write", "session", "any", "bounded"};
-            String c = kinds[i % kinds.length];
-            String after = c.equals("session") ? ",after=" + (i % 2 == 0 ? NOW : AHEAD + 1000) : "";
-            mix.add(new Asked(c.equals("write"), "id=m" + i + ",c=" + c + ",cluster=1" + after, 4000));
+            String[] requestClasses = {"any", "bounded", "session", "write", "session", "any", "bounded"};
+            String requestClass = requestClasses[i % requestClasses.length];
+            String session = requestClass.equals("session") ? ",after=" + (i % 2 == 0 ? NOW : AHEAD + 1000) : "";
+            mix.add(new Query(
+                    requestClass.equals("write"), "id=m" + i + ",c=" + requestClass + ",cluster=1" + session, 4000));
         }
-        mix.add(new Asked(false, "id=error,c=any,cluster=1", 4000));
-        mix.add(new Asked(true, "id=break,c=write,cluster=1", 4000));
-        mix.add(new Asked(false, "id=silent,c=any,cluster=1", 300));
-        mix.add(new Asked(false, "id=cut,c=any,cluster=1", 4000));
-        mix.add(new Asked(true, "id=full,c=write,cluster=1", 30));
+        mix.add(new Query(false, "id=error,c=any,cluster=1", 4000));
+        mix.add(new Query(true, "id=break,c=write,cluster=1", 4000));
+        mix.add(new Query(false, "id=silent,c=any,cluster=1", 300));
+        mix.add(new Query(false, "id=cut,c=any,cluster=1", 4000));
+        mix.add(new Query(true, "id=full,c=write,cluster=1", 30));
         return mix;
     }
 
@@ -69,16 +69,16 @@
                 maker.host("r1", false, AHEAD),
                 maker.host("r2", false, BEHIND),
                 maker.host("r3", false, AHEAD));
-        for (StandInHost h : hosts) {
-            h.witness = decisions::add;
-            h.script.put("break", Act.BREAK);
-            h.script.put("silent", Act.SILENT);
-            h.script.put("full", Act.FULL);
+        for (StandInHost host : hosts) {
+            host.witness = decisions::add;
+            host.script.put("break", Act.BREAK);
+            host.script.put("silent", Act.SILENT);
+            host.script.put("full", Act.FULL);
         }
         // Only some hosts fail these, so that a further attempt is served.
-        for (StandInHost h : hosts.subList(2, 4)) {
-            h.script.put("error", Act.ERROR);
-            h.script.put("cut", Act.BREAK);
+        for (StandInHost host : hosts.subList(2, 4)) {
+            host.script.put("error", Act.ERROR);
+            host.script.put("cut", Act.BREAK);
         }
         return hosts;
     }
@@ -91,15 +91,14 @@
         String listed = hosts.stream().map(h -> h.listed("SERVING")).collect(Collectors.joining(","));
         EndpointList list =
                 ListReader.read(Json.read(("{\"rev\":1,\"all\":true,\"targets\":[" + listed + "]}").getBytes()));
-        InstanceSettings env = new InstanceSettings((Map<?, ?>)
-                Json.read(Program.SETTINGS.replace("PROBING", "false").getBytes()));
+        InstanceSettings settings = TestSettings.usual();
         try (EventLoop loop = new EventLoop(clock::get)) {
             ProtocolService service = new ProtocolService(
                     loop,
                     transport,
                     protocol,
                     20261201,
-                    env,
+                    settings,
                     100,
                     (dispatcher, counters) -> pg
                             ? new PgFront(loop, dispatcher, transport, counters, 10)
@@ -108,17 +107,17 @@
             int port = service.open(new InetSocketAddress("127.0.0.1", 0), null);
             List<String> answers = new ArrayList<>();
             try (Client client = pg ? new Client.Pg(port) : new Client.Mongo(port)) {
-                for (Asked a : mix()) {
-                    client.send(a.write, a.comment, a.deadline);
-                    if (a.comment.startsWith("id=silent")) {
+                for (Query query : mix()) {
+                    client.send(query.write, query.comment, query.deadlineMillis);
+                    if (query.comment.startsWith("id=silent")) {
                         Program.await(() -> hosts.stream().anyMatch(h -> h.seen.contains("silent")), "an attempt");
-                        clock.addAndGet(a.deadline * 1000L);
-                    } else if (a.comment.startsWith("id=full")) {
+                        clock.addAndGet(query.deadlineMillis * 1000L);
+                    } else if (query.comment.startsWith("id=full")) {
                         Program.await(
                                 () -> counters(loop, service).contains(" ended_turned_away=1"), "the host's refusal");
-                        clock.addAndGet(a.deadline * 1000L);
+                        clock.addAndGet(query.deadlineMillis * 1000L);
                     }
-                    answers.add(a.comment + ": " + client.answer());
+                    answers.add(query.comment + ": " + client.answer());
                     clock.addAndGet(10_000);
                 }
             }
@@ -139,7 +138,7 @@
         List<String> mongoDecisions = Collections.synchronizedList(new ArrayList<>());
         List<StandInHost> pg = hosts(PgHost::new, pgDecisions);
         List<StandInHost> mongo = hosts(MongoHost::new, mongoDecisions);
-        TCPNIOTransport transport = Proxy.transport();
+        TCPNIOTransport transport = ClientTransport.create();
         transport.start();
         try {
             List<String> pgAnswers = play(new PgProtocol(), pg, transport);
@@ -160,11 +159,11 @@
             assertTrue(pgDecisions.contains("m3 at p") && pgDecisions.contains("m11 at p"), "" + pgDecisions);
         } finally {
             transport.shutdownNow();
-            for (StandInHost h : pg) {
-                h.close();
+            for (StandInHost host : pg) {
+                host.close();
             }
-            for (StandInHost h : mongo) {
-                h.close();
+            for (StandInHost host : mongo) {
+                host.close();
             }
         }
     }
--- a/src/test/java/mintstair/serve/ConnectionEndsTest.java
+++ b/src/test/java/mintstair/serve/ConnectionEndsTest.java
@@ -29,8 +29,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Connections that end, on either side, at the moment in which something is still owed on them. */
-class ConnectionEndsTest extends OneServiceFixture {
+/** Connections that end, on either side, while a response or a request on them is not complete. */
+class ConnectionEndsTest extends ServiceFixture {
     private final Set<Connection<?>> connections = ConcurrentHashMap.newKeySet();
     private final AtomicLong bytesRead = new AtomicLong();
     private LateHost host;
@@ -53,8 +53,7 @@
                 bytesRead.addAndGet(size);
             }
         });
-        host = new LateHost();
-        open.add(host);
+        host = lateHost();
         serve(true, 1, host("p", host.port(), true));
     }
 
@@ -63,11 +62,11 @@
     }
 
     /**
-     * Guards against a close over unread bytes: its reset would take the answer that was just written with it. And against an error
-     * that drops the requests that came whole before it.
+     * Guards against a close with unread bytes: its reset would discard the response that was just written. And
+     * against an error that drops the requests that came whole before it.
      */
     @Test
-    void clientThatGoesOnSendingHearsItsAnswerTheErrorAndAnOrderlyEnd() throws Exception {
+    void clientThatGoesOnSendingGetsItsResponseTheErrorAndAnOrderlyClose() throws Exception {
         for (int n = 0; n < 5; n++) {
             Client.Pg client = client();
             ByteArrayOutputStream all = new ByteArrayOutputStream();
@@ -105,11 +104,12 @@
     }
 
     /**
-     * Guards against a close over bytes that lie unread in the system: its reset overtakes the last words where a network loses a part of
-     * them. Here bytes come while the network thread is held up, the words go out meanwhile, and more bytes come behind the end.
+     * Guards against a close with bytes unread in the system: its reset overtakes the error where a network loses a
+     * part of it. Here bytes arrive while the network thread is suspended, the error is written meanwhile, and more
+     * bytes arrive after the close.
      */
     @Test
-    void bytesThatComeAroundTheLastWordsAreReadAndNotReset() throws Exception {
+    void bytesThatArriveAroundTheErrorAreReadAndNotReset() throws Exception {
         Client.Pg client = client();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(write("held"));
@@ -118,20 +118,22 @@
         host.accept();
         Program.await(() -> connections.size() >= 2, "both sides");
         CountDownLatch network = new CountDownLatch(1);
-        hold(task -> ((NIOConnection) connections.iterator().next()).executeInEventThread(IOEvent.READ, task), network);
+        suspend(
+                task -> ((NIOConnection) connections.iterator().next()).executeInEventThread(IOEvent.READ, task),
+                network);
         long before = bytesRead.get();
         client.raw(new byte[20]);
         loop.execute(() -> service.drainBy(loop.now(), loop.now()));
         assertEquals("failed", client.answer(), "the request, which was on its way to its host");
         assertNotEquals("08P01", client.code);
-        assertEquals('E', client.in.read(), "the last words");
+        assertEquals('E', client.in.read(), "the error");
         String words = new String(client.in.readNBytes(client.in.readInt() - 4), StandardCharsets.UTF_8);
         assertTrue(words.contains("08P01"), words);
-        // Whoever wrote the words has gone on by then, and asked for the end.
+        // The task that wrote the error has requested the close by then.
         CompletableFuture.runAsync(() -> {}, loop::execute).join();
-        // The loop's clock stands still from here on: however slow the machine, nobody has lingered for long enough.
+        // With the loop suspended, its time-out for unread bytes cannot pass, however slow the machine.
         CountDownLatch looping = new CountDownLatch(1);
-        hold(loop::execute, looping);
+        suspend(loop::execute, looping);
         network.countDown();
         assertEquals(-1, client.in.read(), "the end");
         client.raw(new byte[20]);
@@ -139,7 +141,7 @@
         looping.countDown();
     }
 
-    /** One that never stops sending, and never goes, does not keep its descriptor. */
+    /** One that never stops sending, and never closes, does not keep its descriptor. */
     @Test
     void clientThatNeverStopsSendingIsClosedAllTheSame() throws Exception {
         Client.Pg client = client();
@@ -154,15 +156,15 @@
             }
         });
         Program.await(() -> service.front.connections() == 0, "its end");
-        Client.Pg silent = client();
-        silent.raw(new byte[] {'@', 0, 0, 0, 4});
-        assertEquals("failed", silent.answer());
-        Program.await(() -> service.front.connections() == 0, "the end of one that says nothing more and stays");
+        Client.Pg idle = client();
+        idle.raw(new byte[] {'@', 0, 0, 0, 4});
+        assertEquals("failed", idle.answer());
+        Program.await(() -> service.front.connections() == 0, "the close of one that sends nothing more and stays");
     }
 
-    /** Guards against answers that the system holds back until the other side has spoken. */
+    /** Guards against responses that the system delays until the other side has acknowledged (Nagle's algorithm). */
     @Test
-    void smallWritesAreNotHeldBackOnEitherSide() throws Exception {
+    void smallWritesAreNotDelayedOnEitherSide() throws Exception {
         Client.Pg client = client();
         client.raw(write("one"));
         host.accept();
@@ -175,9 +177,9 @@
         }
     }
 
-    /** A host that ends in the middle of a line: a write may have run, is failed at once and not sent again. */
+    /** A host that closes in the middle of a reply: a write may have run, is failed at once and not retried. */
     @Test
-    void halfALineFromAHostIsNoAnswer() throws Exception {
+    void incompleteReplyOfAHostIsNoResponse() throws Exception {
         byte[] answer = LateHost.answer("half");
         for (int n = 0; n < 4; n++) {
             Client.Pg client = client();
@@ -208,9 +210,9 @@
         assertEquals(4, service.counters.sent);
     }
 
-    /** A reset long after a request has ended, with nothing out on the connection, ends no other request. */
+    /** A reset long after a request has ended, with no request on the connection, fails no other request. */
     @Test
-    void resetAfterTheAnswerEndsNothing() throws Exception {
+    void resetAfterTheReplyFailsNoRequest() throws Exception {
         Client.Pg client = client();
         client.raw(write("a"));
         host.accept();
@@ -231,9 +233,9 @@
         assertEquals("served c", client.answer());
     }
 
-    /** Read in the instant in which a front that ends lets its clients go: answered, on a resting connection and on a new one. */
+    /** A request that is read at the moment in which a front drains is answered. */
     @Test
-    void requestAtTheMomentOfTheEndIsAnsweredOrLeftUnread() throws Exception {
+    void requestAtTheMomentOfTheDrainIsAnsweredOrLeftUnread() throws Exception {
         List<Client.Pg> resting = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             resting.add(client());
@@ -252,6 +254,6 @@
                 // It was not read: the client sends it again elsewhere.
             }
         }
-        assertEquals(answered, service.counters.taken, "what was read has its answer, nothing else was sent on");
+        assertEquals(answered, service.counters.taken, "what was read has its answer, nothing else was forwarded");
     }
 }
--- a/src/test/java/mintstair/serve/GoneClientsTest.java
+++ b/src/test/java/mintstair/serve/DisconnectedClientsTest.java
@@ -7,7 +7,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import mintstair.program.Program;
 import mintstair.request.EndpointList;
@@ -15,61 +14,43 @@
 import mintstair.standin.LateHost;
 import mintstair.standin.PgHost;
 import mintstair.standin.StandInHost.Act;
-import mintstair.stats.MetricsSnapshot;
 import org.junit.jupiter.api.Test;
 
-/** A client that has closed its connection: no attempt begins for it any more, at whatever stage its request is. */
-class GoneClientsTest extends OneServiceFixture {
-    /** Where attempts may not be called off, so that nothing but the client's leaving keeps them back. */
+/** A client that has closed its connection: no attempt begins for it any more, in whatever state its request is. */
+class DisconnectedClientsTest extends ServiceFixture {
+    /** Without cancellation, so that nothing but the client's disconnect keeps attempts from beginning. */
     private void serve(EndpointList.Entry... hosts) throws IOException {
         serve(false, 64, hosts);
     }
 
-    private void awaitFigure(String name, long wanted) {
-        Program.await(
-                () -> {
-                    CompletableFuture<Long> value = new CompletableFuture<>();
-                    loop.execute(() -> {
-                        MetricsSnapshot.Builder metrics = new MetricsSnapshot.Builder();
-                        service.addTo(metrics);
-                        value.complete(metrics.build().value(name));
-                    });
-                    return value.join() == wanted;
-                },
-                name + "=" + wanted);
-    }
-
-    private LateHost lateHost() throws IOException {
-        LateHost host = new LateHost();
-        open.add(host);
-        return host;
-    }
-
-    /** Once nothing is held any more: of what comes up only now, the next request is the first that the host sees. */
+    /**
+     * Once no request is in flight: on a connection that comes up only now, the next request is the first that the
+     * host sees.
+     */
     private void awaitNextToBeFirst(LateHost late) throws IOException {
-        awaitFigure("in_flight", 0);
+        awaitMetric("in_flight", 0);
         Client.Pg next = client();
         next.send(true, "id=next,c=write,cluster=1", 15_000);
-        awaitFigure("in_flight", 1);
+        awaitMetric("in_flight", 1);
         late.greet(0);
         String first = late.statement(0);
         assertTrue(first.contains("id=next,"), first);
     }
 
-    /** Its connection comes up long after it has left; the next request is the first that the host sees. */
+    /** Its connection comes up long after the disconnect; the next request is the first that the host sees. */
     @Test
-    void attemptThatWaitsForAConnectionDoesNotBeginOnceItsClientHasLeft() throws IOException {
+    void attemptThatWaitsForAConnectionDoesNotBeginOnceItsClientHasDisconnected() throws IOException {
         LateHost late = lateHost();
         serve(host("late", late.port(), true));
-        Client.Pg gone = client();
-        gone.send(true, "id=gone,c=write,cluster=1", 15_000);
+        Client.Pg disconnected = client();
+        disconnected.send(true, "id=gone,c=write,cluster=1", 15_000);
         late.accept();
-        awaitFigure("in_flight", 1);
-        gone.close();
+        awaitMetric("in_flight", 1);
+        disconnected.close();
         awaitNextToBeFirst(late);
     }
 
-    /** A connection that comes up when its request's time is over brings the next request, not that one. */
+    /** A connection that comes up after its request's deadline carries the next request, not that one. */
     @Test
     void attemptThatWaitsForAConnectionDoesNotBeginOnceItsRequestIsOver() throws IOException {
         LateHost late = lateHost();
@@ -80,14 +61,14 @@
         String answer = client.answer();
         assertTrue(answer.startsWith("refused") || answer.equals("failed"), answer);
         client.send(true, "id=next,c=write,cluster=1", 15_000);
-        awaitFigure("in_flight", 1);
+        awaitMetric("in_flight", 1);
         late.greet(0);
         assertTrue(late.statement(0).contains("id=next,"));
     }
 
-    /** Hundreds that leave together while all of their requests wait: none of them begins. */
+    /** Hundreds that disconnect together while all of their requests wait: none of them begins. */
     @Test
-    void burstOfClientsThatLeaveIsNotSentOn() throws IOException {
+    void burstOfDisconnectedClientsIsNotForwarded() throws IOException {
         LateHost late = lateHost();
         serve(host("late", late.port(), true));
         List<Client.Pg> burst = new ArrayList<>();
@@ -95,7 +76,7 @@
             burst.add(client());
             burst.get(i).send(true, "id=gone" + i + ",c=write,cluster=1", 15_000);
         }
-        awaitFigure("in_flight", 300);
+        awaitMetric("in_flight", 300);
         late.accept();
         for (Client.Pg client : burst) {
             client.close();
@@ -104,27 +85,28 @@
         assertEquals(301, service.counters.taken);
     }
 
-    /** Held as there is no primary: when one is listed, only those whose clients are still there are sent. */
+    /** Queued as there is no primary: when one is listed, only requests whose clients are still connected are sent. */
     @Test
-    void requestHeldForAPrimaryIsDroppedWithItsClient() throws IOException {
+    void requestQueuedForAPrimaryIsDroppedWithItsClient() throws IOException {
         PgHost primary = new PgHost("p", true, 5);
         open.add(primary);
         serve(host("r", 9, false));
-        Client.Pg gone = client();
+        Client.Pg disconnected = client();
         Client.Pg stays = client();
-        gone.send(true, "id=gone,c=write,cluster=1", 15_000);
+        disconnected.send(true, "id=gone,c=write,cluster=1", 15_000);
         stays.send(true, "id=stays,c=write,cluster=1", 15_000);
-        awaitFigure("in_flight", 2);
-        gone.close();
-        awaitFigure("in_flight", 1);
-        loop.execute(() -> service.listed(new EndpointList(2, true, List.of(host("p", primary.port(), true)))));
+        awaitMetric("in_flight", 2);
+        disconnected.close();
+        awaitMetric("in_flight", 1);
+        loop.execute(() ->
+                service.onOtherEndpoints(new EndpointList(2, true, List.of(host("p", primary.port(), true)))));
         assertEquals("served stays", stays.answer());
         assertEquals(List.of("stays"), List.copyOf(primary.seen));
     }
 
-    /** It left while its first attempt was out; that fails as one that may be repeated, and is not. */
+    /** It disconnects during its first attempt, which fails as one that may be retried, and is not. */
     @Test
-    void furtherAttemptDoesNotBeginOnceItsClientHasLeft() throws IOException {
+    void retryDoesNotBeginOnceItsClientHasDisconnected() throws IOException {
         PgHost first = new PgHost("first", false, 5);
         PgHost second = new PgHost("second", false, 5);
         open.add(first);
@@ -132,11 +114,11 @@
         first.script.put("gone", Act.SILENT);
         second.script.put("gone", Act.SILENT);
         serve(host("first", first.port(), false), host("second", second.port(), false));
-        Client.Pg gone = client();
-        gone.send(false, "id=gone,c=any,cluster=1", 15_000);
+        Client.Pg disconnected = client();
+        disconnected.send(false, "id=gone,c=any,cluster=1", 15_000);
         Program.await(() -> first.seen.size() + second.seen.size() == 1, "the first attempt");
-        gone.close();
-        awaitFigure("in_flight", 0);
+        disconnected.close();
+        awaitMetric("in_flight", 0);
         (first.seen.isEmpty() ? second : first).close();
         Client.Pg next = client();
         assertEquals("served next", next.ask(false, "id=next,c=any,cluster=1", 15_000));
@@ -146,43 +128,46 @@
                         + second.seen.stream().filter("gone"::equals).count());
     }
 
-    /** The loop is busy when request and end of its connection arrive: what it does first must already know of the end. */
+    /**
+     * The loop is busy when a request and the end of its connection arrive: it must know of the end when it gets to
+     * the request.
+     */
     @Test
-    void clientThatLeftBeforeTheLoopCameToItsRequestIsNotSentOn() throws Exception {
+    void requestOfAClientThatDisconnectedBeforeTheLoopGotToItIsNotForwarded() throws Exception {
         PgHost primary = new PgHost("p", true, 5);
         open.add(primary);
         serve(host("p", primary.port(), true));
         assertEquals("served before", client().ask(true, "id=before,c=write,cluster=1", 15_000));
-        Client.Pg gone = client();
+        Client.Pg disconnected = client();
         CountDownLatch blocked = new CountDownLatch(1);
-        hold(loop::execute, blocked);
+        suspend(loop::execute, blocked);
         int clients = service.front.connections();
-        gone.send(true, "id=gone,c=write,cluster=1", 15_000);
-        gone.close();
+        disconnected.send(true, "id=gone,c=write,cluster=1", 15_000);
+        disconnected.close();
         Program.await(() -> service.front.connections() < clients, "the network thread to have seen the end");
         blocked.countDown();
         assertEquals("served next", client().ask(true, "id=next,c=write,cluster=1", 15_000));
         assertEquals(2, service.counters.sent, "attempts");
     }
 
-    /** Sends much at once and goes: what its first answer was waited for is the most that is begun. */
+    /** Pipelines requests and disconnects: only the first has begun. */
     @Test
-    void clientThatSendsMuchAtOnceAndGoesIsForgotten() throws IOException {
+    void pipelinedRequestsOfADisconnectedClientAreDropped() throws IOException {
         PgHost primary = new PgHost("p", true, 5);
         open.add(primary);
         primary.script.put("m0", Act.SILENT);
         serve(host("p", primary.port(), true));
-        Client.Pg gone = client();
+        Client.Pg disconnected = client();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 50; i++) {
             all.append(new String(
                     Client.Pg.query(Client.Pg.words(true, "id=m" + i + ",c=write,cluster=1", 15_000)),
                     StandardCharsets.ISO_8859_1));
         }
-        gone.raw(all.toString().getBytes(StandardCharsets.ISO_8859_1));
+        disconnected.raw(all.toString().getBytes(StandardCharsets.ISO_8859_1));
         Program.await(() -> primary.seen.contains("m0"), "the first of many");
-        gone.close();
-        awaitFigure("in_flight", 0);
+        disconnected.close();
+        awaitMetric("in_flight", 0);
         assertEquals("served next", client().ask(true, "id=next,c=write,cluster=1", 15_000));
         assertEquals(List.of("m0", "next"), List.copyOf(primary.seen));
     }
--- a/src/test/java/mintstair/serve/EndpointUpdateQueueTest.java
+++ b/src/test/java/mintstair/serve/EndpointUpdateQueueTest.java
@@ -13,56 +13,71 @@
 import org.junit.jupiter.api.Test;
 
 class EndpointUpdateQueueTest {
-    private static ViewUpdate.Endpoints list(long revision, boolean whole) {
-        return new ViewUpdate.Endpoints("postgresql", new EndpointList(revision, whole, List.of()), false);
+    private static final EndpointList.Entry HOST =
+            new EndpointList.Entry("h", "127.0.0.1:1", "z", 1, EndpointList.State.SERVING, false, 1, 0);
+
+    private final Deque<Runnable> loop = new ArrayDeque<>();
+    private final List<String> applied = new ArrayList<>();
+    private final EndpointUpdateQueue queue = new EndpointUpdateQueue(loop::add, this::apply);
+
+    private void apply(ViewUpdate.Endpoints update) {
+        applied.add(
+                (update.list().whole() ? "snapshot " : "delta ") + update.list().revision());
+    }
+
+    private static ViewUpdate.Endpoints update(long revision, boolean whole, List<EndpointList.Entry> hosts) {
+        return new ViewUpdate.Endpoints("postgresql", new EndpointList(revision, whole, hosts), false);
+    }
+
+    private static ViewUpdate.Endpoints delta(long revision) {
+        return update(revision, false, List.of());
+    }
+
+    private static ViewUpdate.Endpoints snapshot(long revision) {
+        return update(revision, true, List.of());
     }
 
-    /** A loop that is far behind gets one whole list in place of what waits, and then what came after it; nothing grows. */
     @Test
-    void whatWaitsGivesWayToOneWholeList() {
-        Deque<Runnable> loop = new ArrayDeque<>();
-        List<String> taken = new ArrayList<>();
-        EndpointUpdateQueue handover = new EndpointUpdateQueue(
-                loop::add,
-                h -> taken.add((h.list().whole() ? "whole " : "") + h.list().revision()));
-        handover.offer(List.of(list(1, false), list(2, false)), List::of);
-        handover.offer(List.of(), List::of);
+    void listsOfferedTogetherAreAppliedInOrderByOneTask() {
+        queue.offer(List.of(delta(1), delta(2)), List::of);
+        queue.offer(List.of(), List::of);
+
         assertEquals(1, loop.size());
         loop.forEach(Runnable::run);
-        assertEquals(List.of("1", "2"), taken);
-        taken.clear();
-        loop.clear();
-        for (int i = 1; i <= EndpointUpdateQueue.MOST + 3; i++) {
-            int at = i;
-            handover.offer(List.of(list(at, false)), () -> List.of(list(at, true)));
+        assertEquals(List.of("delta 1", "delta 2"), applied);
+    }
+
+    /**
+     * A loop that is far behind gets one snapshot in place of what waits, and then what came after it; nothing grows.
+     */
+    @Test
+    void waitingListsAreReplacedByOneSnapshotBeyondTheBound() {
+        int max = EndpointUpdateQueue.MAX_BATCHES;
+
+        for (int i = 1; i <= max + 3; i++) {
+            int revision = i;
+            queue.offer(List.of(delta(revision)), () -> List.of(snapshot(revision)));
         }
         loop.forEach(Runnable::run);
-        assertEquals(
-                List.of(
-                        "whole " + (EndpointUpdateQueue.MOST + 1),
-                        "" + (EndpointUpdateQueue.MOST + 2),
-                        "" + (EndpointUpdateQueue.MOST + 3)),
-                taken);
-        assertEquals(1, handover.conflated());
+
+        assertEquals(List.of("snapshot " + (max + 1), "delta " + (max + 2), "delta " + (max + 3)), applied);
+        assertEquals(1, queue.conflations());
     }
 
-    /** Guards against a heap full of whole lists: their hosts count, not only they. */
+    /** Guards against a heap full of snapshots: their entries count, not only their number. */
     @Test
-    void manyHostsWaitInNoMoreThanOneWholeList() {
-        Deque<Runnable> loop = new ArrayDeque<>();
-        List<Long> taken = new ArrayList<>();
-        EndpointUpdateQueue handover =
-                new EndpointUpdateQueue(loop::add, h -> taken.add(h.list().revision()));
-        EndpointList.Entry host =
-                new EndpointList.Entry("h", "127.0.0.1:1", "z", 1, EndpointList.State.SERVING, false, 1, 0);
-        List<EndpointList.Entry> thousand = Collections.nCopies(1_024, host);
+    void snapshotsWithManyEntriesWaitInNoMoreThanTheBound() {
+        List<EndpointList.Entry> thousand = Collections.nCopies(1_024, HOST);
+
         for (long i = 1; i <= 40; i++) {
-            ViewUpdate.Endpoints each =
-                    new ViewUpdate.Endpoints("postgresql", new EndpointList(i, true, thousand), false);
-            handover.offer(List.of(each), () -> List.of(each));
+            ViewUpdate.Endpoints update = update(i, true, thousand);
+            queue.offer(List.of(update), () -> List.of(update));
         }
         loop.forEach(Runnable::run);
-        assertEquals(LongStream.rangeClosed(33, 40).boxed().toList(), taken);
-        assertEquals(1, handover.conflated());
+
+        List<String> expected =
+                LongStream.rangeClosed(33, 40).mapToObj(i -> "snapshot " + i).toList();
+        assertEquals(expected, applied);
+        assertEquals(1, queue.conflations());
     }
 }
--- /dev/null
+++ b/src/test/java/mintstair/serve/TestSettings.java
@@ -0,0 +1,33 @@
+package mintstair.serve;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+import mintstair.config.InstanceSettings;
+import mintstair.config.Json;
+import mintstair.program.Program;
+
+/**
+ * The settings of the services that tests start in this process: those of the program's tests, without health checks.
+ */
+final class TestSettings {
+    private TestSettings() {}
+
+    static InstanceSettings usual() {
+        return with();
+    }
+
+    /** The settings with some texts replaced: each is followed by its replacement. */
+    static InstanceSettings with(String... replacements) {
+        String text = Program.SETTINGS.replace("PROBING", "false");
+        for (int i = 0; i < replacements.length; i += 2) {
+            text = text.replace(replacements[i], replacements[i + 1]);
+        }
+        try {
+            return new InstanceSettings((Map<?, ?>) Json.read(text.getBytes(StandardCharsets.UTF_8)));
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+}
