--- a/src/test/java/mintstair/serve/BothFrontsTest.java
+++ b/src/test/java/mintstair/serve/BothFrontsTest.java
@@ -1,11 +1,11 @@
 package mintstair.serve;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -89,8 +89,8 @@
         AtomicLong clock = new AtomicLong(NOW * 1000);
         boolean pg = protocol instanceof PgProtocol;
         String listed = hosts.stream().map(h -> h.listed("SERVING")).collect(Collectors.joining(","));
-        EndpointList list =
-                ListReader.read(Json.read(("{\"rev\":1,\"all\":true,\"targets\":[" + listed + "]}").getBytes()));
+        EndpointList list = ListReader.read(
+                Json.read(("{\"rev\":1,\"all\":true,\"targets\":[" + listed + "]}").getBytes(StandardCharsets.UTF_8)));
         InstanceSettings settings = TestSettings.usual();
         try (EventLoop loop = new EventLoop(clock::get)) {
             ProtocolService service = new ProtocolService(
