--- a/src/main/java/mintstair/log/NonBlockingOutput.java
+++ b/src/main/java/mintstair/log/NonBlockingOutput.java
@@ -9,32 +9,46 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Takes what is written to it at once and passes it on with a thread of its own, so that a log that nobody reads holds up nobody: past
- * a bound what is written is dropped, and the log says how much as soon as it is read again. Safe for use by several threads.
+ * A bounded buffer before a stream that may block, emptied by a thread of its own: a log that nobody reads blocks no
+ * thread of the program. Writes beyond the bound are dropped, and the log says how many as soon as it is read again.
+ * Safe for use by several threads.
  */
 public final class NonBlockingOutput extends OutputStream {
-    /** More than a minute of lines at a proxy in trouble, and little beside the heap. */
-    private static final int MOST_BYTES = 256 * 1024;
+    /** More than a minute of lines of a proxy in trouble, and little beside the heap. */
+    private static final int MAX_BYTES = 256 * 1024;
 
+    /** Standard output and standard error, once they are replaced. */
     private static volatile List<NonBlockingOutput> installed = List.of();
 
     private final OutputStream target;
-    private final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
-    private int waitingBytes;
-    private boolean passing;
-    private boolean broken;
-    private long dropped;
-    private long droppedInAll;
-
-    /** Passes on to this stream, which may block. */
-    public NonBlockingOutput(OutputStream target, String name) {
+
+    /** Guarded by this object. */
+    private final ArrayDeque<byte[]> buffer = new ArrayDeque<>();
+
+    /** Guarded by this object. */
+    private int bufferedBytes;
+
+    /** Whether the thread is writing what it has taken from the buffer. Guarded by this object. */
+    private boolean writing;
+
+    /** Guarded by this object. */
+    private boolean targetFailed;
+
+    /** Writes dropped since the log last said how many. Guarded by this object. */
+    private long unreportedDrops;
+
+    /** Guarded by this object. */
+    private long drops;
+
+    /** Starts a daemon thread of this name, which writes to the target. */
+    public NonBlockingOutput(OutputStream target, String threadName) {
         this.target = target;
-        Thread thread = new Thread(this::passOn, name);
+        Thread thread = new Thread(this::writeToTarget, threadName);
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Has standard output and standard error of this process hold up nobody; {@link #drainInstalled} is due before its end. */
+    /** Replaces standard output and standard error; {@link #drainInstalled} is due before the process ends. */
     public static void install() {
         NonBlockingOutput out = new NonBlockingOutput(System.out, "standard output");
         NonBlockingOutput err = new NonBlockingOutput(System.err, "standard error");
@@ -43,11 +57,11 @@
         installed = List.of(out, err);
     }
 
-    /** Waits for what was written to standard output and standard error, so many milliseconds at most for each. */
-    public static void drainInstalled(long millis) {
+    /** Waits until standard output and standard error are written, for so many milliseconds at most for each. */
+    public static void drainInstalled(long timeoutMillis) {
         System.out.flush();
         System.err.flush();
-        installed.forEach(each -> each.drain(millis));
+        installed.forEach(output -> output.drain(timeoutMillis));
     }
 
     /** How many writes to standard output and standard error were dropped. */
@@ -61,79 +75,89 @@
     }
 
     @Override
-    public synchronized void write(byte[] bytes, int from, int count) {
-        if (broken || waitingBytes + count > MOST_BYTES) {
-            dropped++;
-            droppedInAll++;
+    public synchronized void write(byte[] bytes, int offset, int count) {
+        if (targetFailed || bufferedBytes + count > MAX_BYTES) {
+            unreportedDrops++;
+            drops++;
             return;
         }
         byte[] copy = new byte[count];
-        System.arraycopy(bytes, from, copy, 0, count);
-        waiting.add(copy);
-        waitingBytes += count;
+        System.arraycopy(bytes, offset, copy, 0, count);
+        add(copy);
         notifyAll();
     }
 
-    /** Waits until all is passed on, so many milliseconds at most; returns whether it is. */
-    public synchronized boolean drain(long millis) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    /** Called under the lock. */
+    private void add(byte[] bytes) {
+        buffer.add(bytes);
+        bufferedBytes += bytes.length;
+    }
+
+    /** Waits until all is written, for so many milliseconds at most; returns whether it is. */
+    public synchronized boolean drain(long timeoutMillis) {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        long remainingMillis = timeoutMillis;
         try {
-            for (long left = millis; (passing || !waiting.isEmpty()) && left > 0; ) {
-                wait(left);
-                left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
+            while (!isDrained() && remainingMillis > 0) {
+                wait(remainingMillis);
+                remainingMillis = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return !passing && waiting.isEmpty();
+        return isDrained();
     }
 
-    /** How many writes were dropped, as too much was waiting. */
+    /** Called under the lock. */
+    private boolean isDrained() {
+        return !writing && buffer.isEmpty();
+    }
+
+    /** How many writes were dropped. */
     public synchronized long dropped() {
-        return droppedInAll;
+        return drops;
     }
 
-    private void passOn() {
+    /** The thread's task. */
+    private void writeToTarget() {
         try {
             while (true) {
-                target.write(next());
+                target.write(takeNext());
                 target.flush();
-                passed();
+                written();
             }
         } catch (IOException e) {
-            broken();
+            fail();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Nobody is left to read: what is written from now on is dropped. */
-    private synchronized void broken() {
-        broken = true;
-        passing = false;
-        waiting.clear();
-        notifyAll();
-    }
-
-    private synchronized byte[] next() throws InterruptedException {
-        while (waiting.isEmpty()) {
+    private synchronized byte[] takeNext() throws InterruptedException {
+        while (buffer.isEmpty()) {
             wait();
         }
-        passing = true;
-        byte[] next = waiting.poll();
-        waitingBytes -= next.length;
-        if (waiting.isEmpty() && dropped > 0) {
-            byte[] told =
-                    ("log: " + dropped + " lines were dropped, as nobody read them\n").getBytes(StandardCharsets.UTF_8);
-            dropped = 0;
-            waiting.add(told);
-            waitingBytes += told.length;
+        writing = true;
+        byte[] next = buffer.poll();
+        bufferedBytes -= next.length;
+        if (buffer.isEmpty() && unreportedDrops > 0) {
+            String report = "log: " + unreportedDrops + " lines were dropped, as nobody read them\n";
+            unreportedDrops = 0;
+            add(report.getBytes(StandardCharsets.UTF_8));
         }
         return next;
     }
 
-    private synchronized void passed() {
-        passing = false;
+    private synchronized void written() {
+        writing = false;
+        notifyAll();
+    }
+
+    /** The reader is gone: there is nowhere left to report this, and what is written from now on is dropped. */
+    private synchronized void fail() {
+        targetFailed = true;
+        writing = false;
+        buffer.clear();
         notifyAll();
     }
 }
--- a/src/test/java/mintstair/log/NonBlockingOutputTest.java
+++ b/src/test/java/mintstair/log/NonBlockingOutputTest.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** What nobody reads is dropped past a bound, counted and told; what is read comes whole and in order. */
+/** What nobody reads is dropped beyond a bound, counted and reported; what is read is complete and in order. */
 class NonBlockingOutputTest {
     private static final byte[] LINE =
             "a line of the log that is as long as most of them are, more or less\n".getBytes(StandardCharsets.UTF_8);
 
-    /** Takes nothing until it is let go. */
-    private static final class Blocked extends OutputStream {
+    /** Blocks writers until it is opened. */
+    private static final class BlockedStream extends OutputStream {
         final CountDownLatch open = new CountDownLatch(1);
-        final ByteArrayOutputStream taken = new ByteArrayOutputStream();
+        final ByteArrayOutputStream written = new ByteArrayOutputStream();
 
         @Override
         public void write(int oneByte) throws IOException {
@@ -33,13 +33,13 @@
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
-            taken.write(bytes, from, count);
+            written.write(bytes, from, count);
         }
     }
 
     @Test
-    void writerIsNotHeldUpAndIsToldOfWhatWasDropped() {
-        Blocked blocked = new Blocked();
+    void writerIsNotBlockedAndDropsAreReported() {
+        BlockedStream blocked = new BlockedStream();
         NonBlockingOutput output = new NonBlockingOutput(blocked, "test");
         int lines = 20_000;
         for (int i = 0; i < lines; i++) {
@@ -50,18 +50,18 @@
         assertTrue(dropped > 0 && dropped < lines, "dropped " + dropped);
         blocked.open.countDown();
         assertTrue(output.drain(20_000));
-        String taken = blocked.taken.toString(StandardCharsets.UTF_8);
-        assertEquals(lines - dropped + 1, taken.lines().count());
-        assertTrue(taken.endsWith("log: " + dropped + " lines were dropped, as nobody read them\n"));
+        String written = blocked.written.toString(StandardCharsets.UTF_8);
+        assertEquals(lines - dropped + 1, written.lines().count());
+        assertTrue(written.endsWith("log: " + dropped + " lines were dropped, as nobody read them\n"));
     }
 
     @Test
-    void targetThatIsBrokenHoldsUpNobody() {
+    void failedTargetBlocksNobody() {
         NonBlockingOutput output = new NonBlockingOutput(
                 new OutputStream() {
                     @Override
                     public void write(int oneByte) throws IOException {
-                        throw new IOException("nobody reads");
+                        throw new IOException("broken pipe");
                     }
                 },
                 "test");
