--- a/src/main/java/mintstair/adapter/ActionWriter.java
+++ b/src/main/java/mintstair/adapter/ActionWriter.java
@@ -5,116 +5,123 @@
 import java.nio.charset.StandardCharsets;
 import mintstair.decision.RouterActions;
 
-/** The actions of one instance, written to the reply shared by its batch. */
+/**
+ * Writes the actions of one instance to the reply, which the instances of a batch share. Not safe for use by several
+ * threads.
+ */
 final class ActionWriter implements RouterActions {
-    private final StringBuilder out;
-    private final int who;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    ActionWriter(StringBuilder out, int who) {
-        this.out = out;
-        this.who = who;
+    private final StringBuilder reply;
+    private final int instance;
+
+    ActionWriter(StringBuilder reply, int instance) {
+        this.reply = reply;
+        this.instance = instance;
     }
 
     @Override
     public void send(long id, String host, long abandonAt, long beginBy) {
-        open("handOff").append(',').append(id);
+        begin("handOff").append(',').append(id);
         text(host);
         if (abandonAt > 0) {
             seconds(abandonAt);
         }
-        close();
+        end();
     }
 
     @Override
     public void cancel(long id, int attempt) {
-        open("retract").append(',').append(id).append(',').append(attempt);
-        close();
+        begin("retract").append(',').append(id).append(',').append(attempt);
+        end();
     }
 
     @Override
     public void reject(long id, long retryAfterMicros) {
-        open("busy").append(',').append(id);
+        begin("busy").append(',').append(id);
         seconds(retryAfterMicros);
-        close();
+        end();
     }
 
     @Override
     public void fail(long id) {
-        open("endFailed").append(',').append(id);
-        close();
+        begin("endFailed").append(',').append(id);
+        end();
     }
 
     @Override
     public void checkHealth(String host) {
-        open("askLoad");
+        begin("askLoad");
         text(host);
-        close();
+        end();
     }
 
     @Override
     public void startTimer(String name, long delayMicros) {
-        open("sleep");
+        begin("sleep");
         text(name);
         seconds(delayMicros);
-        close();
+        end();
     }
 
     @Override
     public void subscribe() {
-        open("keepInformed").append(",true");
-        close();
+        begin("keepInformed").append(",true");
+        end();
     }
 
     @Override
     public void broadcast(String message) {
-        open("broadcastTo");
+        begin("broadcastTo");
         text("*");
         text(message);
-        close();
+        end();
     }
 
     @Override
     public void log(String line) {
-        open("journalLine");
+        begin("journalLine");
         text(line);
-        close();
+        end();
     }
 
-    static void flush(StringBuilder reply, OutputStream to) throws IOException {
+    /** Ends the reply of a batch, writes it, and leaves it empty for the next. */
+    static void flush(StringBuilder reply, OutputStream out) throws IOException {
         reply.append("[\"next\"]\n");
-        to.write(reply.toString().getBytes(StandardCharsets.UTF_8));
-        to.flush();
+        out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
+        out.flush();
         reply.setLength(0);
     }
 
-    private StringBuilder open(String name) {
-        return out.append("[\"").append(name).append("\",").append(who);
+    private StringBuilder begin(String name) {
+        return reply.append("[\"").append(name).append("\",").append(instance);
     }
 
-    private void close() {
-        out.append("]\n");
+    private void end() {
+        reply.append("]\n");
     }
 
+    /** A number of seconds with six digits after the point, without the rounding of a double. */
     private void seconds(long micros) {
-        out.append(',').append(micros / 1_000_000).append('.');
-        long rest = micros % 1_000_000;
-        for (long digit = 100_000; digit > 0; digit /= 10) {
-            out.append((char) ('0' + rest / digit % 10));
+        reply.append(',').append(micros / MICROS_PER_SECOND).append('.');
+        long fraction = micros % MICROS_PER_SECOND;
+        for (long digit = MICROS_PER_SECOND / 10; digit > 0; digit /= 10) {
+            reply.append((char) ('0' + fraction / digit % 10));
         }
     }
 
     private void text(String value) {
-        out.append(",\"");
+        reply.append(",\"");
         for (int i = 0; i < value.length(); i++) {
-            char c = value.charAt(i);
-            if (c == '"' || c == '\\') {
-                out.append('\\').append(c);
-            } else if (c < ' ') {
-                out.append(String.format("\\u%04x", (int) c));
+            char character = value.charAt(i);
+            if (character == '"' || character == '\\') {
+                reply.append('\\').append(character);
+            } else if (character < ' ') {
+                reply.append(String.format("\\u%04x", (int) character));
             } else {
-                out.append(c);
+                reply.append(character);
             }
         }
-        out.append('"');
+        reply.append('"');
     }
 }
--- a/src/main/java/mintstair/adapter/Adapter.java
+++ b/src/main/java/mintstair/adapter/Adapter.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** Hosts many instances of the module on the simulator's wire, on standard input and output. */
+/** The {@code adapter} command. */
 public final class Adapter {
     private Adapter() {}
 
-    /** Reads batches from standard input until it ends. */
+    /** Serves the simulator on standard input and output until the input ends. */
     public static void run() throws IOException {
-        new Wire(System.in, System.out).run();
+        new SimulatorSession(System.in, System.out).run();
     }
 }
--- a/src/test/java/mintstair/adapter/WireTest.java
+++ b/src/test/java/mintstair/adapter/SimulatorSessionTest.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
+class SimulatorSessionTest {
     private static final String ENV = "{\"balancers\":1,\"classes\":[{\"name\":\"r\",\"repeat\":\"idempotent\","
             + "\"sloS\":0.6,\"deadlineS\":2.5,\"worth\":2}],\"familyInfo\":{\"consistency\":[\"any\"]},"
             + "\"limits\":{\"maxAttempts\":3,\"probing\":true},\"invariants\":{\"coldFrom\":0.2},\"later\":[1,{\"x\":2}]}";
@@ -23,18 +23,22 @@
 
     private static String run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Wire(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorSession(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void emptyBatchGetsAnEmptyReplyAndTheEndOfInputEnds() throws IOException {
+    void emptyBatchGetsAnEmptyReply() throws IOException {
         assertEquals("[\"next\"]\n", run("[\"turn\",8.41225]\n[\"end\"]\n"));
+    }
+
+    @Test
+    void emptyInputEndsTheSession() throws IOException {
         assertEquals("", run(""));
     }
 
     @Test
-    void requestIsHandedOffAndItsAnswerTaken() throws IOException {
+    void requestIsSentAndItsReplyAccepted() throws IOException {
         String reply = run(START + ORDER + "[\"turn\",8.7]\n"
                 + "[\"result\",3,1564119492,0,\"h1\",\"pass\",0.0185,true,25486,null]\n[\"end\"]\n");
         assertTrue(reply.contains("[\"handOff\",3,1564119492,\"h"), reply);
@@ -42,7 +46,7 @@
     }
 
     @Test
-    void nothingOfAnOldLifeActsAfterACrash() throws IOException {
+    void crashedInstanceActsNoMore() throws IOException {
         String reply =
                 run(START + ORDER + "[\"turn\",9]\n[\"crashNow\",3]\n[\"end\"]\n" + "[\"turn\",9.1]\n[\"end\"]\n");
         assertTrue(reply.endsWith("[\"next\"]\n[\"next\"]\n"), reply);
@@ -64,9 +68,9 @@
     void goneIsAdviceMustBeABooleanIfItIsThere() throws IOException {
         run(START.replace("\"coldFrom\":0.2", "\"coldFrom\":0.2,\"goneIsAdvice\":true"));
         run(START);
-        WireException e = assertThrows(
+        WireException error = assertThrows(
                 WireException.class,
                 () -> run(START.replace("\"coldFrom\":0.2", "\"coldFrom\":0.2,\"goneIsAdvice\":1")));
-        assertTrue(e.getMessage().contains("goneIsAdvice"), e.getMessage());
+        assertTrue(error.getMessage().contains("goneIsAdvice"), error.getMessage());
     }
 }
