--- a/src/main/java/mintstair/Main.java
+++ b/src/main/java/mintstair/Main.java
@@ -2,12 +2,8 @@
 
 import java.io.IOException;
 import java.io.PrintWriter;
-import java.net.InetSocketAddress;
 import java.nio.charset.Charset;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
-import java.util.Arrays;
 import java.util.List;
 import mintstair.adapter.Adapter;
 import mintstair.config.ConfigException;
@@ -16,72 +12,88 @@
 import mintstair.config.RegistryConfig;
 import mintstair.control.MembersCommand;
 import mintstair.log.NonBlockingOutput;
-import mintstair.pcap.Replay;
 import mintstair.registry.RegistryCommand;
 import mintstair.serve.ConfigurationCheck;
 import mintstair.serve.ProxyStartup;
 import mintstair.serve.ReloadSignal;
-import mintstair.store.Store;
 import mintstair.traffic.TrafficCommand;
 
-/** The program's commands; what is wrong with its input ends it with one line and status 2. */
+/** The program's commands. Whatever is wrong with their input ends the program with one line and status 2. */
 public final class Main {
-    private static final String USAGE =
-            "usage: java -jar mintstair.jar serve [--operator FILE] [FILE] | check FILE | adapter"
-                    + " | replay [--to HOST:PORT] [--port PORT] [--mongodb] FILE | store OPERATOR_FILE get KEY"
-                    + " | store OPERATOR_FILE put KEY VALUE"
-                    + " | traffic info FILE..."
-                    + " | members HOST:PORT"
-                    + " | registry show|watch|put-host|drain|delete OPERATOR_FILE ...";
+    static final String USAGE = "usage: java -jar mintstair.jar serve [--operator FILE] [FILE] | check FILE | adapter"
+            + " | replay [--to HOST:PORT] [--port PORT] [--mongodb] FILE | store OPERATOR_FILE get KEY"
+            + " | store OPERATOR_FILE put KEY VALUE"
+            + " | traffic info FILE..."
+            + " | members HOST:PORT"
+            + " | registry show|watch|put-host|drain|delete OPERATOR_FILE ...";
 
+    private static final int FAILURE_STATUS = 2;
     private static final long LAST_LINES_MILLIS = 1_000;
+    /** The variable that names the configuration where the command does not. */
+    private static final String CONFIG_VARIABLE = "NODE_CONFIG";
 
     private Main() {}
 
+    /** Runs the command that the first argument names. */
     public static void main(String[] args) {
         try {
-            if (args.length == 1 && args[0].equals("adapter")) {
-                Adapter.run();
-            } else if (args.length >= 1 && args[0].equals("serve")) {
-                serve(Arrays.asList(args).subList(1, args.length));
-            } else if (args.length == 2 && args[0].equals("check")) {
-                ConfigurationCheck.run(NodeConfig.read(Path.of(args[1])));
-                System.exit(0);
-            } else if (args.length >= 2 && args[0].equals("replay")) {
-                replay(Arrays.asList(args).subList(1, args.length));
-            } else if (args.length >= 4 && args[0].equals("store")) {
-                store(args);
-            } else if (args.length >= 1 && args[0].equals("traffic")) {
-                System.exit(TrafficCommand.run(
-                        Arrays.asList(args).subList(1, args.length),
-                        new PrintWriter(System.out, false, Charset.defaultCharset())));
-            } else if (args.length == 2 && args[0].equals("members")) {
-                System.exit(MembersCommand.run(NodeConfig.address(args[1]), System.out));
-            } else if (args.length >= 3 && args[0].equals("registry")) {
-                registry(args);
-            } else {
-                throw new ConfigException(USAGE);
-            }
+            run(List.of(args));
         } catch (ConfigException | IllegalArgumentException | IOException e) {
             System.err.println("mintstair: " + String.valueOf(e.getMessage()).split("\n")[0]);
             NonBlockingOutput.drainInstalled(LAST_LINES_MILLIS);
-            System.exit(2);
+            System.exit(FAILURE_STATUS);
+        }
+    }
+
+    private static void run(List<String> args) throws IOException {
+        requireUsage(!args.isEmpty());
+        List<String> options = args.subList(1, args.size());
+        switch (args.get(0)) {
+            case "adapter" -> adapter(options);
+            case "serve" -> serve(options);
+            case "check" -> check(options);
+            case "replay" -> ReplayCommand.run(options);
+            case "store" -> StoreCommand.run(options);
+            case "traffic" ->
+                System.exit(TrafficCommand.run(options, new PrintWriter(System.out, false, Charset.defaultCharset())));
+            case "members" -> members(options);
+            case "registry" -> registry(options);
+            default -> throw new ConfigException(USAGE);
         }
     }
 
-    /** The configuration is the file named, or the platform's; the operator's file is named or there is none. */
-    private static void serve(List<String> args) throws IOException {
+    /** Fails with the usage of all commands unless the condition holds. */
+    static void requireUsage(boolean condition) {
+        if (!condition) {
+            throw new ConfigException(USAGE);
+        }
+    }
+
+    private static void adapter(List<String> options) throws IOException {
+        requireUsage(options.isEmpty());
+        Adapter.run();
+    }
+
+    private static void check(List<String> options) throws IOException {
+        requireUsage(options.size() == 1);
+        ConfigurationCheck.run(NodeConfig.read(Path.of(options.get(0))));
+        System.exit(0);
+    }
+
+    /** The configuration is the file named, or the platform's; without an operator's file its parts are off. */
+    private static void serve(List<String> options) throws IOException {
         NonBlockingOutput.install();
         ReloadSignal reloadSignal = new ReloadSignal();
         OperatorConfig operator = OperatorConfig.NONE;
-        String file = System.getenv("NODE_CONFIG");
-        for (int i = 0; i < args.size(); i++) {
-            if (args.get(i).equals("--operator") && i + 1 < args.size()) {
-                operator = OperatorConfig.read(Path.of(args.get(++i)));
-            } else if (args.get(i).startsWith("-")) {
-                throw new ConfigException(USAGE);
+        String file = System.getenv(CONFIG_VARIABLE);
+        for (int i = 0; i < options.size(); i++) {
+            String option = options.get(i);
+            if (option.equals("--operator") && i + 1 < options.size()) {
+                i++;
+                operator = OperatorConfig.read(Path.of(options.get(i)));
             } else {
-                file = args.get(i);
+                requireUsage(!option.startsWith("-"));
+                file = option;
             }
         }
         if (file == null) {
@@ -91,64 +103,20 @@
         new ProxyStartup(NodeConfig.read(path), operator).start(path, reloadSignal);
     }
 
-    /** Plays the requests of a capture once more; by default those to the port that is played to. */
-    private static void replay(List<String> args) throws IOException {
-        InetSocketAddress to = NodeConfig.address("127.0.0.1:5433");
-        String port = null;
-        boolean mongo = false;
-        for (int i = 0; i < args.size() - 1; i++) {
-            switch (args.get(i)) {
-                case "--to" -> to = NodeConfig.address(args.get(++i));
-                case "--port" -> port = args.get(++i);
-                case "--mongodb" -> mongo = true;
-                default -> throw new ConfigException(USAGE);
-            }
-        }
-        int captured =
-                port == null ? to.getPort() : NodeConfig.address("any:" + port).getPort();
-        Path file = Path.of(args.get(args.size() - 1));
-        try {
-            System.out.println(new Replay(to, mongo).play(file, captured));
-        } catch (NoSuchFileException e) {
-            throw new ConfigException(file + ": no such file");
-        } catch (IOException e) {
-            throw new ConfigException(file + " to " + to + ": " + e.getMessage());
-        }
+    private static void members(List<String> options) throws IOException {
+        requireUsage(options.size() == 1);
+        System.exit(MembersCommand.run(NodeConfig.address(options.get(0)), System.out));
     }
 
     /** Shows, follows or changes what the registry holds. */
-    private static void registry(String[] args) throws IOException {
-        RegistryConfig config = OperatorConfig.read(Path.of(args[2])).registry();
+    private static void registry(List<String> options) throws IOException {
+        requireUsage(options.size() >= 2);
+        String operatorFile = options.get(1);
+        RegistryConfig config = OperatorConfig.read(Path.of(operatorFile)).registry();
         if (config == null) {
-            throw new ConfigException(args[2] + ": no registry is set up");
-        }
-        System.exit(new RegistryCommand(config, System.out)
-                .run(args[1], Arrays.asList(args).subList(3, args.length)));
-    }
-
-    /** Reads or writes one entry of the store, from outside its members. */
-    private static void store(String[] args) throws IOException {
-        OperatorConfig.Members members = OperatorConfig.read(Path.of(args[1])).store();
-        if (members == null) {
-            throw new ConfigException(args[1] + ": no store is set up");
-        }
-        try (Store store = Store.outside(members.members())) {
-            if (args[2].equals("get") && args.length == 4) {
-                String value = store.get(args[3]);
-                if (value == null) {
-                    throw new ConfigException("no entry " + args[3]);
-                }
-                System.out.println(value);
-            } else if (args[2].equals("put") && args.length == 5) {
-                // A list of some hundred hosts is longer than the system lets an argument be.
-                store.put(
-                        args[3],
-                        args[4].equals("-")
-                                ? new String(System.in.readAllBytes(), StandardCharsets.UTF_8).strip()
-                                : args[4]);
-            } else {
-                throw new ConfigException(USAGE);
-            }
+            throw new ConfigException(operatorFile + ": no registry is set up");
         }
+        RegistryCommand command = new RegistryCommand(config, System.out);
+        System.exit(command.run(options.get(0), options.subList(2, options.size())));
     }
 }
