--- a/src/main/java/mintstair/membership/FleetMember.java
+++ b/src/main/java/mintstair/membership/FleetMember.java
@@ -85,7 +85,7 @@
         this.log = log;
         sockets = MembershipSockets.bind(config.listen(), name, this::connectionChecked);
         address = advertisedAddress(config, sockets.port());
-        SwimSettings settings = SwimSettings.forLocalNetwork(configuredSize).withPeriodMicros(config.period());
+        SwimSettings settings = SwimSettings.forLocalNetwork(configuredSize).withPeriodMicros(config.periodMicros());
         swim = new Swim(nowMicros(), seed, name, address, config.seeds(), settings, new NetworkActions());
         view = swim.view();
         statistics = swim.statistics();
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -43,7 +43,7 @@
         timers = new TimerQueue(nowMicros);
         actions = new ActionRecorder(attempts, timers);
         classes = new RequestClasses(settings);
-        drainGraceMicros = settings.drainGrace;
+        drainGraceMicros = settings.drainGraceMicros;
         router = new ReadWriteSplitter(nowMicros, seed, settings.settings, actions);
     }
 
@@ -55,7 +55,7 @@
     public List<RouterAction> applySettings(long nowMicros, InstanceSettings changed) {
         timers.advanceTo(nowMicros);
         classes.apply(changed);
-        drainGraceMicros = changed.drainGrace;
+        drainGraceMicros = changed.drainGraceMicros;
         router.onSettings(nowMicros, changed.settings);
         return actions.take();
     }
