--- a/src/main/java/mintstair/registry/RegistryCommand.java
+++ b/src/main/java/mintstair/registry/RegistryCommand.java
@@ -40,6 +40,7 @@
     private final RegistryKeys keys;
     private final PrintStream out;
 
+    /** Commands print their results to {@code out}. */
     public RegistryCommand(RegistryConfig config, PrintStream out) {
         this.config = config;
         this.out = out;
--- a/src/main/java/mintstair/registry/RegistryException.java
+++ b/src/main/java/mintstair/registry/RegistryException.java
@@ -8,10 +8,12 @@
 public class RegistryException extends IOException {
     private static final long serialVersionUID = 1L;
 
+    /** The message is one line. */
     public RegistryException(String message) {
         super(message);
     }
 
+    /** The message is one line; the cause may be null. */
     public RegistryException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/mintstair/registry/SnapshotFile.java
+++ b/src/main/java/mintstair/registry/SnapshotFile.java
@@ -34,6 +34,7 @@
 
     private final Path file;
 
+    /** The file need not exist; its directory must. */
     public SnapshotFile(Path file) {
         this.file = file;
     }
--- a/src/main/java/mintstair/registry/TlsFiles.java
+++ b/src/main/java/mintstair/registry/TlsFiles.java
@@ -35,11 +35,13 @@
     private final TrustManager[] trustManagers;
     private final KeyManager[] keyManagers;
 
+    /** Reads the files. */
     public TlsFiles(RegistryConfig.Tls files) {
         trustManagers = readTrustManagers(files.ca());
         keyManagers = files.certificate() == null ? null : readKeyManagers(files.certificate(), files.key());
     }
 
+    /** Trusts the authorities in the files, and no others. */
     public TrustManager[] trustManagers() {
         return trustManagers;
     }
@@ -49,6 +51,7 @@
         return keyManagers;
     }
 
+    /** A context with these keys and authorities. */
     public SSLContext sslContext() {
         try {
             SSLContext context = SSLContext.getInstance("TLS");
--- a/src/main/java/mintstair/registry/consul/ConsulEditor.java
+++ b/src/main/java/mintstair/registry/consul/ConsulEditor.java
@@ -28,6 +28,7 @@
     private final RegistryConfig config;
     private final HttpClient client;
 
+    /** Reads the TLS files, if there are any; connects at the first call. */
     public ConsulEditor(RegistryConfig config) {
         this.config = config;
         client = ConsulApi.newClient(config);
--- a/src/main/java/mintstair/registry/etcd/EtcdEditor.java
+++ b/src/main/java/mintstair/registry/etcd/EtcdEditor.java
@@ -37,6 +37,7 @@
     private final RegistryConfig config;
     private ManagedChannel channel;
 
+    /** Connects at the first call. */
     public EtcdEditor(RegistryConfig config) {
         this.config = config;
     }
--- a/src/main/java/mintstair/registry/view/PollView.java
+++ b/src/main/java/mintstair/registry/view/PollView.java
@@ -25,6 +25,7 @@
     private boolean progressRequested;
     private long queryEndsAt;
 
+    /** Servers are given by their number; the seed decides their order and all delays. */
     public PollView(RegistryKeys keys, ViewLimits limits, ViewTimeouts timeouts, int serverCount, long seed) {
         super(keys, limits, timeouts, serverCount, seed);
     }
--- a/src/main/java/mintstair/registry/view/RegistryCall.java
+++ b/src/main/java/mintstair/registry/view/RegistryCall.java
@@ -10,6 +10,7 @@
 
     /** A call that begins a request to one of the registry's servers, given by its index. */
     sealed interface Request extends RegistryCall {
+        /** The index of the server, by the order of the configuration. */
         int server();
     }
 
--- a/src/main/java/mintstair/registry/view/RegistryKeys.java
+++ b/src/main/java/mintstair/registry/view/RegistryKeys.java
@@ -14,23 +14,28 @@
     private final String prefix;
     private final List<String> fronts;
 
+    /** The prefix comes before every key; it ends with a slash. */
     public RegistryKeys(String prefix, List<String> fronts) {
         this.prefix = prefix;
         this.fronts = List.copyOf(fronts);
     }
 
+    /** The prefix of all keys. */
     public String prefix() {
         return prefix;
     }
 
+    /** The fronts whose hosts are in the registry. */
     public List<String> fronts() {
         return fronts;
     }
 
+    /** The key of a host of this front. */
     public String hostKey(String front, String uid) {
         return hostsPrefix(front) + bytesAsCharacters(uid);
     }
 
+    /** The key of the settings. */
     public String settingsKey() {
         return prefix + SETTINGS;
     }
--- a/src/main/java/mintstair/registry/view/RegistryView.java
+++ b/src/main/java/mintstair/registry/view/RegistryView.java
@@ -126,6 +126,7 @@
         return new Snapshot(keys.prefix(), clusterId, revision, term, confirmedAt, table.entries());
     }
 
+    /** The state of the view at this time. */
     public final ViewMetrics metrics(long atMicros) {
         Map<String, Long> allCounts = new TreeMap<>(counts);
         allCounts.put("unreadable", table.unreadable());
--- a/src/main/java/mintstair/registry/view/ServerRotation.java
+++ b/src/main/java/mintstair/registry/view/ServerRotation.java
@@ -28,9 +28,9 @@
     private static int[] shuffled(int servers, Random random) {
         int[] order = new int[servers];
         for (int i = 0; i < servers; i++) {
-            int j = random.nextInt(i + 1);
-            order[i] = order[j];
-            order[j] = i;
+            int swapped = random.nextInt(i + 1);
+            order[i] = order[swapped];
+            order[swapped] = i;
         }
         return order;
     }
--- a/src/main/java/mintstair/registry/view/WatchView.java
+++ b/src/main/java/mintstair/registry/view/WatchView.java
@@ -42,6 +42,7 @@
     private int pageSize = INITIAL_PAGE_SIZE;
     private boolean watchCreated;
 
+    /** Servers are given by their number; the seed decides their order and all delays. */
     public WatchView(RegistryKeys keys, ViewLimits limits, ViewTimeouts timeouts, int serverCount, long seed) {
         super(keys, limits, timeouts, serverCount, seed);
         transaction = new TransactionBuffer(limits.maxTransactionBytes());
--- a/src/test/java/mintstair/discovery/ResponseEndTest.java
+++ b/src/test/java/mintstair/discovery/ResponseEndTest.java
@@ -95,11 +95,11 @@
         try {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
-                int c = socket.getInputStream().read();
-                if (c < 0) {
+                int next = socket.getInputStream().read();
+                if (next < 0) {
                     return;
                 }
-                head.append((char) c);
+                head.append((char) next);
             }
             requests.add(head.substring(0, head.indexOf("\r\n")));
             step.play(socket, socket.getOutputStream());
