--- a/src/main/java/mintstair/backend/HostConnection.java
+++ b/src/main/java/mintstair/backend/HostConnection.java
@@ -319,7 +319,9 @@
             case CONNECTING -> openFailed(ConnectionEnd.CONNECT_FAILED);
             case ACTIVE -> disconnectedDuringAttempt();
             case SETTLING, IDLE -> endWith(null);
-            case CLOSED -> {}
+            default -> {
+                // It was closed from this side, and its pool knows.
+            }
         }
     }
 
--- a/src/main/java/mintstair/config/ConfigException.java
+++ b/src/main/java/mintstair/config/ConfigException.java
@@ -11,10 +11,12 @@
     private final transient Path file;
     private final String jsonPath;
 
+    /** A fault that belongs to no file. */
     public ConfigException(String message) {
         this(message, null, null, null);
     }
 
+    /** A fault that belongs to no file, with what it was found by. */
     public ConfigException(String message, Throwable cause) {
         this(message, cause, null, null);
     }
--- a/src/main/java/mintstair/control/ControlServer.java
+++ b/src/main/java/mintstair/control/ControlServer.java
@@ -41,6 +41,7 @@
     /** Connections that have not sent a whole command yet, the oldest first. Guarded by {@code incomplete}. */
     private final Set<CommandConnection> incomplete = new LinkedHashSet<>();
 
+    /** Answers with these commands; listens only once it is told to. */
     public ControlServer(ControlCommands commands) {
         this.commands = commands;
         transport = TCPNIOTransportBuilder.newInstance()
--- a/src/main/java/mintstair/decision/ReplicaSelector.java
+++ b/src/main/java/mintstair/decision/ReplicaSelector.java
@@ -76,7 +76,8 @@
     }
 
     private boolean isWeak(long now, Endpoint endpoint) {
-        return endpoint.liveness.isUnresponsive() || (endpoint.slowStart.isActive() && capacityShare(now, endpoint) < 1);
+        return endpoint.liveness.isUnresponsive()
+                || (endpoint.slowStart.isActive() && capacityShare(now, endpoint) < 1);
     }
 
     /** The number in flight above which a replica sits out, by the mean of those that may take the read. */
--- a/src/main/java/mintstair/decision/RoutingRequest.java
+++ b/src/main/java/mintstair/decision/RoutingRequest.java
@@ -14,6 +14,7 @@
         long timeoutMicros,
         long tokenAgeMicros,
         String stickyHost) {
+    /** A request that any host can serve. */
     public RoutingRequest(
             long id,
             int classIndex,
--- a/src/main/java/mintstair/front/ClientSession.java
+++ b/src/main/java/mintstair/front/ClientSession.java
@@ -170,7 +170,9 @@
                     close();
                 }
             }
-            case CLOSED -> {}
+            default -> {
+                // A closed session has no timeouts.
+            }
         }
     }
 
--- a/src/main/java/mintstair/front/RequestRules.java
+++ b/src/main/java/mintstair/front/RequestRules.java
@@ -17,6 +17,7 @@
 
     private final Dispatcher dispatcher;
 
+    /** {@code dispatcher} knows the classes and replica sets that requests may name. */
     public RequestRules(Dispatcher dispatcher) {
         this.dispatcher = dispatcher;
     }
--- a/src/main/java/mintstair/front/mongo/MongoFront.java
+++ b/src/main/java/mintstair/front/mongo/MongoFront.java
@@ -19,6 +19,7 @@
     /** Only on the network thread. */
     private int connections;
 
+    /** {@code maxClients} bounds the connections of clients. */
     public MongoFront(
             EventLoop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters, int maxClients) {
         super(loop, dispatcher, transport, counters, maxClients);
--- a/src/main/java/mintstair/front/pg/PgStatement.java
+++ b/src/main/java/mintstair/front/pg/PgStatement.java
@@ -70,8 +70,8 @@
     /** A host closes the connection on what it cannot read, and with it the requests of other clients would fail. */
     private static void checkCharacters(String query) {
         for (int i = 0; i < query.length(); i++) {
-            char c = query.charAt(i);
-            if ((c < ' ' && c != '\n' && c != '\r' && c != '\t') || c >= 127) {
+            char character = query.charAt(i);
+            if ((character < ' ' && character != '\n' && character != '\r' && character != '\t') || character >= 127) {
                 throw new ProtocolException("a statement is plain text, with values in hexadecimal");
             }
         }
@@ -86,14 +86,14 @@
         String key = null;
         int quoteStart = -1;
         for (int i = 0; i < sql.length(); i++) {
-            char c = sql.charAt(i);
+            char character = sql.charAt(i);
             boolean quoted = quoteStart >= 0;
-            if (c == '\'') {
+            if (character == '\'') {
                 if (quoted && key == null) {
                     key = sql.substring(quoteStart + 1, i);
                 }
                 quoteStart = quoted ? -1 : i;
-            } else if (!quoted && c == ';') {
+            } else if (!quoted && character == ';') {
                 throw new ProtocolException("one statement a query");
             }
         }
--- a/src/main/java/mintstair/serve/MembershipService.java
+++ b/src/main/java/mintstair/serve/MembershipService.java
@@ -93,7 +93,8 @@
     }
 
     private void addProtocolCounts(SwimStatistics statistics, MetricsSnapshot.Builder metrics) {
-        long detectMillis = statistics.deaths() == 0 ? 0 : statistics.suspicionMicros() / statistics.deaths() / MICROS_PER_MILLI;
+        long detectMillis =
+                statistics.deaths() == 0 ? 0 : statistics.suspicionMicros() / statistics.deaths() / MICROS_PER_MILLI;
         metrics.add("member_suspicions_raised", statistics.raisedSuspicions())
                 .add("member_suspicions_refuted", statistics.refutedSuspicions())
                 .add("member_deaths", statistics.deaths())
--- a/src/main/java/mintstair/serve/ProxyStartup.java
+++ b/src/main/java/mintstair/serve/ProxyStartup.java
@@ -39,6 +39,7 @@
     private final ControlCommands commands = new ControlCommands(latestMetrics::get);
     private final GracefulShutdown shutdown = new GracefulShutdown(loop, commands);
 
+    /** Prepares a proxy of this configuration; nothing is opened before it is started. */
     public ProxyStartup(NodeConfig config, OperatorConfig operator) {
         this.config = config;
         this.operator = operator;
--- a/src/main/java/mintstair/serve/RegistryService.java
+++ b/src/main/java/mintstair/serve/RegistryService.java
@@ -6,8 +6,8 @@
 import mintstair.config.RegistryConfig;
 import mintstair.registry.RegistryClient;
 import mintstair.registry.view.RegistryView;
-import mintstair.registry.view.ViewTimeouts;
 import mintstair.registry.view.ViewMetrics;
+import mintstair.registry.view.ViewTimeouts;
 import mintstair.registry.view.ViewUpdate;
 import mintstair.stats.MetricsSnapshot;
 
--- a/src/main/java/mintstair/wire/PgFramer.java
+++ b/src/main/java/mintstair/wire/PgFramer.java
@@ -55,6 +55,7 @@
 
     /** What a database host sends in reply to simple queries. */
     public static final class OfHost extends PgFramer {
+        /** Accepts the types of messages that a server sends. */
         public OfHost() {
             super("RSKNATDCEIZ", 'D', MAX_ROW_LENGTH);
         }
@@ -72,6 +73,7 @@
 
         private boolean startupDone;
 
+        /** Accepts a start-up first, and then the types of messages that a client sends. */
         public OfClient() {
             super("QXPBDECFHSdcfp", 'Q', MAX_QUERY_LENGTH);
         }
--- a/src/test/java/mintstair/DocumentationLinksTest.java
+++ b/src/test/java/mintstair/DocumentationLinksTest.java
@@ -44,7 +44,8 @@
     }
 
     private static List<Path> pages() throws IOException {
-        List<Path> pages = new ArrayList<>(List.of(Path.of("README.md"), Path.of("CONTRIBUTING.md"), Path.of("CHANGELOG.md")));
+        List<Path> pages =
+                new ArrayList<>(List.of(Path.of("README.md"), Path.of("CONTRIBUTING.md"), Path.of("CHANGELOG.md")));
         try (Stream<Path> found = Files.walk(DOCS)) {
             found.filter(path -> path.toString().endsWith(".md")).sorted().forEach(pages::add);
         }
--- a/src/test/java/mintstair/pins/StoredData.java
+++ b/src/test/java/mintstair/pins/StoredData.java
@@ -89,7 +89,8 @@
                     2 + host,
                     REVISION - host));
         }
-        items.add(new RegistryEntry(PREFIX + "postgresql/hosts/\u00e9\u00ff", new byte[] {0, -1, 10, 13, 127, -128}, 9, 10));
+        items.add(new RegistryEntry(
+                PREFIX + "postgresql/hosts/\u00e9\u00ff", new byte[] {0, -1, 10, 13, 127, -128}, 9, 10));
         items.add(new RegistryEntry(PREFIX + "settings", new byte[0], 11, 12));
         return new Snapshot(PREFIX, CLUSTER, REVISION, TERM, HEARD, items);
     }
--- a/src/test/java/mintstair/serve/BothFrontsTest.java
+++ b/src/test/java/mintstair/serve/BothFrontsTest.java
@@ -51,7 +51,8 @@
         for (int i = 0; i < 40; i++) {
             String[] requestClasses = {"any", "bounded", "session", "write", "session", "any", "bounded"};
             String requestClass = requestClasses[i % requestClasses.length];
-            String session = requestClass.equals("session") ? ",after=" + (i % 2 == 0 ? NOW : AHEAD + 1000) : "";
+            long position = i % 2 == 0 ? NOW : AHEAD + 1000;
+            String session = requestClass.equals("session") ? ",after=" + position : "";
             mix.add(new Query(
                     requestClass.equals("write"), "id=m" + i + ",c=" + requestClass + ",cluster=1" + session, 4000));
         }
--- a/src/test/java/mintstair/serve/ConnectionEndsTest.java
+++ b/src/test/java/mintstair/serve/ConnectionEndsTest.java
@@ -254,6 +254,9 @@
                 // It was not read: the client sends it again elsewhere.
             }
         }
-        assertEquals(answered, service.counters.requestsAccepted(), "what was read has its answer, nothing else was forwarded");
+        assertEquals(
+                answered,
+                service.counters.requestsAccepted(),
+                "what was read has its answer, nothing else was forwarded");
     }
 }
