--- a/src/test/java/mintstair/pins/MetricNamesTest.java
+++ b/src/test/java/mintstair/pins/MetricNamesTest.java
@@ -12,6 +12,7 @@
 import java.util.TreeSet;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import java.util.stream.Stream;
 import mintstair.decision.InvariantMonitor;
 import mintstair.front.ClientCloseReason;
 import mintstair.program.Program;
@@ -29,6 +30,8 @@
 import mintstair.standin.RegistryModel;
 import mintstair.stats.Counters;
 import mintstair.stats.MetricsSnapshot;
+import org.bson.BsonDocument;
+import org.bson.BsonValue;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -159,6 +162,28 @@
                 .toList();
     }
 
+    /** Guards against counters that are maps, which once left the command without a reply. */
+    @Test
+    void serverStatusHasTheseCounters() throws IOException {
+        try (Client.Mongo client = new Client.Mongo(program.port(1))) {
+            BsonDocument status = client.command(BsonDocument.parse("{serverStatus: 1}"));
+            assertEquals(1, status.getNumber("ok").intValue(), status.toJson());
+            Names.assertSame(
+                    "/pins/server-status.txt",
+                    status.keySet().stream()
+                            .flatMap(key -> names(key, status.get(key)))
+                            .toList());
+        }
+    }
+
+    /** A value's name, or those of the values that it holds. */
+    private static Stream<String> names(String key, BsonValue value) {
+        if (!value.isDocument()) {
+            return Stream.of(key);
+        }
+        return value.asDocument().keySet().stream().map(inner -> key + "." + inner);
+    }
+
     private static TreeSet<String> counters(String line) {
         Matcher each = COUNTER.matcher(line);
         TreeSet<String> names = new TreeSet<>();
