--- a/src/main/java/mintstair/front/mongo/MongoSession.java
+++ b/src/main/java/mintstair/front/mongo/MongoSession.java
@@ -103,11 +103,7 @@
     }
 
     private BsonDocument counters() {
-        BsonDocument counters = new BsonDocument();
-        for (String counter : front.counters().split(" ")) {
-            String[] nameAndValue = counter.split("=");
-            counters.append(nameAndValue[0], new BsonInt64(Long.parseLong(nameAndValue[1])));
-        }
+        BsonDocument counters = CounterDocument.parse(front.counters());
         return counters.append("open_cursors", new BsonInt64(front.cursors().size()));
     }
 
--- a/src/main/java/mintstair/registry/TlsFiles.java
+++ b/src/main/java/mintstair/registry/TlsFiles.java
@@ -143,8 +143,6 @@
     }
 
     private static ConfigException configException(String message, Exception cause) {
-        ConfigException exception = new ConfigException(message);
-        exception.initCause(cause);
-        return exception;
+        return new ConfigException(message, cause);
     }
 }
--- a/src/main/java/mintstair/traffic/RecordingLoader.java
+++ b/src/main/java/mintstair/traffic/RecordingLoader.java
@@ -44,9 +44,7 @@
     }
 
     private static ConfigException configException(String message, IOException cause) {
-        ConfigException exception = new ConfigException(message);
-        exception.initCause(cause);
-        return exception;
+        return new ConfigException(message, cause);
     }
 
     private TimeLine newTimeLine() {
