--- a/src/main/java/mintstair/decision/EndpointSelector.java
+++ b/src/main/java/mintstair/decision/EndpointSelector.java
@@ -76,8 +76,7 @@
         boolean bounded = read.requestClass().consistency() == Consistency.BOUNDED_STALENESS;
         long required = freshness.requiredPosition(now, read);
         // Where replicas check reads, a misdirected one is cheap, so those that may be recent enough count as well:
-        // with proven ones
-        // alone, all reads crowd for a moment upon whichever replica was polled last.
+        // with proven ones alone, all reads crowd for a moment upon whichever replica was polled last.
         long tolerance = checked && bounded ? replicaSet.reportAge() : 0;
         Endpoint replica = replicas.select(now, replicaSet, read, new ReadRequirement(required, tolerance, true));
         Endpoint primary = replica == null && isPollTooCostly(now, read, replicaSet)
--- a/src/main/java/mintstair/decision/QueueingPolicy.java
+++ b/src/main/java/mintstair/decision/QueueingPolicy.java
@@ -32,6 +32,9 @@
 
     /** Takes all pending requests out of the queue, those of the highest priority first and else in their order. */
     static List<InFlightRequest> drain(ReplicaSet replicaSet) {
+        if (replicaSet.pending.isEmpty()) {
+            return List.of();
+        }
         List<InFlightRequest> inOrder = new ArrayList<>(replicaSet.pending);
         inOrder.sort(Comparator.comparingDouble(request -> -request.statistics.priority()));
         replicaSet.pending.clear();
--- a/src/main/java/mintstair/decision/ReplicaSelector.java
+++ b/src/main/java/mintstair/decision/ReplicaSelector.java
@@ -58,8 +58,7 @@
         }
         Endpoint selected = draw(members, weights, sum);
         // An endpoint in slow start or on trial gets no more than its part when its peers are away: what all routers
-        // together would
-        // send it in their stead overloads it, or is lost.
+        // together would send it in their stead overloads it, or is lost.
         return isWeak(now, selected) && read.admissionSample >= sum / Math.max(1, serving) ? null : selected;
     }
 
--- a/src/main/java/mintstair/decision/RequestClassTable.java
+++ b/src/main/java/mintstair/decision/RequestClassTable.java
@@ -1,29 +1,28 @@
 package mintstair.decision;
 
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.List;
+import java.util.Arrays;
 
 /** The classes of the current settings, each with its statistics. Not safe for use by several threads. */
 final class RequestClassTable {
     private static final double PATIENCE_DEVIATIONS = 2;
     private static final double PATIENCE_FACTOR = 2;
 
-    private List<ClassStatistics> classes = List.of();
+    private ClassStatistics[] classes = {};
     private long tightestStaleness = Long.MAX_VALUE;
 
     /** Adopts the classes of these settings; what the attempts of a class have shown stays with its name. */
     void apply(RouterSettings settings) {
-        List<ClassStatistics> former = classes;
-        classes = new ArrayList<>();
+        ClassStatistics[] former = classes;
+        classes = new ClassStatistics[settings.classes().size()];
         tightestStaleness = Long.MAX_VALUE;
         double highest = 0;
-        for (RequestClass requestClass : settings.classes()) {
+        for (int index = 0; index < classes.length; index++) {
+            RequestClass requestClass = settings.classes().get(index);
             ClassStatistics statistics = new ClassStatistics(requestClass);
-            former.stream()
+            Arrays.stream(former)
                     .filter(each -> each.requestClass.name().equals(requestClass.name()))
                     .forEach(statistics::inherit);
-            classes.add(statistics);
+            classes[index] = statistics;
             highest = Math.max(highest, statistics.weightPerMicro());
             if (requestClass.consistency() == Consistency.BOUNDED_STALENESS) {
                 tightestStaleness = Math.min(tightestStaleness, requestClass.maxStalenessMicros());
@@ -36,12 +35,12 @@
 
     /** The class of this index in the settings. */
     ClassStatistics get(int index) {
-        return classes.get(index);
+        return classes[index];
     }
 
     /** The number of classes. */
     int size() {
-        return classes.size();
+        return classes.length;
     }
 
     /** The smallest staleness bound of all classes, in microseconds; {@link Long#MAX_VALUE} without bounded reads. */
@@ -53,17 +52,17 @@
     double meanLatency() {
         double sum = 0;
         for (ClassStatistics statistics : classes) {
-            sum += statistics.mean() / classes.size();
+            sum += statistics.mean() / classes.length;
         }
         return sum;
     }
 
     /** A time, in microseconds, within which an endpoint with attempts in flight should have answered one, whatever the classes. */
     double patience() {
-        double longest = classes.stream()
-                .map(statistics -> statistics.latencyAbove(PATIENCE_DEVIATIONS))
-                .max(Comparator.naturalOrder())
-                .orElse(0.0);
-        return PATIENCE_FACTOR * Math.max(0, longest);
+        double longest = 0;
+        for (ClassStatistics statistics : classes) {
+            longest = Math.max(longest, statistics.latencyAbove(PATIENCE_DEVIATIONS));
+        }
+        return PATIENCE_FACTOR * longest;
     }
 }
