--- a/src/main/java/mintstair/decision/AnswerLossEstimator.java
+++ b/src/main/java/mintstair/decision/AnswerLossEstimator.java
@@ -1,8 +1,8 @@
 package mintstair.decision;
 
 /**
- * Tells whether answers get lost on their way: more of them are missing than the latencies of those that come explain. Not safe for use by
- * several threads.
+ * Tells whether answers get lost on their way: more of them are missing than the latencies of those that come
+ * explain. Not safe for use by several threads.
  */
 final class AnswerLossEstimator {
     /** Share of missing answers, over what latencies explain, from which on answers count as being lost. */
--- a/src/main/java/mintstair/decision/AttemptObserver.java
+++ b/src/main/java/mintstair/decision/AttemptObserver.java
@@ -4,8 +4,8 @@
 import mintstair.request.ReplicationRole;
 
 /**
- * Learns from the answers to attempts and health checks: who lives, who is primary, how far replicas are, how loaded endpoints are. Times
- * and positions are microseconds. Not safe for use by several threads.
+ * Learns from the answers to attempts and health checks: who lives, who is primary, how far replicas are, how loaded
+ * endpoints are. Times and positions are microseconds. Not safe for use by several threads.
  */
 final class AttemptObserver {
     private static final long MICROS_PER_MILLI = 1_000;
@@ -52,7 +52,7 @@
         AttemptOutcome outcome = result.outcome();
         boolean answered = isAnswer(outcome);
         if (answered) {
-            failureDetector.heard(now, endpoint, true);
+            failureDetector.answered(now, endpoint, true);
         }
         if (outcome == AttemptOutcome.UNREACHABLE) {
             failureDetector.unreachable(now, endpoint);
@@ -71,7 +71,7 @@
         if (outcome == AttemptOutcome.SUCCESS && request.isWrite()) {
             rememberWrite(now, request, result);
         }
-        // What came while this process was paused tells nothing of the endpoints.
+        // What came while this process was paused says nothing of the endpoints.
         boolean spannedPause = request.sentAt(result.attempt()) < clock.runningSince();
         boolean affected = outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.SUCCESS;
         if (!spannedPause || !affected) {
@@ -128,7 +128,7 @@
         HealthCheckState check = endpoint.healthCheck;
         check.inFlight = false;
         if (outcome == AttemptOutcome.SUCCESS && status != null) {
-            failureDetector.heard(now, endpoint, false);
+            failureDetector.answered(now, endpoint, false);
             observeStatus(now, endpoint, latency, status);
             return;
         }
@@ -167,7 +167,7 @@
         }
     }
 
-    /** A primary told its position: where that shows the own clock wrong, start times are judged anew. */
+    /** A primary reported its position: where that shows the own clock wrong, start times are judged anew. */
     private void primaryReported(long now, Endpoint endpoint, long position) {
         if (position == Positions.UNKNOWN || !positions.heardPrimary(endpoint.replicaSet.number, now, position)) {
             return;
--- a/src/main/java/mintstair/decision/AttemptRules.java
+++ b/src/main/java/mintstair/decision/AttemptRules.java
@@ -3,8 +3,9 @@
 import mintstair.request.AttemptVerdict;
 
 /**
- * The one place that rules whether an attempt may begin. It is asked when an attempt is handed to the network side, and again right
- * before its first byte is written: in between it may have waited for a connection, and this process may have stood still.
+ * The one place that rules whether an attempt may begin. It is asked when an attempt is handed to the network side,
+ * and again right before its first byte is written: in between it may have waited for a connection, and this process
+ * may have stood still.
  */
 public final class AttemptRules {
     private AttemptRules() {}
--- a/src/main/java/mintstair/decision/ClassStatistics.java
+++ b/src/main/java/mintstair/decision/ClassStatistics.java
@@ -1,13 +1,16 @@
 package mintstair.decision;
 
 /**
- * What is known of one class of requests: how long its successful attempts take, and how its requests rank against those of other classes.
- * Times are microseconds. Not safe for use by several threads.
+ * What is known of one class of requests: how long its successful attempts take, and how its requests rank against
+ * those of other classes. Times are microseconds. Not safe for use by several threads.
  */
 final class ClassStatistics {
     /** Weight of the newest latency in the mean and in the mean deviation. */
     private static final double NEWEST_WEIGHT = 0.02;
-    /** Before any attempt is measured, the mean latency and the deviation are assumed to be the objective divided by this. */
+    /**
+     * Before any attempt is measured, the mean latency and the deviation are assumed to be the objective divided by
+     * this.
+     */
     private static final double OBJECTIVE_TO_ASSUMED_LATENCY = 5.0;
     /** Part of a concurrency limit that requests of the least priority may fill. */
     private static final double MIN_CAPACITY_SHARE = 0.8;
@@ -27,7 +30,9 @@
         deviation = mean;
     }
 
-    /** Takes over what attempts have shown under former settings of the same class; what was assumed is assumed anew. */
+    /**
+     * Takes over what attempts have shown under former settings of the same class; what was assumed is assumed anew.
+     */
     void inherit(ClassStatistics former) {
         long objectiveChange = requestClass.latencyObjectiveMicros() - former.requestClass.latencyObjectiveMicros();
         assumedShare = former.assumedShare;
--- a/src/main/java/mintstair/decision/ConcurrencyLimit.java
+++ b/src/main/java/mintstair/decision/ConcurrencyLimit.java
@@ -1,9 +1,9 @@
 package mintstair.decision;
 
 /**
- * A learned number of requests in flight, for a primary or for each replica of a group in the mean. Swift answers raise it, slow or
- * missing ones and hosts that turn requests away lower it, and without answers it goes back to where it does not bind. Times are
- * microseconds. Not safe for use by several threads.
+ * A learned number of requests in flight, for a primary or for each replica of a group in the mean. Swift answers
+ * raise it, slow or missing ones and hosts that turn requests away lower it, and without answers it goes back to
+ * where it does not bind. Times are microseconds. Not safe for use by several threads.
  */
 final class ConcurrencyLimit {
     /** Full: answers take this share of their aims; tails take twice it. */
--- a/src/main/java/mintstair/decision/Endpoint.java
+++ b/src/main/java/mintstair/decision/Endpoint.java
@@ -1,9 +1,9 @@
 package mintstair.decision;
 
 /**
- * What is known of one database host, as a member of one replica set: what the endpoint list says of it, and, in parts of their own, its
- * liveness, its replication position, its health checks and its load. State without decisions; times are microseconds on the router's
- * clock. Not safe for use by several threads.
+ * What is known of one database host, as a member of one replica set: what the endpoint list says of it, and, in
+ * parts of their own, its liveness, its replication position, its health checks and its load. State without
+ * decisions; times are microseconds on the router's clock. Not safe for use by several threads.
  */
 final class Endpoint {
     /** A time before all others. */
@@ -26,7 +26,7 @@
     int inFlight;
     /** When it last rejected an attempt for want of capacity. */
     long overloadedAt = NEVER;
-    /** Its start as the endpoint list tells it, on the hosts' clock; 0 where it started long ago. */
+    /** Its start by the endpoint list, on the hosts' clock; 0 where it started long ago. */
     long listedStart;
 
     private boolean serving;
@@ -52,7 +52,7 @@
         }
     }
 
-    /** The endpoint list no longer names it; where removal is advisory it stays in use as long as it is heard from. */
+    /** The endpoint list no longer names it; where removal is advisory it stays in use as long as it answers. */
     void removed(long now, boolean removalIsAdvisory) {
         if (removalIsAdvisory && !draining) {
             removalDoubted = true;
--- a/src/main/java/mintstair/decision/EndpointDirectory.java
+++ b/src/main/java/mintstair/decision/EndpointDirectory.java
@@ -11,11 +11,14 @@
 import java.util.function.Supplier;
 
 /**
- * The endpoints and replica sets that the endpoint list names, and those that it named lately. Times are microseconds. Not safe for use by
- * several threads.
+ * The endpoints and replica sets that the endpoint list names, and those that it named lately. Times are
+ * microseconds. Not safe for use by several threads.
  */
 final class EndpointDirectory {
-    /** Times the fleet size: the span over which routers that learn of an endpoint together spread their first health checks. */
+    /**
+     * Times the fleet size: the span over which routers that learn of an endpoint together spread their first health
+     * checks.
+     */
     private static final long FIRST_CHECK_SPREAD_MICROS = 1_000;
 
     private final Supplier<RouterSettings> settings;
@@ -126,7 +129,7 @@
         }
     }
 
-    /** What is known of the hosts' clock has changed: starts that the list told are judged anew. */
+    /** What is known of the hosts' clock has changed: starts by the endpoint list are judged anew. */
     void hostClockChanged(long now) {
         for (Endpoint endpoint : endpoints.values()) {
             if (endpoint.listedStart > 0) {
--- a/src/main/java/mintstair/decision/EndpointSelector.java
+++ b/src/main/java/mintstair/decision/EndpointSelector.java
@@ -3,9 +3,9 @@
 import java.util.function.Supplier;
 
 /**
- * Chooses the endpoint for an attempt: the primary for writes and strong reads, a replica that is recent enough for other reads, else the
- * primary, and for a request that continues a cursor the endpoint that holds it. Where a health check may help, it is sent. Times are
- * microseconds. Not safe for use by several threads.
+ * Chooses the endpoint for an attempt: the primary for writes and strong reads, a replica that is recent enough for
+ * other reads, else the primary, and for a request that continues a cursor the endpoint that holds it. Where a health
+ * check may help, it is sent. Times are microseconds. Not safe for use by several threads.
  */
 final class EndpointSelector {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -53,7 +53,9 @@
         return chooseForRead(now, replicaSet, request);
     }
 
-    /** The endpoint that holds the request's cursor while that is known to be recent enough; it is polled to find out. */
+    /**
+     * The endpoint that holds the request's cursor while that is known to be recent enough; it is polled to find out.
+     */
     private Endpoint chooseSticky(long now, ReplicaSet replicaSet, InFlightRequest request) {
         Endpoint endpoint = directory.endpoint(request.request.stickyHost());
         if (endpoint == null || endpoint.replicaSet != replicaSet || request.attempts() > 0) {
@@ -97,8 +99,8 @@
     }
 
     /**
-     * A poll serves all reads of its replica set within a staleness bound. Where less than one comes in that time it costs more than that
-     * read gains on a replica in place of a primary with capacity for it.
+     * A poll serves all reads of its replica set within a staleness bound. Where less than one comes in that time it
+     * costs more than that read gains on a replica in place of a primary with capacity for it.
      */
     private boolean isPollTooCostly(long now, InFlightRequest read, ReplicaSet replicaSet) {
         double readsABound = requestRate.perSecond(now) * classes.tightestStaleness();
--- a/src/main/java/mintstair/decision/EndpointState.java
+++ b/src/main/java/mintstair/decision/EndpointState.java
@@ -1,6 +1,6 @@
 package mintstair.decision;
 
-/** The state of a host as the list tells it. */
+/** The state of a host by the endpoint list. */
 public enum EndpointState {
     SERVING,
     DRAINING,
--- a/src/main/java/mintstair/decision/FailureDetector.java
+++ b/src/main/java/mintstair/decision/FailureDetector.java
@@ -3,12 +3,14 @@
 import java.util.function.Supplier;
 
 /**
- * Tells which endpoints are unresponsive: two attempts or health checks in a row did not reach it, or requests are in flight there and far
- * more answers are due than chance explains. What was missed while this process was paused counts for nothing. Times are microseconds. Not
- * safe for use by several threads.
+ * Tells which endpoints are unresponsive: two attempts or health checks in a row did not reach it, or requests are in
+ * flight there and far more answers are due than chance explains. What was missed while this process was paused
+ * counts for nothing. Times are microseconds. Not safe for use by several threads.
  */
 final class FailureDetector {
-    /** Answers missed in the mean that make an endpoint unresponsive: by chance so many are missed once in e^7 looks. */
+    /**
+     * Answers missed in the mean that make an endpoint unresponsive: by chance so many are missed once in e^7 looks.
+     */
     private static final double MAX_MISSED_ANSWERS = 7;
     /** Requests that must be without an answer: a single one may just take long. */
     private static final int MIN_UNANSWERED = 3;
@@ -80,10 +82,11 @@
     /**
      * The endpoint answered; if it was unreachable it is taken to have restarted.
      *
-     * @param served whether it answered a request: a hung process may still answer health checks, so those end unresponsiveness only after
+     * @param served whether it answered a request: a hung process may still answer health checks, so those end
+     *     unresponsiveness only after
      *     a while
      */
-    void heard(long now, Endpoint endpoint, boolean served) {
+    void answered(long now, Endpoint endpoint, boolean served) {
         Liveness liveness = endpoint.liveness;
         liveness.heardAt = now;
         boolean wasUnreachable = liveness.unreachableInARow > 0;
@@ -126,7 +129,10 @@
         }
     }
 
-    /** Whether the endpoint may be used unasked: after signs of unreachable ones, or against the list, only if heard of lately. */
+    /**
+     * Whether the endpoint may be used unasked: after signs of unreachable ones, or against the list, only if they
+     * answered lately.
+     */
     boolean isTrusted(long now, Endpoint endpoint) {
         boolean unreachableLately =
                 settings.get().limits().healthChecks() && now - lastUnreachableAt < SUSPICION_MICROS;
--- a/src/main/java/mintstair/decision/FallbackRate.java
+++ b/src/main/java/mintstair/decision/FallbackRate.java
@@ -1,6 +1,9 @@
 package mintstair.decision;
 
-/** The part of reads that fall back to the primary, as no replica is known to be recent enough; an exponentially weighted mean. */
+/**
+ * The part of reads that fall back to the primary, as no replica is known to be recent enough; an exponentially
+ * weighted mean.
+ */
 final class FallbackRate {
     private static final double NEWEST_WEIGHT = 0.1;
 
--- a/src/main/java/mintstair/decision/FleetShare.java
+++ b/src/main/java/mintstair/decision/FleetShare.java
@@ -3,11 +3,14 @@
 /**
  * This router's part of what all routers share: the connections, polls and requests that the endpoints can bear.
  *
- * <p>The part follows from the configured fleet size or, where routers know of each other, from the observed one. Not safe for use by
- * several threads.
+ * <p>The part follows from the configured fleet size or, where routers know of each other, from the observed one. Not
+ * safe for use by several threads.
  */
 final class FleetShare {
-    /** Part of the shared capacity that is divided by the largest fleet size ever seen, whatever the routers know of each other. */
+    /**
+     * Part of the shared capacity that is divided by the largest fleet size ever seen, whatever the routers know of
+     * each other.
+     */
     private static final double GUARANTEED_PART = 0.5;
 
     private int configuredSize;
@@ -23,7 +26,10 @@
         observed = size;
     }
 
-    /** The number of equal parts of which this router has one; the parts of all converged routers add up to one at most. */
+    /**
+     * The number of equal parts of which this router has one; the parts of all converged routers add up to one at
+     * most.
+     */
     double effectiveFleetSize() {
         if (observed == null) {
             return configuredSize;
--- a/src/main/java/mintstair/decision/FleetSize.java
+++ b/src/main/java/mintstair/decision/FleetSize.java
@@ -1,7 +1,7 @@
 package mintstair.decision;
 
 /**
- * How many routers there are, as far as this one knows: the largest number seen or told, those that may
+ * How many routers there are, as far as this one knows: the largest number observed or configured, those that may
  * run and know of each other, and whether this one is {@code settled}: only if all that are so count each
  * other.
  */
--- a/src/main/java/mintstair/decision/HealthChecker.java
+++ b/src/main/java/mintstair/decision/HealthChecker.java
@@ -6,8 +6,9 @@
 import java.util.function.Supplier;
 
 /**
- * Decides when endpoints are polled for their position and role: by a timer, as often as the price of polls allows, and on demand, where a
- * poll may prove a replica recent enough for a read that waits. Times are microseconds. Not safe for use by several threads.
+ * Decides when endpoints are polled for their position and role: by a timer, as often as the price of polls allows,
+ * and on demand, where a poll may prove a replica recent enough for a read that waits. Times are microseconds. Not
+ * safe for use by several threads.
  */
 final class HealthChecker {
     /** The usual interval of timed polls, where neither staleness bounds nor the price ask for another. */
--- a/src/main/java/mintstair/decision/InFlightRequest.java
+++ b/src/main/java/mintstair/decision/InFlightRequest.java
@@ -1,8 +1,8 @@
 package mintstair.decision;
 
 /**
- * A request that has no final answer yet, or some attempt of which has not ended. Attempts are numbered from 0. Times are microseconds on
- * the router's clock. Not safe for use by several threads.
+ * A request that has no final answer yet, or some attempt of which has not ended. Attempts are numbered from 0. Times
+ * are microseconds on the router's clock. Not safe for use by several threads.
  */
 final class InFlightRequest {
     final RoutingRequest request;
@@ -86,7 +86,7 @@
         return requestClass().idempotency() == Idempotency.IDEMPOTENT && !isSticky();
     }
 
-    /** Whether an answer after the latency objective is worth nothing, and the request may run again. */
+    /** Whether an answer after the latency objective has no value, and the request may run again. */
     boolean isWorthlessWhenLate() {
         return requestClass().lateWeight() == 0 && isRepeatable();
     }
--- a/src/main/java/mintstair/decision/InvariantMonitor.java
+++ b/src/main/java/mintstair/decision/InvariantMonitor.java
@@ -7,14 +7,17 @@
 import java.util.Map;
 
 /**
- * Checks at run time that what was written to hosts and answered to clients keeps the rules. It decides nothing and shares no state
- * with what decides: it sees only what happened, so a violation is a fault of the program. All times are microseconds on the loop's
- * clock. Not safe for use by several threads.
+ * Checks at run time that what was written to hosts and answered to clients keeps the rules. It decides nothing and
+ * shares no state with what decides: it sees only what happened, so a violation is a fault of the program. All times
+ * are microseconds on the loop's clock. Not safe for use by several threads.
  */
 public final class InvariantMonitor {
-    /** What this process may be held up for between reading its clock and writing, and what the rules add to each time on sockets. */
+    /**
+     * What this process may be held up for between reading its clock and writing, and what the rules add to each time
+     * on sockets.
+     */
     private static final long SLACK = 200_000;
-    /** What the wait that a host is told may be over what the client has left. */
+    /** How much longer than the client's remaining time the time-out sent to a host may be. */
     private static final long WAIT_SLACK = 150_000;
     /** A final answer later than this behind its request's deadline is no answer. */
     private static final long ANSWER_SLACK = 500_000;
@@ -29,7 +32,7 @@
         SENT_TWICE,
         /** An attempt began for a request that was over. */
         SENT_AFTER_END,
-        /** A host was told of more time than the client had left. */
+        /** The time-out sent to a host was longer than the client's remaining time. */
         WAIT_TOO_LONG,
         /** The final answer came too late. */
         ANSWERED_LATE,
@@ -101,7 +104,7 @@
         }
     }
 
-    /** The first byte of an attempt is about to be written, which tells its host to work for {@code wait} at most. */
+    /** The first byte of an attempt is about to be written, whose host is to work for {@code wait} at most. */
     public List<Finding> begun(long now, long request, int attempt, String host, long wait, long drainGrace) {
         Watched watched = requests.get(request);
         List<Violation> found = new ArrayList<>();
@@ -168,7 +171,7 @@
                 .toList();
     }
 
-    /** No answer is owed any more: it was given, or the client has left. */
+    /** No answer is due any more: it was given, or the client has disconnected. */
     public void over(long request) {
         Watched watched = requests.get(request);
         if (watched != null) {
--- a/src/main/java/mintstair/decision/ListSubscription.java
+++ b/src/main/java/mintstair/decision/ListSubscription.java
@@ -2,7 +2,10 @@
 
 import java.util.Random;
 
-/** Keeps the router subscribed to the endpoint list, with a backoff while that is out of reach. Not safe for use by several threads. */
+/**
+ * Keeps the router subscribed to the endpoint list, with a backoff while that is out of reach. Not safe for use by
+ * several threads.
+ */
 final class ListSubscription {
     private static final String TIMER = "subscribe";
     /** Before the list is asked for again, in microseconds; doubled for each failure in a row, and jittered. */
@@ -19,9 +22,11 @@
         this.random = random;
     }
 
-    /** Asks for the list. */
-    void start() {
-        actions.subscribe();
+    /** Asks for the list, where these settings have the router do so. */
+    void start(RouterSettings settings) {
+        if (settings.subscribe()) {
+            actions.subscribe();
+        }
     }
 
     /** A call for the list has failed: the old one stays in use, and routers must not ask again all at once. */
--- a/src/main/java/mintstair/decision/Liveness.java
+++ b/src/main/java/mintstair/decision/Liveness.java
@@ -1,8 +1,8 @@
 package mintstair.decision;
 
 /**
- * The signs of life of one endpoint. State of {@link FailureDetector}, which alone changes it; times are microseconds on the router's
- * clock.
+ * The signs of life of one endpoint. State of {@link FailureDetector}, which alone changes it; times are microseconds
+ * on the router's clock.
  */
 final class Liveness {
     /** When it last answered anything, health checks included. */
--- a/src/main/java/mintstair/decision/LoadFeedback.java
+++ b/src/main/java/mintstair/decision/LoadFeedback.java
@@ -1,8 +1,8 @@
 package mintstair.decision;
 
 /**
- * Learns from the ends of attempts how loaded endpoints are: latencies of classes, outliers, lost answers and the concurrency limits. Times
- * are microseconds. Not safe for use by several threads.
+ * Learns from the ends of attempts how loaded endpoints are: latencies of classes, outliers, lost answers and the
+ * concurrency limits. Times are microseconds. Not safe for use by several threads.
  */
 final class LoadFeedback {
     /** Share of its latency objective after which an attempt that is still out counts as evidence. */
@@ -32,7 +32,7 @@
             recordLoss(outcome, result.latencyMicros() > statistics.latencyAbove(HedgingPolicy.STUCK_DEVIATIONS));
         }
         long objective = request.requestClass().latencyObjectiveMicros();
-        // What was given up when hardly begun, as its request's time ran out, tells nothing of an endpoint.
+        // What was given up when hardly begun, as its request's time ran out, says nothing of an endpoint.
         boolean givenUp =
                 outcome == AttemptOutcome.TIMEOUT || (outcome == AttemptOutcome.CANCELLED && !request.isFinished());
         boolean givenUpLate = givenUp && result.latencyMicros() >= LATE_SHARE * objective;
--- a/src/main/java/mintstair/decision/OutlierStatistics.java
+++ b/src/main/java/mintstair/decision/OutlierStatistics.java
@@ -1,8 +1,8 @@
 package mintstair.decision;
 
 /**
- * The symptoms of one endpoint, as its answers show them: how many attempts fail, and how much longer they take than is usual for their
- * class. Both decay with time. Times are microseconds. Not safe for use by several threads.
+ * The symptoms of one endpoint, as its answers show them: how many attempts fail, and how much longer they take than
+ * is usual for their class. Both decay with time. Times are microseconds. Not safe for use by several threads.
  */
 final class OutlierStatistics {
     /** Past this failure rate an endpoint is ejected: it gets only trial requests. */
--- a/src/main/java/mintstair/decision/PooledLimits.java
+++ b/src/main/java/mintstair/decision/PooledLimits.java
@@ -1,7 +1,8 @@
 package mintstair.decision;
 
 /**
- * The concurrency limits over all replica sets, which stand in for those of a single one as long as that has little evidence.
+ * The concurrency limits over all replica sets, which stand in for those of a single one as long as that has little
+ * evidence.
  *
  * @param primaries the limit of one primary, learned from all of them
  * @param replicas the limit of one replica, learned from all of them
@@ -34,7 +35,9 @@
         replicas.shareAmong(fleetSize);
     }
 
-    /** How swift replicas are: 1 where they answer at once, 0 where answers take their whole share of the objectives. */
+    /**
+     * How swift replicas are: 1 where they answer at once, 0 where answers take their whole share of the objectives.
+     */
     double replicaSlack() {
         return Math.max(0, 1 - replicas.answerTime() / ConcurrencyLimit.STRAIN_AIM);
     }
--- a/src/main/java/mintstair/decision/PositionClock.java
+++ b/src/main/java/mintstair/decision/PositionClock.java
@@ -5,24 +5,28 @@
 import java.util.Map;
 
 /**
- * How far the clock by which hosts tell positions and start times is ahead of this router's own. Both are Unix time, but this machine's may
- * have been wrong when the router started. A primary stands at the present, so the newest position of each group's primary, as heard, shows
- * it. A clock that is behind would make old replicas seem recent, so reads are held to the positions' clock then; one that is ahead only
- * makes replicas seem older than they are, which is left so. Slow starts follow the positions' clock both ways.
+ * How far the clock by which hosts report positions and start times is ahead of this router's own. Both are Unix
+ * time, but this machine's may have been wrong when the router started. A primary is always up to date, so the newest
+ * position of each replica set's primary shows it. A clock that is behind would make old replicas seem recent, so
+ * reads are held to the positions' clock then; one that is ahead only makes replicas seem older than they are, which
+ * is left so. Slow starts follow the positions' clock both ways.
  *
  * <p>All times are microseconds. Not safe for use by several threads.
  */
 final class PositionClock {
     /** Clocks that are right differ by this, and positions are rounded on their way. */
     private static final long TOLERANCE = 20_000;
-    /** Reports come old; where each group's primary tells of what is older than this, it is the clock that is ahead. */
+    /**
+     * Reports come old; where each replica set's primary reports what is older than this, it is the clock that is
+     * ahead.
+     */
     private static final long OLDEST_REPORT = 2_000_000;
     /** What the youngest report of a primary may be old, where the clock is behind and reports alone tell the time. */
     private static final long REPORT_AGE = 100_000;
     /** Evidence that differs by more than this from the median is one host's own fault. */
     private static final long CLOSE = 1_000_000;
 
-    /** Of each group: the newest position that its primary told, less the own time at which it was heard. */
+    /** Of each group: the newest position that its primary reported, less the own time at which it arrived. */
     private final Map<Integer, Long> evidence = new HashMap<>();
 
     private int groupsAhead;
@@ -30,10 +34,10 @@
     private long offset;
     private long startOffset;
 
-    /** A primary told its position; returns whether start times are to be judged anew. */
+    /** A primary reported its position; returns whether start times are to be judged anew. */
     boolean heardPrimary(int group, long now, long position) {
         Long before = evidence.get(group);
-        // A former primary tells of its past: once a group has shown a right clock, or a newer time, that stands.
+        // A former primary reports its past: once a group has shown a right clock, or a newer time, that stands.
         boolean stands = before != null && before <= TOLERANCE;
         long ahead = stands ? Math.max(before, position - now) : position - now;
         evidence.put(group, ahead);
@@ -74,7 +78,10 @@
         return now + offset;
     }
 
-    /** Whether what is recent enough is known for this group: its own primary tells, where the own clock can't be relied on. */
+    /**
+     * Whether what is recent enough is known for this group: by its own primary, where the own clock can't be relied
+     * on.
+     */
     boolean isKnown(int group) {
         return offset == 0 || evidence.containsKey(group);
     }
@@ -85,7 +92,7 @@
         return Math.min(now, wrong ? position - evidence.getOrDefault(group, 0L) : position);
     }
 
-    /** How long ago a host started that tells this start time; nothing starts in the future. */
+    /** How long ago a host with this start time started; nothing starts in the future. */
     long startedAgo(long now, long start) {
         return Math.max(0, now + startOffset - start);
     }
--- a/src/main/java/mintstair/decision/PrimaryAdmission.java
+++ b/src/main/java/mintstair/decision/PrimaryAdmission.java
@@ -3,9 +3,9 @@
 import java.util.function.Supplier;
 
 /**
- * Admits requests to a primary up to its concurrency limit. Reads may fill only a part of it, by their priority; and of reads that fall
- * back to primaries in mass only as many are admitted as those can bear from all routers together, unless their own answers show that they
- * can bear more. Not safe for use by several threads.
+ * Admits requests to a primary up to its concurrency limit. Reads may fill only a part of it, by their priority; and
+ * of reads that fall back to primaries in mass only as many are admitted as those can bear from all routers together,
+ * unless their own answers show that they can bear more. Not safe for use by several threads.
  */
 final class PrimaryAdmission {
     /** Part of the limit open to the requests of tenants over their quotas. */
--- a/src/main/java/mintstair/decision/PrimaryTracker.java
+++ b/src/main/java/mintstair/decision/PrimaryTracker.java
@@ -3,15 +3,18 @@
 import java.util.function.Supplier;
 
 /**
- * Knows the primary of each replica set, by the newest evidence, and looks for it where that is missing. Times are microseconds. Not safe
- * for use by several threads.
+ * Knows the primary of each replica set, by the newest evidence, and looks for it where that is missing. Times are
+ * microseconds. Not safe for use by several threads.
  */
 final class PrimaryTracker {
     /** A primary unheard of for longer is checked before a write is sent to it. */
     private static final long CONFIRMATION_MICROS = 1_000_000;
     /** The shortest time between two searches for a primary; doubled for each that finds none. */
     private static final long SEARCH_INTERVAL_MICROS = 100_000;
-    /** The longest time between two searches, in shortest ones, in a small fleet; as many as there are routers in a larger one. */
+    /**
+     * The longest time between two searches, in shortest ones, in a small fleet; as many as there are routers in a
+     * larger one.
+     */
     private static final int MAX_INTERVAL_FACTOR = 8;
 
     private static final int MAX_DOUBLINGS = 10;
@@ -60,8 +63,8 @@
     }
 
     /**
-     * Whether the primary is known to be alive, so that a write may be risked on it; if not, health checks are sent to find out. Replicas
-     * that advance show that their primary lives.
+     * Whether the primary is known to be alive, so that a write may be risked on it; if not, health checks are sent
+     * to find out. Replicas that advance show that their primary lives.
      */
     boolean isConfirmed(long now, ReplicaSet replicaSet) {
         if (!settings.get().limits().healthChecks()) {
--- a/src/main/java/mintstair/decision/QueueingPolicy.java
+++ b/src/main/java/mintstair/decision/QueueingPolicy.java
@@ -4,9 +4,15 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Decides how long a request may wait for capacity, and in what order those that wait are served. Times are microseconds. */
+/**
+ * Decides how long a request may wait for capacity, and in what order those that wait are served. Times are
+ * microseconds.
+ */
 final class QueueingPolicy {
-    /** Share of the client's time for which a request is held of which nothing was sent: rejected early, a client may yet be served. */
+    /**
+     * Share of the client's time for which a request is held of which nothing was sent: rejected early, a client may
+     * yet be served.
+     */
     private static final double UNSENT_SHARE = 0.45;
     /** Share of its latency objective for which a request waits for a primary, and for a replica. */
     private static final double PRIMARY_WAIT_SHARE = 0.8;
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -8,15 +8,15 @@
 /**
  * The decisions of one router: which endpoint serves a request, whether it is tried again, whether it is rejected.
  *
- * <p>The usual way of a request: a write goes to the primary. A read goes to a random replica whose known position has reached what the
- * read has to see, which is the last write of its session or the present less the staleness bound, else to the primary. A request for
- * which there is no capacity waits in the queue of its replica set; one that has waited for too long, or may not be tried again, gets its
- * final answer at once. docs/design.md says under which condition each departure from this acts.
+ * <p>A write goes to the primary. A read goes to a random replica whose known position has reached what the read has to
+ * see, which is the last write of its session or the present less the staleness bound, else to the primary. A request
+ * for which there is no capacity waits in the queue of its replica set; one that has waited for too long, or may not be
+ * tried again, gets its final answer at once. docs/design.md lists the departures from this and their conditions.
  *
- * <p>A router may be one of hundreds with little traffic each: what acts on hardly any evidence acts with a probability in proportion to
- * this router's own requests, so that the sum over all routers is right.
+ * <p>A router may be one of hundreds with little traffic each: what acts on hardly any evidence acts with a probability
+ * in proportion to this router's own requests, so that the sum over all routers is right.
  *
- * <p>All times are microseconds on the caller's clock; one that goes back is taken to stand. Not safe for use by several threads.
+ * <p>All times are microseconds; a clock that goes back is taken to stand. Not safe for use by several threads.
  */
 public final class ReadWriteSplitter implements Router {
     private final RouterActions actions;
@@ -39,7 +39,10 @@
     private final Map<Long, InFlightRequest> requests = new LinkedHashMap<>();
     private RouterSettings settings;
 
-    /** Starts a router that knows no endpoint yet; throws {@link InvalidSettingsException} on settings that make no sense. */
+    /**
+     * Starts a router that knows no endpoint yet; throws {@link InvalidSettingsException} on settings that make no
+     * sense.
+     */
     public ReadWriteSplitter(long now, long seed, RouterSettings settings, RouterActions actions) {
         this.actions = actions;
         Random random = new Random(seed);
@@ -87,13 +90,7 @@
                 load,
                 tokens,
                 actions);
-        subscribeIfAsked();
-    }
-
-    private void subscribeIfAsked() {
-        if (settings.subscribe()) {
-            subscription.start();
-        }
+        subscription.start(settings);
     }
 
     private RouterSettings settings() {
@@ -166,7 +163,10 @@
         dispatch(now, accepted);
     }
 
-    /** Sends the request, or has it wait, or gives it up where its client has no time left: it is owed its answer all the same. */
+    /**
+     * Sends the request, or has it wait, or gives it up where its client has no time left: it gets its answer all the
+     * same.
+     */
     private void dispatch(long now, InFlightRequest request) {
         Endpoint endpoint = selector.choose(now, request);
         if (endpoint != null) {
--- a/src/main/java/mintstair/decision/ReplicaFreshness.java
+++ b/src/main/java/mintstair/decision/ReplicaFreshness.java
@@ -1,8 +1,8 @@
 package mintstair.decision;
 
 /**
- * Tells whether a replica is recent enough for a read, as far as known. Positions and times are microseconds. Not safe for use by several
- * threads.
+ * Tells whether a replica is recent enough for a read, as far as known. Positions and times are microseconds. Not
+ * safe for use by several threads.
  */
 final class ReplicaFreshness {
     /** A lag that was measured longer ago says nothing. */
--- a/src/main/java/mintstair/decision/ReplicaSelector.java
+++ b/src/main/java/mintstair/decision/ReplicaSelector.java
@@ -5,11 +5,14 @@
 import java.util.function.Supplier;
 
 /**
- * Selects a replica for a read: at random among those that are recent enough and have capacity, weighted by their health and their slow
- * start. Not safe for use by several threads.
+ * Selects a replica for a read: at random among those that are recent enough and have capacity, weighted by their
+ * health and their slow start. Not safe for use by several threads.
  */
 final class ReplicaSelector {
-    /** A replica with over this many times its peers' mean in flight is left out: chance alone loads one to twice another. */
+    /**
+     * A replica with over this many times its peers' mean in flight is left out: chance alone loads one to twice
+     * another.
+     */
     private static final double CROWDED_FACTOR = 1.3;
     /** Allowed beyond the mean number in flight, whatever that is. */
     private static final double CROWDED_MARGIN = 0.5;
@@ -123,7 +126,9 @@
         return endpoint.capacityShare(now, settings.get().protection());
     }
 
-    /** Whether there is capacity for the read: in the replica set, of which {@code use} is taken, and at the endpoint. */
+    /**
+     * Whether there is capacity for the read: in the replica set, of which {@code use} is taken, and at the endpoint.
+     */
     private boolean hasCapacity(long now, Endpoint endpoint, InFlightRequest read, double use) {
         if (endpoint.liveness.isUnresponsive()) {
             return read.isRepeatable() && endpoint.inFlight == 0;
--- a/src/main/java/mintstair/decision/ReplicaSet.java
+++ b/src/main/java/mintstair/decision/ReplicaSet.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * One primary and its replicas, as far as known, and the requests that wait for one of them. State without decisions; not safe for use by
- * several threads.
+ * One primary and its replicas, as far as known, and the requests that wait for one of them. State without decisions;
+ * not safe for use by several threads.
  */
 final class ReplicaSet {
     /** Assumed age of reports, in microseconds, until a primary's own have shown how old they come. */
--- a/src/main/java/mintstair/decision/ReplicationMonitor.java
+++ b/src/main/java/mintstair/decision/ReplicationMonitor.java
@@ -1,6 +1,9 @@
 package mintstair.decision;
 
-/** Keeps track of the positions that endpoints have reached. Positions and times are microseconds. Not safe for use by several threads. */
+/**
+ * Keeps track of the positions that endpoints have reached. Positions and times are microseconds. Not safe for use by
+ * several threads.
+ */
 final class ReplicationMonitor {
     /** Age assumed of the youngest report, until one has shown how young they come. */
     private static final long INITIAL_YOUNGEST_REPORT = 75_000;
--- a/src/main/java/mintstair/decision/RequestAcceptor.java
+++ b/src/main/java/mintstair/decision/RequestAcceptor.java
@@ -4,8 +4,8 @@
 import java.util.function.Supplier;
 
 /**
- * Accepts requests: finds out what each must see, whether its tenant is over its quota, and its admission sample. Times are microseconds.
- * Not safe for use by several threads.
+ * Accepts requests: finds out what each must see, whether its tenant is over its quota, and its admission sample.
+ * Times are microseconds. Not safe for use by several threads.
  */
 final class RequestAcceptor {
     /** Rounding of a session token's age on its way. */
--- a/src/main/java/mintstair/decision/RequestClass.java
+++ b/src/main/java/mintstair/decision/RequestClass.java
@@ -1,6 +1,9 @@
 package mintstair.decision;
 
-/** A class of requests; {@code maxStalenessMicros} counts for bounded reads, {@code deduplicationWindowMicros} for keyed requests. */
+/**
+ * A class of requests; {@code maxStalenessMicros} counts for bounded reads, {@code deduplicationWindowMicros} for
+ * keyed requests.
+ */
 public record RequestClass(
         String name,
         Consistency consistency,
--- a/src/main/java/mintstair/decision/RequestClassTable.java
+++ b/src/main/java/mintstair/decision/RequestClassTable.java
@@ -57,7 +57,10 @@
         return sum;
     }
 
-    /** A time, in microseconds, within which an endpoint with attempts in flight should have answered one, whatever the classes. */
+    /**
+     * A time, in microseconds, within which an endpoint with attempts in flight should have answered one, whatever
+     * the classes.
+     */
     double patience() {
         double longest = 0;
         for (ClassStatistics statistics : classes) {
--- a/src/main/java/mintstair/decision/RetryPolicy.java
+++ b/src/main/java/mintstair/decision/RetryPolicy.java
@@ -3,8 +3,8 @@
 import java.util.function.Supplier;
 
 /**
- * Decides whether a request may be tried again: no effect may occur twice, and retries stay within a budget that each request earns a part
- * of. Times are microseconds. Not safe for use by several threads.
+ * Decides whether a request may be tried again: no effect may occur twice, and retries stay within a budget that each
+ * request earns a part of. Times are microseconds. Not safe for use by several threads.
  */
 final class RetryPolicy {
     /** Kept free before a deadline so that an answer still counts. */
@@ -18,8 +18,8 @@
 
     private static final double MAX_RETRIES = 20;
     /**
-     * How long a decision on a bounded read holds: its staleness counts from the sending, so one that waited longer for a connection is
-     * decided on anew. Less than the rules leave on sockets.
+     * How long a decision on a bounded read holds: its staleness counts from the sending, so one that waited longer
+     * for a connection is decided on anew. Less than the rules leave on sockets.
      */
     private static final long BOUNDED_READ_VALID_MICROS = 25_000;
     /** Share of its latency objective after which a rejected client is asked to come back. */
@@ -120,7 +120,9 @@
                 && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
-    /** After how long a rejected client should come back: within its latency objective, or else late; 0 for no advice. */
+    /**
+     * After how long a rejected client should come back: within its latency objective, or else late; 0 for no advice.
+     */
     long retryAfter(long now, InFlightRequest request) {
         AttemptLimits limits = settings.get().limits();
         if (!limits.retryAfter()) {
--- a/src/main/java/mintstair/decision/RouterActions.java
+++ b/src/main/java/mintstair/decision/RouterActions.java
@@ -1,6 +1,6 @@
 package mintstair.decision;
 
-/** The actions. */
+/** The actions that a router takes. Times are microseconds. */
 public interface RouterActions {
     /**
      * Starts an attempt, given up at {@code abandonAt} (0: when the client does), and not begun later
@@ -11,19 +11,19 @@
     /** Stops waiting for one attempt. */
     void cancel(long id, int attempt);
 
-    /** Final answer: refused, a further try is harmless, best after {@code retryAfterMicros} (0: no advice). */
+    /** Final answer: rejected; a retry is harmless, best after {@code retryAfterMicros} (0: no advice). */
     void reject(long id, long retryAfterMicros);
 
     /** Final answer: failed, nothing promised. */
     void fail(long id);
 
-    /** Asks a host for its report. */
+    /** Sends a health check to a host. */
     void checkHealth(String host);
 
     /** Asks for {@link Router#onTimer} after this long. */
     void startTimer(String name, long delayMicros);
 
-    /** Asks the list for changes from here on. */
+    /** Subscribes to the endpoint list. */
     void subscribe();
 
     /** Sends a short message to every other router. */
--- a/src/main/java/mintstair/decision/RouterClock.java
+++ b/src/main/java/mintstair/decision/RouterClock.java
@@ -1,11 +1,14 @@
 package mintstair.decision;
 
 /**
- * The time as the router sees it: never goes back, and knows since when the process has run without a pause. Times are microseconds. Not
- * safe for use by several threads.
+ * The time as the router sees it: never goes back, and knows since when the process has run without a pause. Times
+ * are microseconds. Not safe for use by several threads.
  */
 final class RouterClock {
-    /** A timer that fires this late shows that the process was paused; what it missed meanwhile is no evidence against endpoints. */
+    /**
+     * A timer that fires this late shows that the process was paused; what it missed meanwhile is no evidence against
+     * endpoints.
+     */
     private static final long PAUSE_MICROS = 100_000;
 
     private long latest;
--- a/src/main/java/mintstair/decision/RouterSettings.java
+++ b/src/main/java/mintstair/decision/RouterSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** All that a router is told at its start. */
+/** The settings of a router. Times are microseconds, costs are shares of the result. */
 public record RouterSettings(
         int fleetSize,
         int instanceIndex,
--- a/src/main/java/mintstair/decision/SessionTokens.java
+++ b/src/main/java/mintstair/decision/SessionTokens.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 
 /**
- * The position of each session's last write, where routers remember them. Times and positions are microseconds. Not safe for use by
- * several threads.
+ * The position of each session's last write, where routers remember them. Times and positions are microseconds. Not
+ * safe for use by several threads.
  */
 final class SessionTokens {
     /** Far longer than a new host's copy is old, or than a lag lasts. */
@@ -13,7 +13,7 @@
 
     private record Token(long position, long heardAt) {}
 
-    /** From the one heard of longest ago on. */
+    /** In the order of their last writes, the oldest first. */
     private final LinkedHashMap<String, Token> tokens = new LinkedHashMap<>();
 
     /** A write of the session was answered; forgets sessions that have not written for long. */
--- a/src/main/java/mintstair/decision/SlowStart.java
+++ b/src/main/java/mintstair/decision/SlowStart.java
@@ -1,12 +1,12 @@
 package mintstair.decision;
 
 /**
- * The slow start of one host: since when it has been warming up, and what share of its capacity it can be trusted with. Times are
- * microseconds on the router's own clock. Not safe for use by several threads.
+ * The slow start of one host: since when it has been warming up, and what share of its capacity it can be trusted
+ * with. Times are microseconds on the router's own clock. Not safe for use by several threads.
  */
 final class SlowStart {
     private boolean active;
-    /** Whether it rests on the start that the list tells, and not on what this router found. */
+    /** Whether it follows the start in the endpoint list, and not what this router found. */
     private boolean fromList;
 
     private long since;
@@ -16,7 +16,7 @@
         begin(at, false);
     }
 
-    /** The list tells that the host started at this time. */
+    /** By the endpoint list the host started at this time. */
     void listed(long at) {
         begin(at, true);
     }
@@ -27,7 +27,7 @@
         since = at;
     }
 
-    /** The list tells of a start that is too long ago to matter. */
+    /** By the endpoint list the start is too long ago to matter. */
     void listedAsWarm() {
         active &= !fromList;
     }
--- a/src/main/java/mintstair/decision/SlowStartController.java
+++ b/src/main/java/mintstair/decision/SlowStartController.java
@@ -3,8 +3,8 @@
 import java.util.function.Supplier;
 
 /**
- * Decides when an endpoint is in slow start: after the start that the endpoint list tells, or after it was found to have come back. Times
- * are microseconds. Not safe for use by several threads.
+ * Decides when an endpoint is in slow start: after its start by the endpoint list, or after it was found to have come
+ * back. Times are microseconds. Not safe for use by several threads.
  */
 final class SlowStartController {
     private final Supplier<RouterSettings> settings;
@@ -17,13 +17,13 @@
         this.actions = actions;
     }
 
-    /** The endpoint was found to have started at this time, whatever the list tells. */
+    /** The endpoint was found to have started at this time, whatever the endpoint list says. */
     void found(Endpoint endpoint, long startedAt) {
         endpoint.slowStart.found(startedAt);
         log(endpoint);
     }
 
-    /** Judges the start that the list tells; due when that, or what is known of the hosts' clock, has changed. */
+    /** Judges the start by the endpoint list; due when that, or what is known of the hosts' clock, has changed. */
     void judgeListedStart(long now, Endpoint endpoint) {
         long age = positions.startedAgo(now, endpoint.listedStart);
         if (age < settings.get().protection().slowStartMicros()) {
--- a/src/main/java/mintstair/decision/Tenant.java
+++ b/src/main/java/mintstair/decision/Tenant.java
@@ -1,4 +1,4 @@
 package mintstair.decision;
 
-/** A tenant and the rate, over all routers, up to which its requests are worth their full worth. */
+/** A tenant and its quota: the rate, over all routers, up to which its requests have their full priority weight. */
 public record Tenant(String name, double quotaPerSecond) {}
--- a/src/main/java/mintstair/decision/TenantQuotas.java
+++ b/src/main/java/mintstair/decision/TenantQuotas.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Tells requests of tenants that stay within their quotas from those beyond: a token bucket a tenant, refilled at this router's part of the
- * tenant's quota. Times are microseconds. Not safe for use by several threads.
+ * Tells requests of tenants that stay within their quotas from those beyond: a token bucket a tenant, refilled at
+ * this router's part of the tenant's quota. Times are microseconds. Not safe for use by several threads.
  */
 final class TenantQuotas {
     /** Requests that a tenant may save up at least: fewer arrive together by chance alone. */
@@ -33,10 +33,12 @@
     }
 
     /**
-     * Counts a request of a tenant, and returns whether the tenant sends more to this router than its part of the quota.
+     * Counts a request of a tenant, and returns whether the tenant sends more to this router than its part of the
+     * quota.
      *
      * @param tenant the index in the settings; negative for none, which has no quota
-     * @param requestsPerSecond of all tenants at this router: where it has more than an equal part of all traffic, its part is larger
+     * @param requestsPerSecond of all tenants at this router: where it has more than an equal part of all traffic,
+     *     its part is larger
      */
     boolean isExceeded(long now, int tenant, double requestsPerSecond, double fleetSize) {
         if (tenant < 0) {
--- a/src/main/java/mintstair/decision/TickTimer.java
+++ b/src/main/java/mintstair/decision/TickTimer.java
@@ -1,8 +1,8 @@
 package mintstair.decision;
 
 /**
- * Schedules the router's periodic work: a timer runs only while something is due, so that an idle router costs nothing. Not safe for use
- * by several threads.
+ * Schedules the router's periodic work: a timer runs only while something is due, so that an idle router costs
+ * nothing. Not safe for use by several threads.
  */
 final class TickTimer {
     /** The shortest time between two ticks, in microseconds. */
--- a/src/test/java/mintstair/LayeringTest.java
+++ b/src/test/java/mintstair/LayeringTest.java
@@ -14,7 +14,10 @@
 import mintstair.time.WallClock;
 import org.junit.jupiter.api.Test;
 
-/** The core knows no wire, network code none of the module's events and actions, and modules without I/O are without it. */
+/**
+ * The core knows no wire, network code none of the module's events and actions, and modules without I/O are without
+ * it.
+ */
 class LayeringTest {
     /** Modules that decide: their time and chance come from outside, and nothing leaves them but what they return. */
     private static final String[] PURE = {
--- a/src/test/java/mintstair/bench/BreakBytes.java
+++ b/src/test/java/mintstair/bench/BreakBytes.java
@@ -14,7 +14,10 @@
 import mintstair.standin.RegistryModel;
 import mintstair.standin.Relay;
 
-/** Bytes that a break costs in a registry at rest: this client's, and a whole reading, as a plain client makes after each. */
+/**
+ * Bytes that a break costs in a registry at rest: this client's, and a whole reading, as a plain client makes after
+ * each.
+ */
 final class BreakBytes {
     private static final int BREAKS = 10;
 
--- a/src/test/java/mintstair/bench/BreakPlay.java
+++ b/src/test/java/mintstair/bench/BreakPlay.java
@@ -19,7 +19,10 @@
 
 /** One running program with three members behind relays, changes all the time, and breaks one after the other. */
 final class BreakPlay implements AutoCloseable {
-    /** A break: its kind, the time until the program's view had the change that was made behind it, and views that were none. */
+    /**
+     * A break: its kind, the time until the program's view had the change that was made behind it, and views that
+     * were none.
+     */
     record Break(String kind, double seconds, int wrong) {}
 
     private static final String HOSTS = "reg/postgresql/hosts/";
--- a/src/test/java/mintstair/bench/HerdCalls.java
+++ b/src/test/java/mintstair/bench/HerdCalls.java
@@ -12,8 +12,8 @@
 import mintstair.registry.view.WatchView;
 
 /**
- * 48 views of one registry that loses its majority at one moment, in virtual time, so that nothing but their own waits spreads
- * their calls: the most calls in any 20 ms after the first, as a rate by the second.
+ * 48 views of one registry that loses its majority at one moment, in virtual time, so that nothing but their own
+ * waits spreads their calls: the most calls in any 20 ms after the first, as a rate by the second.
  */
 final class HerdCalls {
     private static final int CLIENTS = 48;
--- a/src/test/java/mintstair/bench/KilledProcesses.java
+++ b/src/test/java/mintstair/bench/KilledProcesses.java
@@ -6,7 +6,10 @@
 import mintstair.program.Program;
 import mintstair.standin.FaultRelay;
 
-/** Real processes behind the fault relay, of which one at a time is killed and started again: seconds until all others know. */
+/**
+ * Real processes behind the fault relay, of which one at a time is killed and started again: seconds until all others
+ * know.
+ */
 final class KilledProcesses {
     private KilledProcesses() {}
 
--- a/src/test/java/mintstair/bench/MembershipBench.java
+++ b/src/test/java/mintstair/bench/MembershipBench.java
@@ -10,8 +10,9 @@
 import mintstair.membership.swim.SwimSettings;
 
 /**
- * The membership of proxies in virtual time: load of a member, time to detect, false deaths, healing; beside plain SWIM (suspicions of
- * one fixed length, no own health) with the same seeds. MetricsSnapshot last; status 1 where an aim is missed.
+ * The membership of proxies in virtual time: load of a member, time to detect, false deaths, healing; beside plain
+ * SWIM (suspicions of one fixed length, no own health) with the same seeds. MetricsSnapshot last; status 1 where an
+ * aim is missed.
  */
 public final class MembershipBench {
     private static final long S = 1_000_000;
@@ -94,7 +95,10 @@
         return (play.nodes.stream().mapToLong(n -> n.messages).sum() - before) / 10.0 / size;
     }
 
-    /** Until the first suspects a member that fails, and until all know that it is dead; the aim is for the 99th of 100. */
+    /**
+     * Until the first suspects a member that fails, and until all know that it is dead; the aim is for the 99th of
+     * 100.
+     */
     private static void detect(int size, int times, boolean machine, double aim) {
         List<Double> all = new ArrayList<>();
         List<Double> first = new ArrayList<>();
@@ -132,7 +136,10 @@
         aim(name + "_p99", all.get((all.size() - 1) * 99 / 100) < aim);
     }
 
-    /** Suspicions and deaths of members that run, of 10,000 periods of a member; datagrams alone, no connections to check by. */
+    /**
+     * Suspicions and deaths of members that run, of 10,000 periods of a member; datagrams alone, no connections to
+     * check by.
+     */
     private static double[] falseDeaths(SwimSettings settings, double loss, int seconds) {
         SimulatedFleet play = agreed(100, settings, loss, 3, false);
         play.falseDeaths = 0;
--- a/src/test/java/mintstair/bench/RegistryBench.java
+++ b/src/test/java/mintstair/bench/RegistryBench.java
@@ -12,8 +12,9 @@
 import java.util.concurrent.Future;
 
 /**
- * What a break of the registry costs: time until the running program's view matches again, bytes beside a client that rereads
- * everything, calls when many lose the registry together, heap. MetricsSnapshot last; status 1 where an aim is missed.
+ * What a break of the registry costs: time until the running program's view matches again, bytes beside a client that
+ * rereads everything, calls when many lose the registry together, heap. MetricsSnapshot last; status 1 where an aim
+ * is missed.
  */
 public final class RegistryBench {
     private static final int KEYS = 5_000;
--- a/src/test/java/mintstair/bench/TrafficBench.java
+++ b/src/test/java/mintstair/bench/TrafficBench.java
@@ -37,8 +37,8 @@
 import org.bson.BsonString;
 
 /**
- * A run of all classes over both fronts is recorded by the running program, read, replayed against another one, and compared.
- * MetricsSnapshot last; status 1 where an aim is missed.
+ * A run of all classes over both fronts is recorded by the running program, read, replayed against another one, and
+ * compared. MetricsSnapshot last; status 1 where an aim is missed.
  */
 public final class TrafficBench {
     private static final String[] CLASSES = {"bounded", "session", "any", "write"};
--- a/src/test/java/mintstair/decision/ColdRampTest.java
+++ b/src/test/java/mintstair/decision/ColdRampTest.java
@@ -11,13 +11,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a cold host is sent by all processes together, which share nothing, in virtual time: within any span of the settings' length
- * no more than the multiple of what it can do then, N, and 2 x root of N + 2 for chance.
+ * What a cold host is sent by all processes together, which share nothing, in virtual time: within any span of the
+ * settings' length no more than the multiple of what it can do then, N, and 2 x root of N + 2 for chance.
  */
 class ColdRampTest {
     private static final long MS = Bed.MS;
     private static final long SECOND = 1_000 * MS;
-    /** Of Bed's settings: a fall is counted over 2 s, at 3 times what the host can do; it starts at 0.2 and is warm after 10 s. */
+    /**
+     * Of Bed's settings: a fall is counted over 2 s, at 3 times what the host can do; it starts at 0.2 and is warm
+     * after 10 s.
+     */
     private static final long FALL = 2 * SECOND;
 
     private static final double MULTIPLE = 3;
@@ -28,7 +31,10 @@
 
     private record Event(long at, int router, long id) {}
 
-    /** One group at so many routers, one of which sees as much traffic as a third of the others together; some hosts start at 0. */
+    /**
+     * One group at so many routers, one of which sees as much traffic as a third of the others together; some hosts
+     * start at 0.
+     */
     private static final class Play {
         final List<Bed> beds = new ArrayList<>();
         final double[] share;
@@ -54,7 +60,10 @@
             }
         }
 
-        /** Plays 12 s with so many requests a second; {@code cold} start at 0, {@code gone} are lost then, and all are told. */
+        /**
+         * Plays 12 s with so many requests a second; {@code cold} start at 0, {@code gone} are lost then, and all are
+         * told.
+         */
         void play(double rate, List<String> cold, List<String> gone) {
             for (Bed bed : beds) {
                 for (String host : cold) {
@@ -85,7 +94,10 @@
             }
         }
 
-        /** Lets the time of one router come to this: polls are answered after 2 ms, attempts after 60 ms, ticks as they are due. */
+        /**
+         * Lets the time of one router come to this: polls are answered after 2 ms, attempts after 60 ms, ticks as
+         * they are due.
+         */
         private void settle(
                 Bed bed, int router, long at, int[] answered, PriorityQueue<long[]> due, List<String> cold) {
             while (true) {
@@ -112,7 +124,10 @@
             }
         }
 
-        /** The most by which a span of the settings' length was over a host's budget of N, of the 2 x root of N + 2 that are chance. */
+        /**
+         * The most by which a span of the settings' length was over a host's budget of N, of the 2 x root of N + 2
+         * that are chance.
+         */
         double worst() {
             double worst = 0;
             for (List<Long> times : sent.values()) {
--- a/src/test/java/mintstair/decision/DecisionDigestTest.java
+++ b/src/test/java/mintstair/decision/DecisionDigestTest.java
@@ -17,12 +17,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pins the decisions: the actions of {@link DecisionSchedule} under each of {@link DecisionSettings} have to be those whose
- * digests stand in the resource, random draws included, so that a refactoring is known to decide as the code before it did.
+ * Pins the decisions: the actions of {@link DecisionSchedule} under each of {@link DecisionSettings} have to be those
+ * whose digests stand in the resource, random draws included, so that a refactoring is known to decide as the code
+ * before it did.
  *
  * <p>A change that means to decide otherwise renews the resource with {@code mvn test -Dtest=DecisionDigestTest
- * -Ddecision.digests.renew=true} and says in its commit why. The records themselves go to {@code target/decision-records}
- * where {@code -Ddecision.records=true} is given, so that those of two builds can be compared line by line.
+ * -Ddecision.digests.renew=true} and says in its commit why. The records themselves go to {@code
+ * target/decision-records} where {@code -Ddecision.records=true} is given, so that those of two builds can be
+ * compared line by line.
  */
 class DecisionDigestTest {
     private static final Path DIGESTS = Path.of("src/test/resources/mintstair/decision/decision-digests.txt");
--- a/src/test/java/mintstair/decision/EndpointChoiceTest.java
+++ b/src/test/java/mintstair/decision/EndpointChoiceTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The parts that choose an endpoint: directory, freshness, health checks, replica selection, the primary and its admission. */
+/**
+ * The parts that choose an endpoint: directory, freshness, health checks, replica selection, the primary and its
+ * admission.
+ */
 class EndpointChoiceTest {
     private static final long MS = Bed.MS;
     private static final long SECOND = 1_000 * MS;
@@ -194,7 +197,7 @@
     @Test
     void primaryUnheardOfIsCheckedBeforeItIsUsed() {
         Endpoint primary = directory.endpoint("p");
-        detector.heard(SECOND, primary, true);
+        detector.answered(SECOND, primary, true);
         assertTrue(primaries.isConfirmed(SECOND + 900 * MS, replicaSet()));
         assertTrue(bed.probes.isEmpty());
         assertFalse(primaries.isConfirmed(3 * SECOND, replicaSet()));
--- a/src/test/java/mintstair/decision/FailureDetectorTest.java
+++ b/src/test/java/mintstair/decision/FailureDetectorTest.java
@@ -49,7 +49,7 @@
     @Test
     void answerBetweenTwoFailuresKeepsTheEndpointInUse() {
         detector.unreachable(SECOND, endpoint);
-        detector.heard(SECOND, endpoint, false);
+        detector.answered(SECOND, endpoint, false);
         detector.unreachable(SECOND, endpoint);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
@@ -58,7 +58,7 @@
     void unreachableEndpointComesBackInSlowStart() {
         detector.unreachable(SECOND, endpoint);
         detector.unreachable(SECOND, endpoint);
-        detector.heard(2 * SECOND, endpoint, false);
+        detector.answered(2 * SECOND, endpoint, false);
         assertFalse(endpoint.liveness.isUnresponsive());
         assertTrue(endpoint.slowStart.isActive());
     }
@@ -100,9 +100,9 @@
     @Test
     void hungEndpointThatAnswersHealthChecksStaysOutForAWhile() {
         missAnswers(3);
-        detector.heard(6 * SECOND, endpoint, false);
+        detector.answered(6 * SECOND, endpoint, false);
         assertTrue(endpoint.liveness.isUnresponsive());
-        detector.heard(11 * SECOND, endpoint, false);
+        detector.answered(11 * SECOND, endpoint, false);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
@@ -111,7 +111,7 @@
         assertTrue(detector.isTrusted(SECOND, endpoint));
         detector.unreachable(SECOND, endpoint);
         assertFalse(detector.isTrusted(SECOND, endpoint));
-        detector.heard(2 * SECOND, endpoint, false);
+        detector.answered(2 * SECOND, endpoint, false);
         assertTrue(detector.isTrusted(2 * SECOND, endpoint));
     }
 
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -77,7 +77,10 @@
         assertEquals(1, sum(), 1e-9);
     }
 
-    /** Seventy of a hundred die at once: the rest can't tell it from a cut, and are whole again when others have started. */
+    /**
+     * Seventy of a hundred die at once: the rest can't tell it from a cut, and are whole again when others have
+     * started.
+     */
     @Test
     void seventyOfAHundredThatAreKilledLeaveTheBoundKept() {
         fleet(ROUTERS, 4);
@@ -220,7 +223,10 @@
         return beds;
     }
 
-    /** A host's polls by those that look for a primary: within the bound in a cut fleet, and more of it used in a small one. */
+    /**
+     * A host's polls by those that look for a primary: within the bound in a cut fleet, and more of it used in a
+     * small one.
+     */
     @Test
     void pollsAtAHostFollowTheShares() {
         double cut = polls(beds(60, 40, 60));
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -127,7 +127,10 @@
         assertEquals("", bed.trace.toString());
     }
 
-    /** A router with few requests asks a few members when a read needs it and the primary is full, and sends where one is proven. */
+    /**
+     * A router with few requests asks a few members when a read needs it and the primary is full, and sends where one
+     * is proven.
+     */
     @Test
     void readThatNoReplicaIsProvenForPollsAFewWhereThePrimaryIsFullAndGoesToOneOfThem() {
         Bed bed = new Bed().start().group();
@@ -145,8 +148,8 @@
     }
 
     /**
-     * Guards against a poll on demand for each read of a router that hears little, where the primary has room for it: in a
-     * fleet of 100 the polls cost more than the reads are worth on a replica.
+     * Guards against a poll on demand for each read of a router that hears little, where the primary has room for it:
+     * in a fleet of 100 the polls cost more than the reads are worth on a replica.
      */
     @Test
     void readsThatNoReplicaIsProvenForGoUnpolledToAPrimaryWithRoom() {
@@ -165,8 +168,8 @@
     }
 
     /**
-     * Guards against loading the primary with reads that a poll, shared by many of them, brings to replicas: at a router that hears a
-     * group often, with a primary that has room.
+     * Guards against loading the primary with reads that a poll, shared by many of them, brings to replicas: at a
+     * router that hears a group often, with a primary that has room.
      */
     @Test
     void readsOfARouterThatHearsManyArePolledForBeforeThePrimary() {
@@ -205,7 +208,9 @@
         assertTrue(fell > 100 && fell < 1_800, "primary got " + fell + " of 2900");
     }
 
-    /** Guards against refusing reads of high worth while those of little worth are taken: the primary is all there is. */
+    /**
+     * Guards against refusing reads of high worth while those of little worth are taken: the primary is all there is.
+     */
     @Test
     void readsOfMoreWorthFillMoreOfThePrimary() {
         long[] sent = new long[2];
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -7,7 +7,10 @@
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
-/** Nothing of one customer's settings shows up for another's: neither of two side by side, nor of those before a change. */
+/**
+ * Nothing of one customer's settings shows up for another's: neither of two side by side, nor of those before a
+ * change.
+ */
 class OtherSettingsTest {
     private static final long MS = Bed.MS;
 
@@ -65,7 +68,10 @@
         return sent;
     }
 
-    /** A host that started 15 s ago was warm by the settings before; by those now it is cold, and must not be pushed over. */
+    /**
+     * A host that started 15 s ago was warm by the settings before; by those now it is cold, and must not be pushed
+     * over.
+     */
     @Test
     void hostThatIsColdByTheNewSettingsIsRampedByThem() {
         EndpointEntry listed = started("r1", 1_000_000_000L - 15_000 * MS);
@@ -94,7 +100,10 @@
                         s -> guarded(s, new ProtectionSettings(250 * MS, 0.2, 10_000 * MS, 3, 2_000 * MS, false))));
     }
 
-    /** What is assumed of a class until its answers have shown it goes by its own aim, not by that of a class of that name before. */
+    /**
+     * What is assumed of a class until its answers have shown it goes by its own aim, not by that of a class of that
+     * name before.
+     */
     @Test
     void classThatWasNeverAskedForIsTakenByItsNewAim() {
         long[] secondCopy = new long[2];
@@ -161,7 +170,10 @@
         assertTrue(sent[0] < 16, sent[0] + "");
     }
 
-    /** What one tenant sends over its share, and what quota it has, is its own: the other's reads find the same room beside it. */
+    /**
+     * What one tenant sends over its share, and what quota it has, is its own: the other's reads find the same room
+     * beside it.
+     */
     @Test
     void oneTenantsQuotaIsNotTheOthers() {
         long[] sent = new long[2];
@@ -200,7 +212,10 @@
         return new RoutingRequest(id, Bed.ANY, 0, "s" + id, tenant, false, 2_500 * MS, Positions.UNKNOWN);
     }
 
-    /** The end of a router: each request that it holds, in whatever state, gets one final answer, refused only where that is harmless. */
+    /**
+     * The end of a router: each request that it holds, in whatever state, gets one final answer, refused only where
+     * that is harmless.
+     */
     @Test
     void endGivesEachHeldRequestItsOneAnswer() {
         Bed bed = new Bed();
--- a/src/test/java/mintstair/decision/RulesTest.java
+++ b/src/test/java/mintstair/decision/RulesTest.java
@@ -120,7 +120,10 @@
         assertEquals(1, bed.failed.size());
     }
 
-    /** As short as settings may give: one answer each in time, nothing sent past it, no repeat past the window, none of an unsafe write. */
+    /**
+     * As short as settings may give: one answer each in time, nothing sent past it, no repeat past the window, none
+     * of an unsafe write.
+     */
     @Test
     void shortestDeadlinesAndWindowsKeepTheRules() {
         for (long deadline : new long[] {1, 5, 20, 60, 300}) {
@@ -174,7 +177,9 @@
         return end != AttemptOutcome.TIMEOUT ? sent.at() + 2 * MS : sent.abandonAt() > 0 ? sent.abandonAt() : over;
     }
 
-    /** It waits for its next attempt, for a second copy, or for a primary: whatever comes then, nothing begins for it. */
+    /**
+     * It waits for its next attempt, for a second copy, or for a primary: whatever comes then, nothing begins for it.
+     */
     @Test
     void nothingBeginsForAClientThatHasGone() {
         Bed bed = new Bed().start().group();
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/SplitterTest.java
@@ -261,7 +261,10 @@
         assertFalse(bed.last().host().equals("p"));
     }
 
-    /** Of fifty reads that fall to a primary which was never asked, those sent there; another's answers took this long. */
+    /**
+     * Of fifty reads that fall to a primary which was never asked, those sent there; another's answers took this
+     * long.
+     */
     private static int sentUnheard(long latency) {
         int sent = 0;
         for (int n = 0; n < 50; n++) {
--- a/src/test/java/mintstair/decision/WrongClockTest.java
+++ b/src/test/java/mintstair/decision/WrongClockTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * This machine's clock was wrong when the router started, while positions and start times of hosts are told by a right one. A wrong
- * clock may cost reads their replica; it must neither make a stale read, nor wipe a slow start or begin one, nor hide a new primary.
+ * This machine's clock was wrong when the router started, while positions and start times of hosts are told by a
+ * right one. A wrong clock may cost reads their replica; it must neither make a stale read, nor wipe a slow start or
+ * begin one, nor hide a new primary.
  */
 class WrongClockTest {
     private static final long MS = Bed.MS;
@@ -21,7 +22,9 @@
 
     private final Bed bed = new Bed();
 
-    /** Group 0 as the right clock, which is so far ahead of the router's, has it; {@code lag} is that of all replicas. */
+    /**
+     * Group 0 as the right clock, which is so far ahead of the router's, has it; {@code lag} is that of all replicas.
+     */
     private void start(long ahead, long lag) {
         bed.now = 100 * HOUR;
         bed.start();
@@ -58,7 +61,10 @@
         return hosts;
     }
 
-    /** The bound is 200 ms: replicas that are 5 s behind are too old, though by a clock that is an hour behind they come from its future. */
+    /**
+     * The bound is 200 ms: replicas that are 5 s behind are too old, though by a clock that is an hour behind they
+     * come from its future.
+     */
     @Test
     void clockThatIsBehindMakesNoStaleRead() {
         start(HOUR, 5 * SECOND);
@@ -79,7 +85,9 @@
         assertTrue(hostsOfReads(100, Bed.BOUNDED, HOUR, 10 * MS).size() > 2);
     }
 
-    /** Started 10 minutes ago, which is 50 minutes ahead of this clock: they are warm, and have the room of warm ones. */
+    /**
+     * Started 10 minutes ago, which is 50 minutes ahead of this clock: they are warm, and have the room of warm ones.
+     */
     @Test
     void clockThatIsBehindStartsNoSlowStart() {
         start(HOUR, 10 * MS);
@@ -92,7 +100,10 @@
         assertFalse(bed.logs.stream().anyMatch(line -> line.startsWith("slow start ")), bed.logs.toString());
     }
 
-    /** The list comes before the first poll: a slow start that rests on the wrong clock alone is over when positions show it wrong. */
+    /**
+     * The list comes before the first poll: a slow start that rests on the wrong clock alone is over when positions
+     * show it wrong.
+     */
     @Test
     void slowStartOfAWrongClockEndsWithTheFirstPositions() {
         bed.now = 100 * HOUR;
@@ -122,7 +133,10 @@
         assertTrue(bed.logs.contains("slow start r1: capacity grows from its start on"), bed.logs.toString());
     }
 
-    /** Listed as started a second ago before any position is known; the first positions show that the clock is an hour ahead. */
+    /**
+     * Listed as started a second ago before any position is known; the first positions show that the clock is an hour
+     * ahead.
+     */
     @Test
     void slowStartThatAClockAheadHidBeginsWithTheFirstPositions() {
         bed.now = 100 * HOUR;
@@ -136,7 +150,10 @@
         assertTrue(bed.logs.contains("slow start r1: capacity grows from its start on"), bed.logs.toString());
     }
 
-    /** An answer of the old primary stands at this clock's time, a poll of the new one at the right clock's, an hour before. */
+    /**
+     * An answer of the old primary stands at this clock's time, a poll of the new one at the right clock's, an hour
+     * before.
+     */
     @Test
     void newPrimaryThatAPollTellsOfIsFoundWhereTheClockIsAhead() {
         start(-HOUR, 10 * MS);
@@ -148,7 +165,10 @@
         assertEquals("r1", bed.last().host());
     }
 
-    /** A primary unheard of for long is polled before a write: positions in this clock's future are no sign of life for an hour. */
+    /**
+     * A primary unheard of for long is polled before a write: positions in this clock's future are no sign of life
+     * for an hour.
+     */
     @Test
     void lostPrimaryIsNotTakenToLiveWhereTheClockIsBehind() {
         start(HOUR, 10 * MS);
--- a/src/test/java/mintstair/pins/CommandNamesTest.java
+++ b/src/test/java/mintstair/pins/CommandNamesTest.java
@@ -289,7 +289,10 @@
         }
     }
 
-    /** The simulator reads nothing else on standard output: each reply to the last character, as the module's choices are settled by the seed. */
+    /**
+     * The simulator reads nothing else on standard output: each reply to the last character, as the module's choices
+     * are settled by the seed.
+     */
     @Test
     void adapterWritesRepliesAlone() throws Exception {
         try (ProgramRun run = new ProgramRun(Names.text("/pins/adapter-input.txt"), List.of("adapter"))) {
--- a/src/test/java/mintstair/pins/ProgramRun.java
+++ b/src/test/java/mintstair/pins/ProgramRun.java
@@ -9,7 +9,10 @@
 import java.util.concurrent.TimeUnit;
 import mintstair.program.Program;
 
-/** The program as a process of its own, started by its main class alone; standard output and standard error are kept apart. */
+/**
+ * The program as a process of its own, started by its main class alone; standard output and standard error are kept
+ * apart.
+ */
 final class ProgramRun implements AutoCloseable {
     private static final String MAIN = "mintstair.Main";
     private static final int LONGEST_SECONDS = 30;
--- a/src/test/java/mintstair/pins/SettingNamesTest.java
+++ b/src/test/java/mintstair/pins/SettingNamesTest.java
@@ -24,8 +24,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The keys of the configuration, of the operator's file and of the deploy file. A file with all keys is read; then each key in turn
- * is left out. One that is known is missed: the reader says so by its name, or what it read is another.
+ * The keys of the configuration, of the operator's file and of the deploy file. A file with all keys is read; then
+ * each key in turn is left out. One that is known is missed: the reader says so by its name, or what it read is
+ * another.
  */
 class SettingNamesTest {
     private static final String CONFIG = "/pins/config.json";
--- a/src/test/java/mintstair/pins/StoredDataTest.java
+++ b/src/test/java/mintstair/pins/StoredDataTest.java
@@ -31,7 +31,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Files that the version before has written are read whole, and gone on with. {@link StoredDataWriter} says how they came to be. */
+/**
+ * Files that the version before has written are read whole, and gone on with. {@link StoredDataWriter} says how they
+ * came to be.
+ */
 class StoredDataTest {
     private static final Map<Integer, Recording.Protocol> PORTS = Map.of(
             StoredData.POSTGRESQL_PORT,
@@ -83,7 +86,10 @@
         readAndGoOn(kept, StoredData.entries());
     }
 
-    /** Without the log, what was there at the last snapshot is there: all keys of the round before the last, and no other. */
+    /**
+     * Without the log, what was there at the last snapshot is there: all keys of the round before the last, and no
+     * other.
+     */
     @Test
     void storeIsReadFromItsSnapshotAlone() throws IOException {
         Path kept = StoredData.copy(StoredData.STORE, folder);
@@ -156,7 +162,10 @@
         assertExchanges("clients.txt", List.of(StoredData.copy(StoredData.SINGLE, folder)));
     }
 
-    /** There is no index beside the files: their names tell the order, and the oldest of an earlier run give way to a new one's. */
+    /**
+     * There is no index beside the files: their names tell the order, and the oldest of an earlier run give way to a
+     * new one's.
+     */
     @Test
     void rotatedFilesOfAnEarlierRunAreKnownAndGiveWayFromTheOldestOn() throws IOException {
         Path kept = StoredData.copy(StoredData.ROTATED, folder);
--- a/src/test/java/mintstair/pins/StoredDataWriter.java
+++ b/src/test/java/mintstair/pins/StoredDataWriter.java
@@ -33,10 +33,10 @@
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
 /**
- * Wrote the files under {@code src/test/resources/stored}. They are from the version before the great renaming and must not be
- * renewed: that the program reads them is how it is known that it still reads what older versions have left behind. A new format
- * gets new files beside them. It is no part of the usual tests, and writes only where it is told to, by
- * {@code mvn test -Dtest=StoredDataWriter -Dstored.folder=FOLDER}.
+ * Wrote the files under {@code src/test/resources/stored}. They are from the version before the great renaming and
+ * must not be renewed: that the program reads them is how it is known that it still reads what older versions have
+ * left behind. A new format gets new files beside them. It is no part of the usual tests, and writes only where it is
+ * told to, by {@code mvn test -Dtest=StoredDataWriter -Dstored.folder=FOLDER}.
  */
 @EnabledIfSystemProperty(named = "stored.folder", matches = ".+")
 class StoredDataWriter {
--- a/src/test/java/mintstair/program/DescriptorsTest.java
+++ b/src/test/java/mintstair/program/DescriptorsTest.java
@@ -12,7 +12,10 @@
 import mintstair.standin.Relay;
 import org.junit.jupiter.api.Test;
 
-/** A process that has no more descriptors than its configuration tells, all that clients may have held by clients who rest. */
+/**
+ * A process that has no more descriptors than its configuration tells, all that clients may have held by clients who
+ * rest.
+ */
 class DescriptorsTest {
     private static final long AHEAD = System.currentTimeMillis() + 3_600_000;
     private static final int SOCKETS = 160;
--- a/src/test/java/mintstair/program/FailingCallsTest.java
+++ b/src/test/java/mintstair/program/FailingCallsTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** System calls of the program fail for a while, in ways that Linux documents: clients have their answers, and all goes on by itself. */
+/**
+ * System calls of the program fail for a while, in ways that Linux documents: clients have their answers, and all
+ * goes on by itself.
+ */
 class FailingCallsTest {
     private static final int CLIENTS = 10;
     private static final int DEADLINE_MILLIS = 5_000;
@@ -87,7 +90,9 @@
         program.end();
     }
 
-    /** No socket is to be had for a moment while it starts, as after a crash under load: it serves as soon as one is. */
+    /**
+     * No socket is to be had for a moment while it starts, as after a crash under load: it serves as soon as one is.
+     */
     @Test
     void programThatStartsWhileNoSocketIsToBeHadServesOnceOneIs() throws Exception {
         program.end();
--- a/src/test/java/mintstair/program/LeaversProgramTest.java
+++ b/src/test/java/mintstair/program/LeaversProgramTest.java
@@ -13,10 +13,15 @@
 import mintstair.standin.Relay;
 import org.junit.jupiter.api.Test;
 
-/** Several processes of the program, each with a fault of its own between it and the list, as a host is told to leave. */
+/**
+ * Several processes of the program, each with a fault of its own between it and the list, as a host is told to leave.
+ */
 class LeaversProgramTest {
     private static final long AHEAD = System.currentTimeMillis() + 3_600_000;
-    /** Reset, silent on what is open, refused, silent: told at once or after 6 s, the last two from the return of their agents on. */
+    /**
+     * Reset, silent on what is open, refused, silent: told at once or after 6 s, the last two from the return of
+     * their agents on.
+     */
     private static final long[] LIMITS = {1_000, 7_000, 1_000, 1_000};
 
     @Test
--- a/src/test/java/mintstair/program/MembershipProgramTest.java
+++ b/src/test/java/mintstair/program/MembershipProgramTest.java
@@ -106,7 +106,10 @@
                 lines.get(5));
     }
 
-    /** One that ends while it still starts is known to the others already: it tells them of that end as well, however it comes. */
+    /**
+     * One that ends while it still starts is known to the others already: it tells them of that end as well, however
+     * it comes.
+     */
     @Test
     void processThatEndsBeforeItServesHasLeft() throws Exception {
         relay = new FaultRelay(3);
@@ -120,7 +123,10 @@
         assertEquals(0, figure(programs.get(0), "members_dead"));
     }
 
-    /** Silence of 5 s is shorter than any suspicion: it is suspected, refutes, and is settled again; nobody is told dead. */
+    /**
+     * Silence of 5 s is shorter than any suspicion: it is suspected, refutes, and is settled again; nobody is told
+     * dead.
+     */
     @Test
     void processThatStandsStillIsSuspectedAndRefutes() throws Exception {
         start(5);
@@ -152,7 +158,10 @@
         still.awaitFigure("members_settled=1");
     }
 
-    /** Three of seven behind a cut: neither side thinks that it is the fleet, only the larger has a quorum; healed they agree again. */
+    /**
+     * Three of seven behind a cut: neither side thinks that it is the fleet, only the larger has a quorum; healed
+     * they agree again.
+     */
     @Test
     void sidesOfACutAgreeAgainAfterIt() throws Exception {
         start(7);
--- a/src/test/java/mintstair/program/Program.java
+++ b/src/test/java/mintstair/program/Program.java
@@ -84,7 +84,10 @@
         return program;
     }
 
-    /** A proxy with this configuration that may hold so many descriptors, and those that its class path takes here in place of one jar. */
+    /**
+     * A proxy with this configuration that may hold so many descriptors, and those that its class path takes here in
+     * place of one jar.
+     */
     static Program limited(int descriptors, String text) throws IOException {
         Path config = Files.writeString(Files.createTempDirectory("mintstair").resolve("config.json"), text);
         int most = descriptors + System.getProperty("java.class.path").split(":").length;
--- a/src/test/java/mintstair/program/ProgramTest.java
+++ b/src/test/java/mintstair/program/ProgramTest.java
@@ -134,7 +134,9 @@
         }
     }
 
-    /** SIGHUP: another discovery is watched at once, the last list serves until it speaks, a bad file changes nothing. */
+    /**
+     * SIGHUP: another discovery is watched at once, the last list serves until it speaks, a bad file changes nothing.
+     */
     @Test
     void hangUpReadsTheConfigurationAnewAndServingGoesOn() throws Exception {
         int port = program.port(0);
--- a/src/test/java/mintstair/program/RegistryProgramTest.java
+++ b/src/test/java/mintstair/program/RegistryProgramTest.java
@@ -76,7 +76,10 @@
         return Program.serve(1, "", true, operator);
     }
 
-    /** Under load, in the middle of the break of an endpoint: nothing new to a host 1 s after its drain was written to the proxy. */
+    /**
+     * Under load, in the middle of the break of an endpoint: nothing new to a host 1 s after its drain was written to
+     * the proxy.
+     */
     @Test
     void aDrainReachesTheHostsRuleThroughTheBreakOfAnEndpoint() throws Exception {
         Map<String, Long> at = new ConcurrentHashMap<>();
--- a/src/test/java/mintstair/program/ShutdownTest.java
+++ b/src/test/java/mintstair/program/ShutdownTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The end of a process at moments in which something is still owed: what was taken has its one answer before SIGKILL may come. */
+/**
+ * The end of a process at moments in which something is still owed: what was taken has its one answer before SIGKILL
+ * may come.
+ */
 class ShutdownTest {
     private static final long AHEAD = System.currentTimeMillis() + 3_600_000;
     /** SIGKILL comes no sooner after SIGTERM: the longest deadline, taken as 3 s where it is longer, and 0.7 s. */
@@ -76,7 +79,10 @@
                 .replaceAll("127.0.0.1:\\d+", "127.0.0.1:" + port);
     }
 
-    /** Requests that wait, connect, are half written, are sent, are half answered, and lie between two attempts; hosts hang; signals come again. */
+    /**
+     * Requests that wait, connect, are half written, are sent, are half answered, and lie between two attempts; hosts
+     * hang; signals come again.
+     */
     @Test
     void requestInEachStateHasItsAnswerBeforeTheEnd() throws Exception {
         try (ServerSocket mute = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))) {
@@ -154,8 +160,8 @@
     }
 
     /**
-     * Guards against an end that is over before those have come whom the kernel took in: the process stands still from before it
-     * stops to listen until after, while a client connects and asks.
+     * Guards against an end that is over before those have come whom the kernel took in: the process stands still
+     * from before it stops to listen until after, while a client connects and asks.
      */
     @Test
     void clientInTheBacklogAtTheEndHasItsAnswer() throws Exception {
@@ -179,7 +185,9 @@
         assertEquals(0, program.exit());
     }
 
-    /** SIGTERM as soon as clients can come, while other parts of the program still start: what was taken is answered. */
+    /**
+     * SIGTERM as soon as clients can come, while other parts of the program still start: what was taken is answered.
+     */
     @Test
     void terminationDuringTheStartAnswersWhatWasTaken(@TempDir Path folder) throws Exception {
         StringBuilder members = new StringBuilder();
@@ -203,7 +211,10 @@
         assertEquals(0, program.exit());
     }
 
-    /** A part that can't be started once clients can come: they have their answers, and the end still says that the start failed. */
+    /**
+     * A part that can't be started once clients can come: they have their answers, and the end still says that the
+     * start failed.
+     */
     @Test
     void storeThatCannotStartEndsWithTheStatusOfAFault(@TempDir Path folder) throws Exception {
         Path taken = Files.writeString(folder.resolve("file"), "no folder");
--- a/src/test/java/mintstair/program/SteppedClockTest.java
+++ b/src/test/java/mintstair/program/SteppedClockTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The wall clock of the machine is stepped while the program runs: deadlines, retries and the end are spans of real time. */
+/**
+ * The wall clock of the machine is stepped while the program runs: deadlines, retries and the end are spans of real
+ * time.
+ */
 class SteppedClockTest {
     private static final int DEADLINE_MILLIS = 1_000;
     /** What a busy machine may add: far less than the steps, and than what the hosts take without an end. */
--- a/src/test/java/mintstair/soak/Ledger.java
+++ b/src/test/java/mintstair/soak/Ledger.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * What clients asked and heard and what hosts saw, and which rules that breaks. Times are milliseconds of one clock that is never set.
- * Safe for use by several threads.
+ * What clients asked and heard and what hosts saw, and which rules that breaks. Times are milliseconds of one clock
+ * that is never set. Safe for use by several threads.
  */
 final class Ledger {
     /** What the rules leave on sockets, and what a process may be held up for between reading its clock and writing. */
--- a/src/test/java/mintstair/soak/Soak.java
+++ b/src/test/java/mintstair/soak/Soak.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * Plays seeds of overlapping troubles over real processes, and exits with 1 where a rule was broken: {@code Soak [--proxies N]
- * [--seconds S] [--first SEED] [--seeds N]}. Logs and the story of each play are kept below target/soak.
+ * Plays seeds of overlapping troubles over real processes, and exits with 1 where a rule was broken: {@code Soak
+ * [--proxies N] [--seconds S] [--first SEED] [--seeds N]}. Logs and the story of each play are kept below
+ * target/soak.
  */
 public final class Soak {
     private Soak() {}
--- a/src/test/java/mintstair/soak/SoakPlay.java
+++ b/src/test/java/mintstair/soak/SoakPlay.java
@@ -14,7 +14,10 @@
 import mintstair.standin.FaultShim.Fault;
 import mintstair.standin.Relay;
 
-/** One play of a seed: proxies as processes, hosts, discovery and clients, and troubles that overlap, two or three at a time. */
+/**
+ * One play of a seed: proxies as processes, hosts, discovery and clients, and troubles that overlap, two or three at
+ * a time.
+ */
 final class SoakPlay implements AutoCloseable {
     private static final int GROUPS = 2;
     private static final int REPLICAS = 2;
@@ -252,7 +255,10 @@
         ledger.listWasInTrouble(from, Ledger.now());
     }
 
-    /** A replica drains, and another one comes in its place, cold; it stays up for a while, in which nothing new may come. */
+    /**
+     * A replica drains, and another one comes in its place, cold; it stays up for a while, in which nothing new may
+     * come.
+     */
     private void replace(SoakHost host, long millis) throws IOException, InterruptedException {
         synchronized (discovery) {
             if (host.isPrimary() || host.drainingSince < Long.MAX_VALUE) {
--- a/src/test/java/mintstair/soak/SoakProxy.java
+++ b/src/test/java/mintstair/soak/SoakProxy.java
@@ -13,7 +13,10 @@
 
 /** One proxy of the play: the program as a process, started again under its name and address whenever it ends. */
 final class SoakProxy implements AutoCloseable {
-    /** SIGKILL comes no sooner after SIGTERM: the longest deadline, which is 2 s here, and 0.7 s; and what a busy machine takes. */
+    /**
+     * SIGKILL comes no sooner after SIGTERM: the longest deadline, which is 2 s here, and 0.7 s; and what a busy
+     * machine takes.
+     */
     private static final long END_MILLIS = 2_700 + 300;
 
     private static final long READY_MILLIS = 30_000;
--- a/src/test/java/mintstair/standin/Discovery.java
+++ b/src/test/java/mintstair/standin/Discovery.java
@@ -13,7 +13,10 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** Discovery: the whole list, in arbitrary pieces, and a watch that waits for a newer one for as long as it is asked to. */
+/**
+ * Discovery: the whole list, in arbitrary pieces, and a watch that waits for a newer one for as long as it is asked
+ * to.
+ */
 public final class Discovery implements AutoCloseable {
     public final CopyOnWriteArrayList<String> asked = new CopyOnWriteArrayList<>();
     private final HttpServer server;
@@ -50,7 +53,10 @@
         server.start();
     }
 
-    /** So many hosts that nobody is behind, h0 and on in groups of three, indented; of some their states, as in h7=DRAINING. */
+    /**
+     * So many hosts that nobody is behind, h0 and on in groups of three, indented; of some their states, as in
+     * h7=DRAINING.
+     */
     public static String hosts(int count, String... states) {
         Map<String, String> told =
                 Stream.of(states).map(s -> s.split("=")).collect(Collectors.toMap(s -> s[0], s -> s[1]));
--- a/src/test/java/mintstair/standin/FaultRelay.java
+++ b/src/test/java/mintstair/standin/FaultRelay.java
@@ -15,8 +15,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A network between processes that know each other, one link for each pair and direction, that fails as it is told. Process i
- * listens at 127.0.1.i+1 and binds what it sends to that, by which the relay knows it; the others reach it at 127.0.2.i+1, the same port.
+ * A network between processes that know each other, one link for each pair and direction, that fails as it is told.
+ * Process i listens at 127.0.1.i+1 and binds what it sends to that, by which the relay knows it; the others reach it
+ * at 127.0.2.i+1, the same port.
  */
 public final class FaultRelay implements AutoCloseable {
     /** What a link does: cut (nothing passes, connections hang), or passes after a delay. */
--- a/src/test/java/mintstair/standin/FaultShim.java
+++ b/src/test/java/mintstair/standin/FaultShim.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Shifts the wall clock of one process and has its system calls fail, by the library of src/test/c/fault_shim.c that the process
- * preloads. Changes count at once. Safe for use by several threads.
+ * Shifts the wall clock of one process and has its system calls fail, by the library of src/test/c/fault_shim.c that
+ * the process preloads. Changes count at once. Safe for use by several threads.
  */
 public final class FaultShim {
     /** A system call that can fail; in the library's order. */
@@ -66,7 +66,10 @@
     private final Path controlFile;
     private final MappedByteBuffer control;
 
-    /** Compiles the library at the first use in this process; throws where there is no compiler, as nothing can be tested then. */
+    /**
+     * Compiles the library at the first use in this process; throws where there is no compiler, as nothing can be
+     * tested then.
+     */
     public FaultShim() throws IOException {
         compile();
         controlFile = Files.createTempFile("fault-shim", ".control");
--- a/src/test/java/mintstair/standin/RegistryModel.java
+++ b/src/test/java/mintstair/standin/RegistryModel.java
@@ -8,7 +8,10 @@
 import mintstair.registry.view.EntryChange;
 import mintstair.registry.view.RegistryEntry;
 
-/** A key-value registry's history, as its API describes it: one revision a transaction, compaction, another history after a restore. */
+/**
+ * A key-value registry's history, as its API describes it: one revision a transaction, compaction, another history
+ * after a restore.
+ */
 public final class RegistryModel {
     public long cluster = 0xC1;
     public long term = 1_000;
