--- a/src/test/java/mintstair/decision/BudgetsTest.java
+++ b/src/test/java/mintstair/decision/BudgetsTest.java
@@ -8,7 +8,7 @@
 
 /** Token buckets, tenants' quotas and the part of the fleet. */
 class BudgetsTest {
-    private static final long SECOND = 1_000 * Bed.MS;
+    private static final long SECOND = 1_000 * RouterFixture.MS;
 
     @Test
     void bucketNeverHoldsMoreThanASecondsRequestsAndTheInitialTokens() {
@@ -40,7 +40,7 @@
     @Test
     void tenantMaySaveUpABurstAndThenItsQuota() {
         TenantQuotas quotas = new TenantQuotas();
-        quotas.apply(0, new Bed().settings());
+        quotas.apply(0, new RouterFixture().settings());
         for (int i = 0; i < 5; i++) {
             assertFalse(quotas.isExceeded(0, 0, 100, 10));
         }
@@ -51,7 +51,7 @@
     @Test
     void requestWithoutTenantIsNeverOverQuota() {
         TenantQuotas quotas = new TenantQuotas();
-        quotas.apply(0, new Bed().settings());
+        quotas.apply(0, new RouterFixture().settings());
         for (int i = 0; i < 100; i++) {
             assertFalse(quotas.isExceeded(0, -1, 100, 10));
         }
@@ -59,10 +59,10 @@
 
     @Test
     void partIsThatOfTheConfiguredFleetUntilOneIsObserved() {
-        Bed bed = new Bed();
-        bed.routers = 8;
+        RouterFixture fixture = new RouterFixture();
+        fixture.fleetSize = 8;
         FleetShare share = new FleetShare();
-        share.apply(bed.settings());
+        share.apply(fixture.settings());
         assertEquals(8, share.effectiveFleetSize());
         share.observe(new FleetSize(8, 4, true));
         assertEquals(1 / (0.5 / 8 + 0.5 / 4), share.effectiveFleetSize(), 1e-9);
--- a/src/test/java/mintstair/decision/ClassStatisticsTest.java
+++ b/src/test/java/mintstair/decision/ClassStatisticsTest.java
@@ -7,17 +7,17 @@
 
 /** Latency statistics and priorities of request classes. */
 class ClassStatisticsTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
 
     private static RequestClassTable table() {
         RequestClassTable classes = new RequestClassTable();
-        classes.apply(new Bed().settings());
+        classes.apply(new RouterFixture().settings());
         return classes;
     }
 
     @Test
     void latencyIsAssumedFromTheObjectiveAndThenLearned() {
-        ClassStatistics statistics = table().get(Bed.ANY);
+        ClassStatistics statistics = table().get(RouterFixture.EVENTUAL_READ);
         assertEquals(50 * MS, statistics.mean());
         for (int i = 0; i < 500; i++) {
             statistics.recordLatency(20 * MS);
@@ -29,16 +29,19 @@
     @Test
     void priorityIsTheWeightForEachMicrosecondOfTheObjective() {
         RequestClassTable classes = table();
-        assertEquals(1, classes.get(Bed.ANY).priority());
-        assertEquals((2.0 / 600) / (3.0 / 250), classes.get(Bed.BOUNDED).priority(), 1e-9);
+        assertEquals(1, classes.get(RouterFixture.EVENTUAL_READ).priority());
+        assertEquals(
+                (2.0 / 600) / (3.0 / 250),
+                classes.get(RouterFixture.BOUNDED_READ).priority(),
+                1e-9);
     }
 
     @Test
     void writesMayFillAWholeLimitAndReadsAPartByPriority() {
         RequestClassTable classes = table();
-        assertEquals(1, classes.get(Bed.UNSAFE_WRITE).capacityShare());
-        assertEquals(1, classes.get(Bed.ANY).capacityShare());
-        double share = classes.get(Bed.BOUNDED).capacityShare();
+        assertEquals(1, classes.get(RouterFixture.NON_IDEMPOTENT_WRITE).capacityShare());
+        assertEquals(1, classes.get(RouterFixture.EVENTUAL_READ).capacityShare());
+        double share = classes.get(RouterFixture.BOUNDED_READ).capacityShare();
         assertTrue(share > 0.8 && share < 1, "capacity share " + share);
     }
 
@@ -46,10 +49,10 @@
     void learnedLatencyStaysWithTheClassUnderOtherSettings() {
         RequestClassTable classes = table();
         for (int i = 0; i < 500; i++) {
-            classes.get(Bed.ANY).recordLatency(20 * MS);
+            classes.get(RouterFixture.EVENTUAL_READ).recordLatency(20 * MS);
         }
-        classes.apply(new Bed().settings());
-        assertEquals(20 * MS, classes.get(Bed.ANY).mean(), MS);
+        classes.apply(new RouterFixture().settings());
+        assertEquals(20 * MS, classes.get(RouterFixture.EVENTUAL_READ).mean(), MS);
     }
 
     @Test
--- a/src/test/java/mintstair/decision/ColdRampTest.java
+++ b/src/test/java/mintstair/decision/ColdRampTest.java
@@ -15,11 +15,11 @@
  * settings' length no more than the multiple of what it can do then, N, and 2 x root of N + 2 for chance.
  */
 class ColdRampTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
     private static final long SECOND = 1_000 * MS;
     /**
-     * Of Bed's settings: a fall is counted over 2 s, at 3 times what the host can do; it starts at 0.2 and is warm
-     * after 10 s.
+     * Of the settings of RouterFixture: a fall is counted over 2 s, at 3 times what the host can do; it starts at 0.2
+     * and is warm after 10 s.
      */
     private static final long FALL = 2 * SECOND;
 
@@ -36,7 +36,7 @@
      * start at 0.
      */
     private static final class Play {
-        final List<Bed> beds = new ArrayList<>();
+        final List<RouterFixture> fixtures = new ArrayList<>();
         final double[] share;
         final Random random;
         final long began = 1_000_000_000L;
@@ -49,11 +49,11 @@
             for (int i = 0; i < routers; i++) {
                 share[i] = 0.2 + random.nextDouble() + (i == 0 ? routers / 3.0 : 0);
                 sum += share[i];
-                Bed bed = new Bed();
-                bed.routers = routers;
-                bed.seed = random.nextLong();
-                bed.oneSession = false;
-                beds.add(bed.start().group());
+                RouterFixture fixture = new RouterFixture();
+                fixture.fleetSize = routers;
+                fixture.seed = random.nextLong();
+                fixture.hasSharedSession = false;
+                fixtures.add(fixture.start().listReplicaSet());
             }
             for (int i = 0; i < routers; i++) {
                 share[i] /= sum;
@@ -65,13 +65,13 @@
          * told.
          */
         void play(double rate, List<String> cold, List<String> gone) {
-            for (Bed bed : beds) {
+            for (RouterFixture fixture : fixtures) {
                 for (String host : cold) {
-                    bed.list(
+                    fixture.updateEndpoints(
                             EndpointUpdateType.DELTA,
                             new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, began));
                 }
-                gone.forEach(host -> bed.state(host, EndpointState.REMOVED));
+                gone.forEach(host -> fixture.updateState(host, EndpointState.REMOVED));
             }
             PriorityQueue<Event> events =
                     new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.id, b.id));
@@ -81,16 +81,20 @@
                     events.add(new Event(began + (long) at, i, ++id));
                 }
             }
-            int[] answered = new int[beds.size()];
+            int[] answered = new int[fixtures.size()];
             List<PriorityQueue<long[]>> due = new ArrayList<>();
-            beds.forEach(bed -> due.add(new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]))));
+            fixtures.forEach(fixture -> due.add(new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]))));
             while (!events.isEmpty()) {
                 Event e = events.poll();
-                Bed bed = beds.get(e.router);
-                settle(bed, e.router, e.at, answered, due.get(e.router), cold);
-                bed.now = Math.max(bed.now, e.at);
-                bed.request(e.id, e.id % 8 == 0 ? Bed.UNSAFE_WRITE : e.id % 2 == 0 ? Bed.ANY : Bed.BOUNDED);
-                settle(bed, e.router, e.at, answered, due.get(e.router), cold);
+                RouterFixture fixture = fixtures.get(e.router);
+                settle(fixture, e.router, e.at, answered, due.get(e.router), cold);
+                fixture.now = Math.max(fixture.now, e.at);
+                fixture.sendRequest(
+                        e.id,
+                        e.id % 8 == 0
+                                ? RouterFixture.NON_IDEMPOTENT_WRITE
+                                : e.id % 2 == 0 ? RouterFixture.EVENTUAL_READ : RouterFixture.BOUNDED_READ);
+                settle(fixture, e.router, e.at, answered, due.get(e.router), cold);
             }
         }
 
@@ -99,28 +103,33 @@
          * they are due.
          */
         private void settle(
-                Bed bed, int router, long at, int[] answered, PriorityQueue<long[]> due, List<String> cold) {
+                RouterFixture fixture,
+                int router,
+                long at,
+                int[] answered,
+                PriorityQueue<long[]> due,
+                List<String> cold) {
             while (true) {
-                for (; answered[router] < bed.sends.size(); answered[router]++) {
-                    Bed.Sent s = bed.sends.get(answered[router]);
+                for (; answered[router] < fixture.sentAttempts.size(); answered[router]++) {
+                    RouterFixture.SentAttempt s = fixture.sentAttempts.get(answered[router]);
                     if (cold.contains(s.host())) {
                         sent.computeIfAbsent(s.host(), host -> new ArrayList<>())
-                                .add(s.at());
+                                .add(s.sentAt());
                     }
-                    due.add(new long[] {s.at() + 60 * MS, answered[router]});
+                    due.add(new long[] {s.sentAt() + 60 * MS, answered[router]});
                 }
-                bed.answerPolls(20 * MS);
+                fixture.answerHealthChecks(20 * MS);
                 if (due.isEmpty() || due.peek()[0] > at) {
                     break;
                 }
                 long[] next = due.poll();
-                bed.now = Math.max(bed.now, next[0]);
-                Bed.Sent s = bed.sends.get((int) next[1]);
-                bed.outcome(s, bed.sendsOf(s.id()).indexOf(s), AttemptOutcome.SUCCESS);
+                fixture.now = Math.max(fixture.now, next[0]);
+                RouterFixture.SentAttempt s = fixture.sentAttempts.get((int) next[1]);
+                fixture.endAttempt(s, fixture.attemptsOf(s.requestId()).indexOf(s), AttemptOutcome.SUCCESS);
             }
-            if (at - bed.now > 20 * MS) {
-                bed.now = at;
-                bed.router.onTimer(at, "tick");
+            if (at - fixture.now > 20 * MS) {
+                fixture.now = at;
+                fixture.router.onTimer(at, "tick");
             }
         }
 
--- a/src/test/java/mintstair/decision/DecisionSchedule.java
+++ b/src/test/java/mintstair/decision/DecisionSchedule.java
@@ -16,7 +16,7 @@
  * same, so the record of a changed module differs from the first action on that was decided otherwise.
  */
 final class DecisionSchedule implements RouterActions {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
     private static final long START = 1_000_000_000L;
     private static final long LENGTH = 30_000 * MS;
     private static final int GROUPS = 2;
--- a/src/test/java/mintstair/decision/DecisionSettings.java
+++ b/src/test/java/mintstair/decision/DecisionSettings.java
@@ -8,42 +8,42 @@
     PLAIN {
         @Override
         RouterSettings settings() {
-            return new Bed().settings();
+            return new RouterFixture().settings();
         }
     },
     /** Replicas refuse reads for which they are behind; session positions are remembered by the router. */
     CHECKED_READS {
         @Override
         RouterSettings settings() {
-            Bed bed = new Bed();
-            bed.check = ReplicaReadCheck.REJECT;
-            bed.remembered = true;
-            bed.routers = 3;
-            return bed.settings();
+            RouterFixture fixture = new RouterFixture();
+            fixture.replicaReadCheck = ReplicaReadCheck.REJECT;
+            fixture.remembersSessionTokens = true;
+            fixture.fleetSize = 3;
+            return fixture.settings();
         }
     },
     /** Replicas wait until they are recent enough, and the list only advises that an endpoint is gone. */
     WAITING_READS {
         @Override
         RouterSettings settings() {
-            Bed bed = new Bed();
-            bed.check = ReplicaReadCheck.WAIT;
-            bed.goneIsAdvice = true;
-            bed.maxAttempts = 3;
-            return bed.settings();
+            RouterFixture fixture = new RouterFixture();
+            fixture.replicaReadCheck = ReplicaReadCheck.WAIT;
+            fixture.removalIsAdvisory = true;
+            fixture.maxAttempts = 3;
+            return fixture.settings();
         }
     },
     /** One of a hundred routers, cancellation in place of hedged requests, few attempts, short deadlines. */
     LARGE_FLEET {
         @Override
         RouterSettings settings() {
-            Bed bed = new Bed();
-            bed.routers = 100;
-            bed.secondCopies = false;
-            bed.maxAttempts = 4;
-            bed.deadline = 800 * Bed.MS;
-            bed.window = 300 * Bed.MS;
-            return bed.settings();
+            RouterFixture fixture = new RouterFixture();
+            fixture.fleetSize = 100;
+            fixture.hedging = false;
+            fixture.maxAttempts = 4;
+            fixture.deadlineOverride = 800 * RouterFixture.MS;
+            fixture.deduplicationWindowOverride = 300 * RouterFixture.MS;
+            return fixture.settings();
         }
     },
     /** No polls, no cancellation, no Retry-After; the list tells the roles. */
@@ -51,20 +51,20 @@
         @Override
         RouterSettings settings() {
             AttemptLimits limits = new AttemptLimits(5, false, false, false, false, false, 0);
-            return altered(new Bed().settings(), limits, true);
+            return altered(new RouterFixture().settings(), limits, true);
         }
     },
     /** Several tenants over their quotas, a dear price of polls, a long slow start. */
     TENANTS {
         @Override
         RouterSettings settings() {
-            Bed bed = new Bed();
-            bed.remembered = true;
-            bed.routers = 8;
-            RouterSettings base = bed.settings();
+            RouterFixture fixture = new RouterFixture();
+            fixture.remembersSessionTokens = true;
+            fixture.fleetSize = 8;
+            RouterSettings base = fixture.settings();
             List<Tenant> tenants = List.of(new Tenant("small", 20), new Tenant("large", 400), new Tenant("none", 0));
-            ProtectionSettings protection =
-                    new ProtectionSettings(250 * Bed.MS, 0.1, 20_000 * Bed.MS, 2, 1_000 * Bed.MS, false);
+            ProtectionSettings protection = new ProtectionSettings(
+                    250 * RouterFixture.MS, 0.1, 20_000 * RouterFixture.MS, 2, 1_000 * RouterFixture.MS, false);
             return new RouterSettings(
                     base.fleetSize(),
                     0,
--- a/src/test/java/mintstair/decision/EndpointChoiceTest.java
+++ b/src/test/java/mintstair/decision/EndpointChoiceTest.java
@@ -18,28 +18,28 @@
  * admission.
  */
 class EndpointChoiceTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
     private static final long SECOND = 1_000 * MS;
 
-    private final Bed bed = new Bed();
-    private RouterSettings settings = bed.settings();
+    private final RouterFixture fixture = new RouterFixture();
+    private RouterSettings settings = fixture.settings();
     private final RequestClassTable classes = new RequestClassTable();
     private final RequestRate requestRate = new RequestRate(0);
     private final FleetShare fleetShare = new FleetShare();
     private final PositionClock positions = new PositionClock();
     private final PooledLimits pooled = PooledLimits.create(1);
     private final ReplicationMonitor replication = new ReplicationMonitor();
-    private final SlowStartController slowStarts = new SlowStartController(() -> settings, positions, bed);
+    private final SlowStartController slowStarts = new SlowStartController(() -> settings, positions, fixture);
     private final FailureDetector detector = new FailureDetector(
-            () -> settings, classes, new RouterClock(0), positions, slowStarts, bed, (now, endpoint) -> {});
+            () -> settings, classes, new RouterClock(0), positions, slowStarts, fixture, (now, endpoint) -> {});
     private final ReplicaFreshness freshness = new ReplicaFreshness(positions, replication, detector);
     private final SlowStartBudget budget =
             new SlowStartBudget(() -> settings, fleetShare, () -> 1, new RequestDemand(), new HostThroughput());
     private final ReplicaSelector selector = new ReplicaSelector(() -> settings, freshness, budget, new Random(1));
     private final HealthChecker healthChecker =
-            new HealthChecker(() -> settings, classes, requestRate, freshness, new Random(1), bed);
+            new HealthChecker(() -> settings, classes, requestRate, freshness, new Random(1), fixture);
     private final PrimaryTracker primaries =
-            new PrimaryTracker(() -> settings, fleetShare, positions, healthChecker, bed);
+            new PrimaryTracker(() -> settings, fleetShare, positions, healthChecker, fixture);
     private final EndpointDirectory directory =
             new EndpointDirectory(() -> settings, fleetShare, pooled, slowStarts, primaries, new Random(1));
     private final PrimaryAdmission admission = new PrimaryAdmission(() -> settings, pooled, budget);
@@ -48,7 +48,13 @@
     void listThreeEndpoints() {
         classes.apply(settings);
         fleetShare.apply(settings);
-        directory.update(0, EndpointUpdateType.SNAPSHOT, List.of(Bed.ready("p"), Bed.ready("r1"), Bed.ready("r2")));
+        directory.update(
+                0,
+                EndpointUpdateType.SNAPSHOT,
+                List.of(
+                        RouterFixture.servingEntry("p"),
+                        RouterFixture.servingEntry("r1"),
+                        RouterFixture.servingEntry("r2")));
         primaries.claimedPrimary(directory.endpoint("p"), 0);
     }
 
@@ -72,7 +78,10 @@
 
     @Test
     void endpointMissingFromASnapshotIsRemovedAndLaterForgotten() {
-        directory.update(SECOND, EndpointUpdateType.SNAPSHOT, List.of(Bed.ready("p"), Bed.ready("r1")));
+        directory.update(
+                SECOND,
+                EndpointUpdateType.SNAPSHOT,
+                List.of(RouterFixture.servingEntry("p"), RouterFixture.servingEntry("r1")));
         assertFalse(directory.endpoint("r2").isServing());
         directory.update(12 * SECOND, EndpointUpdateType.DELTA, List.of());
         assertNull(directory.endpoint("r2"));
@@ -100,16 +109,16 @@
 
     @Test
     void readIsSentOnlyToAReplicaProvenToBeRecentEnough() {
-        assertNull(select(SECOND, Bed.BOUNDED));
+        assertNull(select(SECOND, RouterFixture.BOUNDED_READ));
         replication.reported(SECOND, directory.endpoint("r2"), 900 * MS, 100 * MS);
-        assertEquals("r2", select(SECOND, Bed.BOUNDED).name);
-        assertNull(select(2 * SECOND, Bed.BOUNDED));
+        assertEquals("r2", select(SECOND, RouterFixture.BOUNDED_READ).name);
+        assertNull(select(2 * SECOND, RouterFixture.BOUNDED_READ));
     }
 
     @Test
     void toleranceAdmitsReplicasThatAreLikelyRecentEnough() {
         replication.reported(SECOND, directory.endpoint("r1"), 900 * MS, 100 * MS);
-        InFlightRequest read = request(Bed.BOUNDED);
+        InFlightRequest read = request(RouterFixture.BOUNDED_READ);
         long now = 2 * SECOND;
         long required = freshness.requiredPosition(now, read);
         ReadRequirement tolerant = new ReadRequirement(required, 300 * MS, true);
@@ -126,7 +135,7 @@
         }
         Map<String, Integer> counts = new HashMap<>();
         for (int i = 0; i < 1_000; i++) {
-            counts.merge(select(0, Bed.ANY).name, 1, Integer::sum);
+            counts.merge(select(0, RouterFixture.EVENTUAL_READ).name, 1, Integer::sum);
         }
         assertTrue(counts.get("r2") > 900, counts.toString());
         assertTrue(counts.getOrDefault("r1", 0) < 60, counts.toString());
@@ -136,7 +145,7 @@
     void replicaThatRejectedForWantOfCapacityRests() {
         directory.endpoint("r1").overloadedAt = SECOND;
         for (int i = 0; i < 50; i++) {
-            assertEquals("r2", select(SECOND + 99 * MS, Bed.ANY).name);
+            assertEquals("r2", select(SECOND + 99 * MS, RouterFixture.EVENTUAL_READ).name);
         }
     }
 
@@ -144,7 +153,7 @@
     void crowdedReplicaSitsOut() {
         directory.endpoint("r1").inFlight = 4;
         for (int i = 0; i < 50; i++) {
-            assertEquals("r2", select(0, Bed.ANY).name);
+            assertEquals("r2", select(0, RouterFixture.EVENTUAL_READ).name);
         }
         assertTrue(ReplicaSelector.isCrowded(directory.endpoint("r1")));
         assertFalse(ReplicaSelector.isCrowded(directory.endpoint("r2")));
@@ -156,19 +165,19 @@
     void pollsOnDemandStayWithinTheirBudget() {
         for (int i = 0; i < 20; i++) {
             long now = (i + 1) * SECOND;
-            healthChecker.checkOnDemand(now, replicaSet(), request(Bed.BOUNDED), now - 200 * MS);
+            healthChecker.checkOnDemand(now, replicaSet(), request(RouterFixture.BOUNDED_READ), now - 200 * MS);
             directory.endpoints().forEach(endpoint -> endpoint.healthCheck.inFlight = false);
         }
-        assertEquals(10, bed.probes.size());
+        assertEquals(10, fixture.healthChecks.size());
     }
 
     @Test
     void readWaitsForAPollThatIsOut() {
-        InFlightRequest read = request(Bed.BOUNDED);
+        InFlightRequest read = request(RouterFixture.BOUNDED_READ);
         assertTrue(healthChecker.checkOnDemand(10 * SECOND, replicaSet(), read, 9_800 * MS));
-        assertEquals(2, bed.probes.size());
+        assertEquals(2, fixture.healthChecks.size());
         assertTrue(healthChecker.checkOnDemand(10 * SECOND + 10 * MS, replicaSet(), read, 9_800 * MS));
-        assertEquals(2, bed.probes.size());
+        assertEquals(2, fixture.healthChecks.size());
     }
 
     @Test
@@ -201,9 +210,9 @@
         Endpoint primary = directory.endpoint("p");
         detector.answered(SECOND, primary, true);
         assertTrue(primaries.isConfirmed(SECOND + 900 * MS, replicaSet()));
-        assertTrue(bed.probes.isEmpty());
+        assertTrue(fixture.healthChecks.isEmpty());
         assertFalse(primaries.isConfirmed(3 * SECOND, replicaSet()));
-        assertEquals(List.of("p"), bed.probes);
+        assertEquals(List.of("p"), fixture.healthChecks);
     }
 
     @Test
@@ -213,15 +222,15 @@
             primaries.isConfirmed(now, replicaSet());
             directory.endpoints().forEach(endpoint -> endpoint.healthCheck.inFlight = false);
         }
-        assertEquals(3 * 15, bed.probes.size(), 6);
+        assertEquals(3 * 15, fixture.healthChecks.size(), 6);
     }
 
     @Test
     void primaryAdmitsUpToItsLimit() {
         Endpoint primary = directory.endpoint("p");
-        assertNotNull(admission.admit(SECOND, replicaSet(), request(Bed.UNSAFE_WRITE)));
+        assertNotNull(admission.admit(SECOND, replicaSet(), request(RouterFixture.NON_IDEMPOTENT_WRITE)));
         primary.inFlight = 1_000;
-        assertNull(admission.admit(SECOND, replicaSet(), request(Bed.UNSAFE_WRITE)));
+        assertNull(admission.admit(SECOND, replicaSet(), request(RouterFixture.NON_IDEMPOTENT_WRITE)));
     }
 
     @Test
@@ -229,14 +238,14 @@
         for (int i = 0; i < 100; i++) {
             admission.recordRead(replicaSet(), true);
         }
-        assertNull(admission.admit(SECOND, replicaSet(), request(Bed.BOUNDED)));
-        assertNotNull(admission.admit(SECOND, replicaSet(), request(Bed.UNSAFE_WRITE)));
+        assertNull(admission.admit(SECOND, replicaSet(), request(RouterFixture.BOUNDED_READ)));
+        assertNotNull(admission.admit(SECOND, replicaSet(), request(RouterFixture.NON_IDEMPOTENT_WRITE)));
     }
 
     @Test
     void primaryThatRejectedForWantOfCapacityRests() {
         directory.endpoint("p").overloadedAt = SECOND;
-        assertNull(admission.admit(SECOND + 99 * MS, replicaSet(), request(Bed.UNSAFE_WRITE)));
-        assertNotNull(admission.admit(SECOND + 100 * MS, replicaSet(), request(Bed.UNSAFE_WRITE)));
+        assertNull(admission.admit(SECOND + 99 * MS, replicaSet(), request(RouterFixture.NON_IDEMPOTENT_WRITE)));
+        assertNotNull(admission.admit(SECOND + 100 * MS, replicaSet(), request(RouterFixture.NON_IDEMPOTENT_WRITE)));
     }
 }
--- a/src/test/java/mintstair/decision/EndpointTest.java
+++ b/src/test/java/mintstair/decision/EndpointTest.java
@@ -8,7 +8,7 @@
 
 /** What the endpoint list says of an endpoint, its outlier statistics, and the endpoints of a replica set together. */
 class EndpointTest {
-    private static final long SECOND = 1_000 * Bed.MS;
+    private static final long SECOND = 1_000 * RouterFixture.MS;
 
     private final PooledLimits pooled = PooledLimits.create(1);
     private final ReplicaSet replicaSet = new ReplicaSet(0, pooled.newReplicaLimit(1));
--- a/src/test/java/mintstair/decision/FailureDetectorTest.java
+++ b/src/test/java/mintstair/decision/FailureDetectorTest.java
@@ -10,11 +10,11 @@
 
 /** When an endpoint counts as unresponsive, and when no longer. */
 class FailureDetectorTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
     private static final long SECOND = 1_000 * MS;
 
-    private final Bed bed = new Bed();
-    private final RouterSettings settings = bed.settings();
+    private final RouterFixture fixture = new RouterFixture();
+    private final RouterSettings settings = fixture.settings();
     private final RequestClassTable classes = new RequestClassTable();
     private final RouterClock clock = new RouterClock(0);
     private final PositionClock positions = new PositionClock();
@@ -27,8 +27,8 @@
             classes,
             clock,
             positions,
-            new SlowStartController(() -> settings, positions, bed),
-            bed,
+            new SlowStartController(() -> settings, positions, fixture),
+            fixture,
             (now, failed) -> unresponsive.add(failed.name));
 
     FailureDetectorTest() {
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -15,7 +15,7 @@
 class FleetShareTest {
     private static final long S = 1_000_000;
     private static final int ROUTERS = 100;
-    private final Bed[] beds = new Bed[ROUTERS];
+    private final RouterFixture[] fixtures = new RouterFixture[ROUTERS];
     private SimulatedFleet play;
     private double most;
 
@@ -23,9 +23,9 @@
         play = new SimulatedFleet(ROUTERS, ROUTERS, 0.02, seed);
         play.nodes.subList(0, running).forEach(play::start);
         for (int i = 0; i < ROUTERS; i++) {
-            beds[i] = new Bed();
-            beds[i].routers = ROUTERS;
-            beds[i].start().group();
+            fixtures[i] = new RouterFixture();
+            fixtures[i].fleetSize = ROUTERS;
+            fixtures[i].start().listReplicaSet();
         }
     }
 
@@ -34,7 +34,7 @@
         double sum = 0;
         for (SimulatedFleet.Node node : play.running()) {
             ClusterSizeEstimate s = node.swim.sizeEstimate();
-            ReadWriteSplitter router = (ReadWriteSplitter) beds[node.number].router;
+            ReadWriteSplitter router = (ReadWriteSplitter) fixtures[node.number].router;
             router.onFleetSize(play.now, new FleetSize(s.largest(), s.counted(), s.settled()));
             sum += node.isStalled() ? 0 : 1 / router.effectiveFleetSize();
         }
@@ -134,48 +134,52 @@
     }
 
     /** Writes that reach a new primary in the 16 s after it came up, when it had been looked for in vain for 24 s. */
-    private static long served(List<Bed> running) {
-        for (Bed bed : running) {
-            bed.state("p", EndpointState.DRAINING);
+    private static long served(List<RouterFixture> running) {
+        for (RouterFixture fixture : running) {
+            fixture.updateState("p", EndpointState.DRAINING);
             for (int i = 0; i < 2000; i++) {
-                for (; bed.answered < bed.probes.size(); bed.answered++) {
-                    boolean up = i >= 1200 && bed.probes.get(bed.answered).equals("r1");
-                    bed.poll(
-                            bed.probes.get(bed.answered),
-                            up ? bed.now : bed.now - 5 * S,
+                for (; fixture.answeredHealthChecks < fixture.healthChecks.size(); fixture.answeredHealthChecks++) {
+                    boolean up = i >= 1200
+                            && fixture.healthChecks
+                                    .get(fixture.answeredHealthChecks)
+                                    .equals("r1");
+                    fixture.answerHealthCheck(
+                            fixture.healthChecks.get(fixture.answeredHealthChecks),
+                            up ? fixture.now : fixture.now - 5 * S,
                             up ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
                 }
                 if (i % 20 == 0) {
-                    bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, Positions.UNKNOWN);
+                    fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE, 1_200_000, Positions.UNKNOWN);
                 }
-                for (Bed.Sent sent : List.copyOf(bed.sendsOf(i - i % 20))) {
-                    bed.outcome(sent, 0, AttemptOutcome.SUCCESS);
+                for (RouterFixture.SentAttempt sent : List.copyOf(fixture.attemptsOf(i - i % 20))) {
+                    fixture.endAttempt(sent, 0, AttemptOutcome.SUCCESS);
                 }
-                bed.pass(20_000);
+                fixture.advance(20_000);
             }
         }
-        return running.stream().mapToLong(b -> b.sends.size()).sum();
+        return running.stream().mapToLong(b -> b.sentAttempts.size()).sum();
     }
 
     /** The part of the polls that lies idle otherwise finds the primary sooner. */
     @Test
     void smallFleetServesMoreThanEachAloneWould() {
-        long small = served(beds(60, 0, 60));
-        long alone = served(beds(60, 0, 0));
+        long small = served(fixtures(60, 0, 60));
+        long alone = served(fixtures(60, 0, 0));
         assertTrue(small > 1.05 * alone, small + " writes served, each alone " + alone);
     }
 
     /** A cold host's part goes by the requests of each router, so no view of the fleet changes it. */
     @Test
     void coldHostGetsItsPartWhateverTheViews() {
-        for (List<Bed> fleet : List.of(beds(100, 0, 100), beds(60, 40, 60), beds(0, 100, 100), beds(30, 0, 30))) {
+        for (List<RouterFixture> fleet :
+                List.of(fixtures(100, 0, 100), fixtures(60, 40, 60), fixtures(0, 100, 100), fixtures(30, 0, 30))) {
             long cold = 0;
-            for (Bed bed : fleet) {
-                bed.list(
+            for (RouterFixture fixture : fleet) {
+                fixture.updateEndpoints(
                         EndpointUpdateType.DELTA,
-                        new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now));
-                bed.request(1, Bed.ANY);
-                cold += bed.sendsOf(1).stream()
+                        new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, fixture.now));
+                fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+                cold += fixture.attemptsOf(1).stream()
                         .filter(s -> s.host().equals("r1"))
                         .count();
             }
@@ -185,21 +189,27 @@
     }
 
     /** Polls a second at one host of a group without a primary, from all that run, after the first have backed off. */
-    private static double polls(List<Bed> running) {
+    private static double polls(List<RouterFixture> running) {
         long polls = 0;
-        for (Bed bed : running) {
-            bed.state("p", EndpointState.DRAINING);
+        for (RouterFixture fixture : running) {
+            fixture.updateState("p", EndpointState.DRAINING);
             for (int i = 0; i < 2400; i++) {
-                for (; bed.answered < bed.probes.size(); bed.answered++) {
-                    bed.poll(bed.probes.get(bed.answered), bed.now - 5 * S, ReplicationRole.REPLICA);
+                for (; fixture.answeredHealthChecks < fixture.healthChecks.size(); fixture.answeredHealthChecks++) {
+                    fixture.answerHealthCheck(
+                            fixture.healthChecks.get(fixture.answeredHealthChecks),
+                            fixture.now - 5 * S,
+                            ReplicationRole.REPLICA);
                 }
                 if (i % 20 == 0) {
-                    bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, Positions.UNKNOWN);
+                    fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE, 1_200_000, Positions.UNKNOWN);
                 }
-                bed.pass(20_000);
+                fixture.advance(20_000);
                 polls += i < 1200
                         ? 0
-                        : bed.probes.subList(bed.answered, bed.probes.size()).stream()
+                        : fixture
+                                .healthChecks
+                                .subList(fixture.answeredHealthChecks, fixture.healthChecks.size())
+                                .stream()
                                 .filter("r1"::equals)
                                 .count();
             }
@@ -207,20 +217,20 @@
         return polls / 24.0;
     }
 
-    private static List<Bed> beds(int settled, int others, int counted) {
-        List<Bed> beds = new ArrayList<>();
+    private static List<RouterFixture> fixtures(int settled, int others, int counted) {
+        List<RouterFixture> fixtures = new ArrayList<>();
         for (int i = 0; i < settled + others; i++) {
-            Bed bed = new Bed();
-            bed.routers = ROUTERS;
-            bed.seed = i;
-            bed.oneSession = false;
-            bed.start().group();
+            RouterFixture fixture = new RouterFixture();
+            fixture.fleetSize = ROUTERS;
+            fixture.seed = i;
+            fixture.hasSharedSession = false;
+            fixture.start().listReplicaSet();
             if (counted > 0) {
-                bed.router.onFleetSize(bed.now, new FleetSize(ROUTERS, counted, i < settled));
+                fixture.router.onFleetSize(fixture.now, new FleetSize(ROUTERS, counted, i < settled));
             }
-            beds.add(bed);
+            fixtures.add(fixture);
         }
-        return beds;
+        return fixtures;
     }
 
     /**
@@ -229,10 +239,10 @@
      */
     @Test
     void pollsAtAHostFollowTheShares() {
-        double cut = polls(beds(60, 40, 60));
+        double cut = polls(fixtures(60, 40, 60));
         assertTrue(cut <= 11, "cut 60 and 40: " + cut + " polls a second");
-        double small = polls(beds(60, 0, 60));
-        double alone = polls(beds(60, 0, 0));
+        double small = polls(fixtures(60, 0, 60));
+        double alone = polls(fixtures(60, 0, 0));
         assertTrue(small <= 11 && small > 1.15 * alone, "60 of 100: " + small + " polls a second, each alone " + alone);
     }
 }
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -12,23 +12,23 @@
 
 /** Many routers with a trickle of traffic each, and routers that are told what is not so. */
 class FleetTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
 
-    private static List<Bed> fleet(int routers) {
-        List<Bed> fleet = new ArrayList<>();
+    private static List<RouterFixture> fleet(int routers) {
+        List<RouterFixture> fleet = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
-            Bed bed = new Bed();
-            bed.routers = routers;
-            bed.seed = i * 0x9E3779B97F4A7C15L;
-            bed.oneSession = false;
-            fleet.add(bed.start().group());
+            RouterFixture fixture = new RouterFixture();
+            fixture.fleetSize = routers;
+            fixture.seed = i * 0x9E3779B97F4A7C15L;
+            fixture.hasSharedSession = false;
+            fleet.add(fixture.start().listReplicaSet());
         }
         return fleet;
     }
 
-    private static long sentTo(List<Bed> fleet, String host) {
+    private static long sentTo(List<RouterFixture> fleet, String host) {
         return fleet.stream()
-                .flatMap(b -> b.sends.stream())
+                .flatMap(b -> b.sentAttempts.stream())
                 .filter(s -> s.host().equals(host))
                 .count();
     }
@@ -40,10 +40,10 @@
     /** One read at each router: with a floor of one a router, all 300 would be let through to the cold host. */
     @Test
     void coldHostGetsItsPartOfAllRoutersTogether() {
-        List<Bed> fleet = fleet(300);
-        for (Bed bed : fleet) {
-            bed.list(EndpointUpdateType.DELTA, started("r1", bed.now));
-            bed.request(1, Bed.ANY);
+        List<RouterFixture> fleet = fleet(300);
+        for (RouterFixture fixture : fleet) {
+            fixture.updateEndpoints(EndpointUpdateType.DELTA, started("r1", fixture.now));
+            fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
         }
         long cold = sentTo(fleet, "r1");
         assertTrue(cold > 5 && cold < 50, "cold host got " + cold + " of 300");
@@ -52,22 +52,22 @@
     /** A zone restarts at once: no warm peer is left, so most is shed early instead of pushing the cold ones over. */
     @Test
     void groupThatIsColdAltogetherShedsEarly() {
-        List<Bed> fleet = fleet(300);
-        for (Bed bed : fleet) {
-            bed.list(
+        List<RouterFixture> fleet = fleet(300);
+        for (RouterFixture fixture : fleet) {
+            fixture.updateEndpoints(
                     EndpointUpdateType.DELTA,
-                    started("p", bed.now),
-                    started("r1", bed.now),
-                    started("r2", bed.now),
-                    started("r3", bed.now));
-            bed.request(1, Bed.ANY);
-            bed.request(2, Bed.UNSAFE_WRITE);
+                    started("p", fixture.now),
+                    started("r1", fixture.now),
+                    started("r2", fixture.now),
+                    started("r3", fixture.now));
+            fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+            fixture.sendRequest(2, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
-        long sent = fleet.stream().mapToLong(b -> b.sends.size()).sum();
+        long sent = fleet.stream().mapToLong(b -> b.sentAttempts.size()).sum();
         assertTrue(sent > 60 && sent < 200, "sent " + sent + " of 600");
-        for (Bed bed : fleet) {
-            bed.pass(120 * MS);
-            assertTrue(bed.sendsOf(1).size() + bed.refused.size() >= 1);
+        for (RouterFixture fixture : fleet) {
+            fixture.advance(120 * MS);
+            assertTrue(fixture.attemptsOf(1).size() + fixture.rejected.size() >= 1);
         }
     }
 
@@ -75,21 +75,28 @@
     @Test
     void routersThatLookForAPrimaryStayWithinAHostsPollsTogether() {
         for (int routers : new int[] {3, 14, 48}) {
-            List<Bed> fleet = fleet(routers);
+            List<RouterFixture> fleet = fleet(routers);
             long[] polls = new long[2];
-            for (Bed bed : fleet) {
-                bed.state("p", EndpointState.DRAINING);
+            for (RouterFixture fixture : fleet) {
+                fixture.updateState("p", EndpointState.DRAINING);
                 for (int i = 0; i < 1600; i++) {
-                    for (; bed.answered < bed.probes.size(); bed.answered++) {
-                        bed.poll(bed.probes.get(bed.answered), bed.now - 5_000 * MS, ReplicationRole.REPLICA);
+                    for (; fixture.answeredHealthChecks < fixture.healthChecks.size(); fixture.answeredHealthChecks++) {
+                        fixture.answerHealthCheck(
+                                fixture.healthChecks.get(fixture.answeredHealthChecks),
+                                fixture.now - 5_000 * MS,
+                                ReplicationRole.REPLICA);
                     }
                     if (i % 20 == 0) {
-                        bed.request(i, Bed.UNSAFE_WRITE, 1200 * MS, Positions.UNKNOWN);
+                        fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE, 1200 * MS, Positions.UNKNOWN);
                     }
-                    bed.pass(20 * MS);
-                    polls[i < 800 ? 0 : 1] += bed.probes.subList(bed.answered, bed.probes.size()).stream()
-                            .filter("r1"::equals)
-                            .count();
+                    fixture.advance(20 * MS);
+                    polls[i < 800 ? 0 : 1] +=
+                            fixture
+                                    .healthChecks
+                                    .subList(fixture.answeredHealthChecks, fixture.healthChecks.size())
+                                    .stream()
+                                    .filter("r1"::equals)
+                                    .count();
                 }
             }
             // Writes, as reads have polls on demand as well, which their price bounds. What each router sends at first
@@ -102,17 +109,18 @@
     /** Trial reads go to a silent host as a share of the traffic, not one from each router. */
     @Test
     void silentHostGetsAShareOfTrialsFromAllRoutersTogether() {
-        List<Bed> fleet = fleet(200);
-        for (Bed bed : fleet) {
-            for (int i = 0; i < 60 && bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive r1")); i++) {
-                bed.request(1_000 + i, Bed.ANY);
-                if (bed.sendsOf(1_000 + i).isEmpty()) bed.answerPolls(10 * MS);
-                if (bed.sendsOf(1_000 + i).isEmpty()) continue;
-                boolean lost = bed.last().host().equals("r1");
-                bed.outcome(bed.last(), 0, lost ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+        List<RouterFixture> fleet = fleet(200);
+        for (RouterFixture fixture : fleet) {
+            for (int i = 0; i < 60 && fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive r1")); i++) {
+                fixture.sendRequest(1_000 + i, RouterFixture.EVENTUAL_READ);
+                if (fixture.attemptsOf(1_000 + i).isEmpty()) fixture.answerHealthChecks(10 * MS);
+                if (fixture.attemptsOf(1_000 + i).isEmpty()) continue;
+                boolean lost = fixture.lastAttempt().host().equals("r1");
+                fixture.endAttempt(
+                        fixture.lastAttempt(), 0, lost ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             }
-            bed.sends.clear();
-            bed.request(1, Bed.ANY);
+            fixture.sentAttempts.clear();
+            fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
         }
         assertTrue(sentTo(fleet, "r1") < 10, "silent host got " + sentTo(fleet, "r1") + " of 200");
     }
@@ -120,11 +128,11 @@
     /** An idle router sets no timer: 650 of them with a tick each would cost more than all requests. */
     @Test
     void idleRouterSetsNoTimersAndSendsNoPolls() {
-        Bed bed = new Bed().start().group();
-        bed.pass(200 * MS);
-        bed.trace.setLength(0);
-        bed.pass(60_000 * MS);
-        assertEquals("", bed.trace.toString());
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.advance(200 * MS);
+        fixture.trace.setLength(0);
+        fixture.advance(60_000 * MS);
+        assertEquals("", fixture.trace.toString());
     }
 
     /**
@@ -133,18 +141,18 @@
      */
     @Test
     void readThatNoReplicaIsProvenForPollsAFewWhereThePrimaryIsFullAndGoesToOneOfThem() {
-        Bed bed = new Bed().start().group();
-        bed.now += 5_000 * MS;
-        bed.poll("p", bed.now, ReplicationRole.PRIMARY);
-        int polls = bed.probes.size();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.now += 5_000 * MS;
+        fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
+        int polls = fixture.healthChecks.size();
         for (int id = 100; id < 160; id++) {
-            bed.request(id, Bed.UNSAFE_WRITE);
+            fixture.sendRequest(id, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
-        bed.request(1, Bed.BOUNDED);
-        assertEquals(polls + 2, bed.probes.size());
-        assertTrue(bed.sendsOf(1).isEmpty());
-        bed.answerPolls(30 * MS);
-        assertNotEquals("p", bed.sendsOf(1).get(0).host());
+        fixture.sendRequest(1, RouterFixture.BOUNDED_READ);
+        assertEquals(polls + 2, fixture.healthChecks.size());
+        assertTrue(fixture.attemptsOf(1).isEmpty());
+        fixture.answerHealthChecks(30 * MS);
+        assertNotEquals("p", fixture.attemptsOf(1).get(0).host());
     }
 
     /**
@@ -153,15 +161,15 @@
      */
     @Test
     void readsThatNoReplicaIsProvenForGoUnpolledToAPrimaryWithRoom() {
-        List<Bed> fleet = fleet(100);
+        List<RouterFixture> fleet = fleet(100);
         long polls = 0;
-        for (Bed bed : fleet) {
-            bed.now += 5_000 * MS;
-            int before = bed.probes.size();
-            bed.request(1, Bed.BOUNDED);
-            if (!bed.sends.isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
-            bed.request(2, Bed.SESSION, 1200 * MS, 5 * MS);
-            polls += bed.probes.size() - before;
+        for (RouterFixture fixture : fleet) {
+            fixture.now += 5_000 * MS;
+            int before = fixture.healthChecks.size();
+            fixture.sendRequest(1, RouterFixture.BOUNDED_READ);
+            if (!fixture.sentAttempts.isEmpty()) fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
+            fixture.sendRequest(2, RouterFixture.SESSION_READ, 1200 * MS, 5 * MS);
+            polls += fixture.healthChecks.size() - before;
         }
         assertEquals(0, polls, "polls on demand");
         assertEquals(200, sentTo(fleet, "p"), "reads sent to the primary");
@@ -173,18 +181,18 @@
      */
     @Test
     void readsOfARouterThatHearsManyArePolledForBeforeThePrimary() {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().group();
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().listReplicaSet();
         for (int i = 0; i < 400; i++) {
-            bed.pass(110 * MS);
-            bed.request(i, Bed.BOUNDED);
-            bed.answerPolls(30 * MS);
-            bed.pass(5 * MS);
-            if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+            fixture.advance(110 * MS);
+            fixture.sendRequest(i, RouterFixture.BOUNDED_READ);
+            fixture.answerHealthChecks(30 * MS);
+            fixture.advance(5 * MS);
+            if (!fixture.attemptsOf(i).isEmpty()) fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
         }
-        long primary = bed.sends.stream()
-                .filter(s -> s.id() >= 100 && s.host().equals("p"))
+        long primary = fixture.sentAttempts.stream()
+                .filter(s -> s.requestId() >= 100 && s.host().equals("p"))
                 .count();
         assertTrue(primary < 60, "the primary got " + primary + " of 300 reads");
     }
@@ -192,16 +200,17 @@
     /** Replicas behind: the many reads that fall back must not drown the primary, by all routers together. */
     @Test
     void readsThatFallBackInMassReachThePrimaryOnlyInPart() {
-        List<Bed> fleet = fleet(100);
-        for (Bed bed : fleet) {
+        List<RouterFixture> fleet = fleet(100);
+        for (RouterFixture fixture : fleet) {
             for (int i = 0; i < 60; i++) {
-                bed.now += 600 * MS;
-                bed.request(i, Bed.BOUNDED);
-                bed.answerPolls(5_000 * MS);
-                bed.answerPolls(5_000 * MS);
-                if (i == 30) bed.sends.clear();
-                if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
-                bed.pass(200 * MS);
+                fixture.now += 600 * MS;
+                fixture.sendRequest(i, RouterFixture.BOUNDED_READ);
+                fixture.answerHealthChecks(5_000 * MS);
+                fixture.answerHealthChecks(5_000 * MS);
+                if (i == 30) fixture.sentAttempts.clear();
+                if (!fixture.attemptsOf(i).isEmpty())
+                    fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
+                fixture.advance(200 * MS);
             }
         }
         long fell = sentTo(fleet, "p");
@@ -215,14 +224,14 @@
     void readsOfMoreWorthFillMoreOfThePrimary() {
         long[] sent = new long[2];
         for (int i = 0; i < 2; i++) {
-            Bed bed = new Bed();
-            bed.oneSession = false;
-            bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
-            bed.poll("p", bed.now, ReplicationRole.PRIMARY);
+            RouterFixture fixture = new RouterFixture();
+            fixture.hasSharedSession = false;
+            fixture.start().updateEndpoints(EndpointUpdateType.SNAPSHOT, RouterFixture.servingEntry("p"));
+            fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
             for (int id = 0; id < 200; id++) {
-                bed.request(id, i == 0 ? Bed.BOUNDED : Bed.ANY);
+                fixture.sendRequest(id, i == 0 ? RouterFixture.BOUNDED_READ : RouterFixture.EVENTUAL_READ);
             }
-            sent[i] = bed.sends.size();
+            sent[i] = fixture.sentAttempts.size();
         }
         assertTrue(sent[0] > 5 && sent[1] > sent[0] * 4 / 3, "little worth " + sent[0] + ", much " + sent[1]);
     }
@@ -230,28 +239,28 @@
     /** Of those who wait for room the ones of most worth for their time go first, whenever they came. */
     @Test
     void roomThatAppearsGoesToThoseOfMostWorth() {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
-        bed.poll("p", bed.now, ReplicationRole.PRIMARY);
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().updateEndpoints(EndpointUpdateType.SNAPSHOT, RouterFixture.servingEntry("p"));
+        fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
         for (int id = 0; id < 60; id++) {
-            bed.request(id, Bed.UNSAFE_WRITE);
+            fixture.sendRequest(id, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
-        int full = bed.sends.size();
-        bed.request(100, Bed.UNSAFE_WRITE);
-        bed.request(101, Bed.KEYED_WRITE);
-        assertEquals(full, bed.sends.size());
-        bed.outcome(bed.sends.get(0), 0, AttemptOutcome.SUCCESS);
-        assertTrue(bed.sends.size() > full);
-        assertEquals(101, bed.sends.get(full).id(), "4 in 0.75 s before 4 in 1 s");
+        int full = fixture.sentAttempts.size();
+        fixture.sendRequest(100, RouterFixture.NON_IDEMPOTENT_WRITE);
+        fixture.sendRequest(101, RouterFixture.IDEMPOTENCY_KEY_WRITE);
+        assertEquals(full, fixture.sentAttempts.size());
+        fixture.endAttempt(fixture.sentAttempts.get(0), 0, AttemptOutcome.SUCCESS);
+        assertTrue(fixture.sentAttempts.size() > full);
+        assertEquals(101, fixture.sentAttempts.get(full).requestId(), "4 in 0.75 s before 4 in 1 s");
     }
 
     /** Other settings: an open request keeps its class, a new one has the new class's rules, and the fewer attempts. */
     @Test
     void openRequestsKeepTheirClassThroughOtherSettings() {
-        Bed bed = new Bed().start().group();
-        bed.request(1, Bed.ANY);
-        RouterSettings old = bed.settings();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        RouterSettings old = fixture.settings();
         List<RequestClass> unsafe = old.classes().stream()
                 .map(c -> new RequestClass(
                         c.name(),
@@ -265,25 +274,25 @@
                         c.priorityWeight(),
                         c.lateWeight()))
                 .toList();
-        bed.router.onSettings(bed.now, with(old, unsafe, old.limits()));
-        bed.outcome(bed.sendsOf(1).get(0), 0, AttemptOutcome.CONNECTION_RESET);
-        assertEquals(2, bed.sendsOf(1).size());
-        bed.request(2, Bed.ANY);
-        bed.outcome(bed.sendsOf(2).get(0), 0, AttemptOutcome.CONNECTION_RESET);
-        assertEquals(1, bed.sendsOf(2).size());
-        assertEquals(List.of(2L), bed.failed);
-        bed.request(3, Bed.ANY);
-        bed.router.onSettings(
-                bed.now, with(old, old.classes(), new AttemptLimits(1, true, true, false, true, true, 500 * MS)));
-        bed.outcome(bed.sendsOf(3).get(0), 0, AttemptOutcome.UNREACHABLE);
-        assertEquals(1, bed.sendsOf(3).size());
+        fixture.router.onSettings(fixture.now, with(old, unsafe, old.limits()));
+        fixture.endAttempt(fixture.attemptsOf(1).get(0), 0, AttemptOutcome.CONNECTION_RESET);
+        assertEquals(2, fixture.attemptsOf(1).size());
+        fixture.sendRequest(2, RouterFixture.EVENTUAL_READ);
+        fixture.endAttempt(fixture.attemptsOf(2).get(0), 0, AttemptOutcome.CONNECTION_RESET);
+        assertEquals(1, fixture.attemptsOf(2).size());
+        assertEquals(List.of(2L), fixture.failed);
+        fixture.sendRequest(3, RouterFixture.EVENTUAL_READ);
+        fixture.router.onSettings(
+                fixture.now, with(old, old.classes(), new AttemptLimits(1, true, true, false, true, true, 500 * MS)));
+        fixture.endAttempt(fixture.attemptsOf(3).get(0), 0, AttemptOutcome.UNREACHABLE);
+        assertEquals(1, fixture.attemptsOf(3).size());
         assertThrows(
                 IllegalArgumentException.class,
-                () -> bed.router.onSettings(
-                        bed.now,
+                () -> fixture.router.onSettings(
+                        fixture.now,
                         with(old, old.classes(), new AttemptLimits(0, true, true, false, true, true, 500 * MS))));
-        bed.request(4, Bed.ANY);
-        assertEquals(1, bed.sendsOf(4).size(), "what makes no sense changes nothing");
+        fixture.sendRequest(4, RouterFixture.EVENTUAL_READ);
+        assertEquals(1, fixture.attemptsOf(4).size(), "what makes no sense changes nothing");
     }
 
     private static RouterSettings with(RouterSettings s, List<RequestClass> classes, AttemptLimits limits) {
@@ -309,148 +318,158 @@
     /** What the people on call are told is what the decisions go by. */
     @Test
     void drainingAndSilentHostsAreAvoided() {
-        Bed bed = new Bed().start().group();
-        assertEquals(0, bed.router.unavailableEndpoints(bed.now));
-        bed.state("r1", EndpointState.DRAINING);
-        assertEquals(1, bed.router.unavailableEndpoints(bed.now));
-        bed.now += 500 * MS;
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        assertEquals(0, fixture.router.unavailableEndpoints(fixture.now));
+        fixture.updateState("r1", EndpointState.DRAINING);
+        assertEquals(1, fixture.router.unavailableEndpoints(fixture.now));
+        fixture.now += 500 * MS;
         for (int i = 0; i < 20; i++) {
-            bed.request(1_000 + i, Bed.ANY);
-            bed.loseOrAnswerPolls("r2");
-            bed.now += 100 * MS;
-            if (!bed.sendsOf(1_000 + i).isEmpty()) {
-                bed.outcome(
-                        bed.last(),
+            fixture.sendRequest(1_000 + i, RouterFixture.EVENTUAL_READ);
+            fixture.answerHealthChecksExcept("r2");
+            fixture.now += 100 * MS;
+            if (!fixture.attemptsOf(1_000 + i).isEmpty()) {
+                fixture.endAttempt(
+                        fixture.lastAttempt(),
                         0,
-                        bed.last().host().equals("r2") ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+                        fixture.lastAttempt().host().equals("r2")
+                                ? AttemptOutcome.UNREACHABLE
+                                : AttemptOutcome.SUCCESS);
             }
         }
-        assertEquals(2, bed.router.unavailableEndpoints(bed.now));
-        bed.state("r1", EndpointState.REMOVED);
-        assertEquals(1, bed.router.unavailableEndpoints(bed.now), "what is gone is not on the list");
+        assertEquals(2, fixture.router.unavailableEndpoints(fixture.now));
+        fixture.updateState("r1", EndpointState.REMOVED);
+        assertEquals(1, fixture.router.unavailableEndpoints(fixture.now), "what is gone is not on the list");
     }
 
     @Test
     void hostListedGoneIsUsedWhileItServesWhereGoneIsAdvice() {
-        Bed bed = new Bed();
-        bed.goneIsAdvice = true;
-        bed.start().group();
-        bed.list(EndpointUpdateType.SNAPSHOT);
+        RouterFixture fixture = new RouterFixture();
+        fixture.removalIsAdvisory = true;
+        fixture.start().listReplicaSet();
+        fixture.updateEndpoints(EndpointUpdateType.SNAPSHOT);
         for (int i = 0; i < 30; i++) {
-            bed.request(i, Bed.ANY);
-            bed.answerPolls(10 * MS);
-            bed.outcome(bed.sendsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
-            bed.now += 300 * MS;
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.answerHealthChecks(10 * MS);
+            fixture.endAttempt(fixture.attemptsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
+            fixture.now += 300 * MS;
         }
-        assertEquals(30, bed.sends.size());
-        bed.request(99, Bed.UNSAFE_WRITE);
-        bed.answerPolls(0);
-        assertEquals("p", bed.last().host());
+        assertEquals(30, fixture.sentAttempts.size());
+        fixture.sendRequest(99, RouterFixture.NON_IDEMPOTENT_WRITE);
+        fixture.answerHealthChecks(0);
+        assertEquals("p", fixture.lastAttempt().host());
     }
 
     @Test
     void goneBindsWhereItIsNoAdviceAndDrainingBindsEverywhere() {
-        Bed bound = new Bed().start().group();
-        bound.list(EndpointUpdateType.SNAPSHOT);
-        bound.request(1, Bed.ANY);
-        assertTrue(bound.sends.isEmpty());
-        Bed advice = new Bed();
-        advice.goneIsAdvice = true;
-        advice.start().group();
-        for (String h : List.of("p", "r1", "r2", "r3")) advice.state(h, EndpointState.DRAINING);
-        advice.list(EndpointUpdateType.SNAPSHOT);
-        advice.request(1, Bed.ANY);
-        for (String h : List.of("p", "r1", "r2", "r3")) advice.state(h, EndpointState.REMOVED);
-        advice.request(2, Bed.UNSAFE_WRITE);
-        advice.pass(300 * MS);
-        assertTrue(advice.sends.isEmpty());
+        RouterFixture bound = new RouterFixture().start().listReplicaSet();
+        bound.updateEndpoints(EndpointUpdateType.SNAPSHOT);
+        bound.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        assertTrue(bound.sentAttempts.isEmpty());
+        RouterFixture advice = new RouterFixture();
+        advice.removalIsAdvisory = true;
+        advice.start().listReplicaSet();
+        for (String h : List.of("p", "r1", "r2", "r3")) advice.updateState(h, EndpointState.DRAINING);
+        advice.updateEndpoints(EndpointUpdateType.SNAPSHOT);
+        advice.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        for (String h : List.of("p", "r1", "r2", "r3")) advice.updateState(h, EndpointState.REMOVED);
+        advice.sendRequest(2, RouterFixture.NON_IDEMPOTENT_WRITE);
+        advice.advance(300 * MS);
+        assertTrue(advice.sentAttempts.isEmpty());
     }
 
     @Test
     void listThatNamesAHostTwiceOrMovesItDoesNoHarm() {
-        Bed bed = new Bed().start().group();
-        bed.list(
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.updateEndpoints(
                 EndpointUpdateType.DELTA,
-                Bed.ready("r1"),
-                Bed.ready("r1"),
+                RouterFixture.servingEntry("r1"),
+                RouterFixture.servingEntry("r1"),
                 new EndpointEntry("r2", false, "z", 7, EndpointState.SERVING, 1, 0));
         for (int i = 0; i < 60; i++) {
-            bed.request(i, Bed.ANY);
-            bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
         }
-        assertTrue(bed.sends.stream().noneMatch(s -> s.host().equals("r2")));
+        assertTrue(fixture.sentAttempts.stream().noneMatch(s -> s.host().equals("r2")));
     }
 
     @Test
     void pollsThatFailWhileRequestsAreServedSilenceNoHostAndAreNotAskedOftener() {
-        Bed bed = new Bed();
-        bed.start().group();
+        RouterFixture fixture = new RouterFixture();
+        fixture.start().listReplicaSet();
         int polls = 0;
         for (int i = 0; i < 400; i++) {
-            bed.request(i, Bed.ANY);
-            if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
-            bed.pass(20 * MS);
-            for (; bed.answered < bed.probes.size(); bed.answered++, polls++) {
-                bed.router.onHealthCheckEnded(bed.now, bed.probes.get(bed.answered), AttemptOutcome.ERROR, MS, null);
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            if (!fixture.attemptsOf(i).isEmpty()) fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
+            fixture.advance(20 * MS);
+            for (;
+                    fixture.answeredHealthChecks < fixture.healthChecks.size();
+                    fixture.answeredHealthChecks++, polls++) {
+                fixture.router.onHealthCheckEnded(
+                        fixture.now,
+                        fixture.healthChecks.get(fixture.answeredHealthChecks),
+                        AttemptOutcome.ERROR,
+                        MS,
+                        null);
             }
         }
-        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")), bed.logs.toString());
-        assertEquals(400, bed.sends.size());
+        assertTrue(fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")), fixture.logLines.toString());
+        assertEquals(400, fixture.sentAttempts.size());
         assertTrue(polls < 400, polls + " polls for 400 requests");
     }
 
     /** A quarter of the answers never come, the rest are swift: no overload, so nothing is refused for it. */
     @Test
     void lostAnswersShrinkNoLimitAndReadsAreTriedAgainInTime() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         int inTime = 0;
         for (int i = 0; i < 400; i++) {
-            bed.request(i, Bed.BOUNDED, 2_500 * MS, Positions.UNKNOWN);
+            fixture.sendRequest(i, RouterFixture.BOUNDED_READ, 2_500 * MS, Positions.UNKNOWN);
             int good = -1;
             for (int wait = 0; wait < 29 && good < 0; wait++) {
-                bed.answerPolls(20 * MS);
-                bed.pass(20 * MS);
-                List<Bed.Sent> mine = bed.sendsOf(i);
+                fixture.answerHealthChecks(20 * MS);
+                fixture.advance(20 * MS);
+                List<RouterFixture.SentAttempt> mine = fixture.attemptsOf(i);
                 for (int k = 0; k < mine.size() && good < 0; k++) {
-                    boolean lost = bed.sends.indexOf(mine.get(k)) % 4 == 3;
-                    good = !lost && bed.now - mine.get(k).at() >= 60 * MS ? k : -1;
+                    boolean lost = fixture.sentAttempts.indexOf(mine.get(k)) % 4 == 3;
+                    good = !lost && fixture.now - mine.get(k).sentAt() >= 60 * MS ? k : -1;
                 }
             }
-            List<Bed.Sent> mine = bed.sendsOf(i);
-            if (good >= 0) bed.outcome(mine.get(good), good, AttemptOutcome.SUCCESS);
+            List<RouterFixture.SentAttempt> mine = fixture.attemptsOf(i);
+            if (good >= 0) fixture.endAttempt(mine.get(good), good, AttemptOutcome.SUCCESS);
             for (int k = 0; k < mine.size(); k++) {
                 if (k != good)
-                    bed.outcome(mine.get(k), k, good < 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.CANCELLED);
+                    fixture.endAttempt(mine.get(k), k, good < 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.CANCELLED);
             }
             inTime += i >= 200 && good >= 0 ? 1 : 0;
         }
-        assertTrue(inTime > 175, inTime + " of 200 in time, " + bed.refused.size() + " refused");
+        assertTrue(inTime > 175, inTime + " of 200 in time, " + fixture.rejected.size() + " refused");
     }
 
     /** After a stall nothing of its span counts: neither silence of hosts nor reads stuck. */
     @Test
     void stallOfTheRouterBlamesNoHost() {
-        Bed bed = new Bed().start().group();
-        for (int i = 0; i < 12; i++) bed.request(i, i % 3 == 0 ? Bed.UNSAFE_WRITE : Bed.ANY);
-        bed.pass(40 * MS);
-        int before = bed.sends.size();
-        bed.now += 2_000 * MS;
-        bed.router.onTimer(bed.now, "tick");
-        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")), bed.logs.toString());
-        assertEquals(before, bed.sends.size());
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        for (int i = 0; i < 12; i++)
+            fixture.sendRequest(i, i % 3 == 0 ? RouterFixture.NON_IDEMPOTENT_WRITE : RouterFixture.EVENTUAL_READ);
+        fixture.advance(40 * MS);
+        int before = fixture.sentAttempts.size();
+        fixture.now += 2_000 * MS;
+        fixture.router.onTimer(fixture.now, "tick");
+        assertTrue(fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")), fixture.logLines.toString());
+        assertEquals(before, fixture.sentAttempts.size());
     }
 
     /** A host that ages answers later and later: it loses its share before it dies. */
     @Test
     void hostThatGrowsSlowerThanItsPeersLosesItsShare() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 600; i++) {
-            bed.request(i, Bed.ANY);
-            Bed.Sent s = bed.last();
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            RouterFixture.SentAttempt s = fixture.lastAttempt();
             long time = s.host().equals("r1") ? 150 * MS : 30 * MS;
-            bed.now += 30 * MS;
-            bed.router.onAttemptEnded(
-                    bed.now,
+            fixture.now += 30 * MS;
+            fixture.router.onAttemptEnded(
+                    fixture.now,
                     new AttemptResult(
                             i,
                             0,
@@ -460,46 +479,57 @@
                             true,
                             ReplicationRole.REPLICA,
                             Positions.UNKNOWN));
-            if (i == 300) bed.sends.clear();
+            if (i == 300) fixture.sentAttempts.clear();
         }
-        long slow = bed.sends.stream().filter(s -> s.host().equals("r1")).count();
+        long slow =
+                fixture.sentAttempts.stream().filter(s -> s.host().equals("r1")).count();
         assertTrue(slow < 50, "slow host got " + slow + " of 300");
     }
 
     /** Restarted with nothing but its old list: it serves from the first request on. */
     @Test
     void freshRouterServesFromItsOldListAtOnce() {
-        Bed bed = new Bed().start();
-        bed.list(EndpointUpdateType.CACHED, Bed.ready("p"), Bed.ready("r1"), Bed.ready("r2"), Bed.ready("r3"));
-        bed.request(1, Bed.ANY);
-        bed.request(2, Bed.BOUNDED);
-        bed.request(3, Bed.UNSAFE_WRITE);
-        bed.answerPolls(20 * MS);
-        for (int i = 1; i <= 3; i++) assertEquals(1, bed.sendsOf(i).size(), "request " + i);
-        assertEquals("p", bed.sendsOf(3).get(0).host());
+        RouterFixture fixture = new RouterFixture().start();
+        fixture.updateEndpoints(
+                EndpointUpdateType.CACHED,
+                RouterFixture.servingEntry("p"),
+                RouterFixture.servingEntry("r1"),
+                RouterFixture.servingEntry("r2"),
+                RouterFixture.servingEntry("r3"));
+        fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        fixture.sendRequest(2, RouterFixture.BOUNDED_READ);
+        fixture.sendRequest(3, RouterFixture.NON_IDEMPOTENT_WRITE);
+        fixture.answerHealthChecks(20 * MS);
+        for (int i = 1; i <= 3; i++) assertEquals(1, fixture.attemptsOf(i).size(), "request " + i);
+        assertEquals("p", fixture.attemptsOf(3).get(0).host());
     }
 
     /** A client may come with no time left; it is owed an answer all the same, and at once. */
     @Test
     void requestWithoutTimeIsAnsweredAtOnce() {
-        Bed bed = new Bed().start();
-        bed.list(EndpointUpdateType.CACHED, Bed.ready("p"), Bed.ready("r1"));
-        bed.request(1, Bed.KEYED_WRITE, 0, Positions.UNKNOWN);
-        assertEquals(1, bed.refused.size() + bed.failed.size());
+        RouterFixture fixture = new RouterFixture().start();
+        fixture.updateEndpoints(
+                EndpointUpdateType.CACHED, RouterFixture.servingEntry("p"), RouterFixture.servingEntry("r1"));
+        fixture.sendRequest(1, RouterFixture.IDEMPOTENCY_KEY_WRITE, 0, Positions.UNKNOWN);
+        assertEquals(1, fixture.rejected.size() + fixture.failed.size());
     }
 
     /** No unsafe write is lost on a primary that has not been heard of for long and is gone. */
     @Test
     void primaryUnheardOfIsPolledBeforeAWriteIsRisked() {
-        Bed bed = new Bed().start().group();
-        bed.now += 10_000 * MS;
-        bed.request(1, Bed.UNSAFE_WRITE);
-        assertTrue(bed.sends.isEmpty());
-        assertEquals(List.of("p"), bed.probes);
-        bed.now += 20 * MS;
-        bed.router.onHealthCheckEnded(
-                bed.now, "p", AttemptOutcome.SUCCESS, MS, new ReplicationStatus(bed.now, ReplicationRole.PRIMARY));
-        assertEquals("p", bed.last().host());
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.now += 10_000 * MS;
+        fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
+        assertTrue(fixture.sentAttempts.isEmpty());
+        assertEquals(List.of("p"), fixture.healthChecks);
+        fixture.now += 20 * MS;
+        fixture.router.onHealthCheckEnded(
+                fixture.now,
+                "p",
+                AttemptOutcome.SUCCESS,
+                MS,
+                new ReplicationStatus(fixture.now, ReplicationRole.PRIMARY));
+        assertEquals("p", fixture.lastAttempt().host());
     }
 
     /**
@@ -508,18 +538,19 @@
      */
     @Test
     void slowAnswersLeaveRoomForOneWriteOfEachRouter() {
-        List<Bed> fleet = fleet(100);
+        List<RouterFixture> fleet = fleet(100);
         long sent = 0;
-        for (Bed bed : fleet) {
+        for (RouterFixture fixture : fleet) {
             for (int i = 0; i < 10; i++) {
-                bed.request(i, Bed.UNSAFE_WRITE);
-                bed.now += 600 * MS;
-                if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.sendsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
-                bed.poll("p", bed.now, ReplicationRole.PRIMARY);
+                fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE);
+                fixture.now += 600 * MS;
+                if (!fixture.attemptsOf(i).isEmpty())
+                    fixture.endAttempt(fixture.attemptsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
+                fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
             }
-            bed.sends.clear();
-            bed.request(99, Bed.UNSAFE_WRITE);
-            sent += bed.sends.size();
+            fixture.sentAttempts.clear();
+            fixture.sendRequest(99, RouterFixture.NON_IDEMPOTENT_WRITE);
+            sent += fixture.sentAttempts.size();
         }
         assertEquals(100, sent, "writes sent at once to a primary with none of their router's in flight");
     }
@@ -527,19 +558,19 @@
     /** Full replicas: to come again at once from hundreds of routers is what keeps them full. */
     @Test
     void routersWhoseRequestsAreTurnedAwayAsFullSendLess() {
-        List<Bed> fleet = fleet(100);
-        for (Bed bed : fleet) {
+        List<RouterFixture> fleet = fleet(100);
+        for (RouterFixture fixture : fleet) {
             for (int i = 0; i < 12; i++) {
-                bed.request(i, Bed.ANY);
-                for (int k = 0; k < bed.sendsOf(i).size(); k++)
-                    bed.outcome(bed.sendsOf(i).get(k), k, AttemptOutcome.OVERLOADED);
-                bed.pass(120 * MS);
+                fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+                for (int k = 0; k < fixture.attemptsOf(i).size(); k++)
+                    fixture.endAttempt(fixture.attemptsOf(i).get(k), k, AttemptOutcome.OVERLOADED);
+                fixture.advance(120 * MS);
             }
-            bed.sends.clear();
-            bed.request(99, Bed.ANY);
+            fixture.sentAttempts.clear();
+            fixture.sendRequest(99, RouterFixture.EVENTUAL_READ);
         }
         long sent = fleet.stream()
-                .flatMap(b -> b.sends.stream())
+                .flatMap(b -> b.sentAttempts.stream())
                 .filter(s -> !s.host().equals("p"))
                 .count();
         assertTrue(sent < 85, "sent " + sent + " of 100 to the full replicas");
@@ -547,11 +578,11 @@
 
     @Test
     void wordsOfPeersDoNoHarm() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (String text : List.of("", "v9 nonsense", "primary nobody -1", "\u0000")) {
-            bed.router.onPeerMessage(bed.now, 77, text);
+            fixture.router.onPeerMessage(fixture.now, 77, text);
         }
-        bed.request(1, Bed.ANY);
-        assertEquals(1, bed.sends.size());
+        fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        assertEquals(1, fixture.sentAttempts.size());
     }
 }
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -12,7 +12,7 @@
  * change.
  */
 class OtherSettingsTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
 
     private static RouterSettings with(
             RouterSettings s,
@@ -55,15 +55,17 @@
             java.util.function.Function<RouterSettings, RouterSettings> change) {
         long sent = 0;
         for (int i = 0; i < 200; i++) {
-            Bed bed = new Bed();
-            bed.seed = i * 0x9E3779B97F4A7C15L;
-            bed.oneSession = false;
-            bed.goneIsAdvice = advice;
-            bed.start().group();
-            bed.list(EndpointUpdateType.DELTA, listed);
-            bed.router.onSettings(bed.now, change.apply(bed.settings()));
-            bed.request(1, Bed.ANY);
-            sent += bed.sends.stream().filter(s -> s.host().equals(host)).count();
+            RouterFixture fixture = new RouterFixture();
+            fixture.seed = i * 0x9E3779B97F4A7C15L;
+            fixture.hasSharedSession = false;
+            fixture.removalIsAdvisory = advice;
+            fixture.start().listReplicaSet();
+            fixture.updateEndpoints(EndpointUpdateType.DELTA, listed);
+            fixture.router.onSettings(fixture.now, change.apply(fixture.settings()));
+            fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+            sent += fixture.sentAttempts.stream()
+                    .filter(s -> s.host().equals(host))
+                    .count();
         }
         return sent;
     }
@@ -108,13 +110,13 @@
     void classThatWasNeverAskedForIsTakenByItsNewAim() {
         long[] secondCopy = new long[2];
         for (int i = 0; i < 2; i++) {
-            Bed bed = new Bed();
-            bed.oneSession = false;
-            bed.start().group();
+            RouterFixture fixture = new RouterFixture();
+            fixture.hasSharedSession = false;
+            fixture.start().listReplicaSet();
             if (i == 1) {
-                RouterSettings old = bed.settings();
-                bed.router = new ReadWriteSplitter(
-                        bed.now,
+                RouterSettings old = fixture.settings();
+                fixture.router = new ReadWriteSplitter(
+                        fixture.now,
                         7,
                         with(
                                 old,
@@ -134,16 +136,16 @@
                                         .toList(),
                                 old.tenants(),
                                 old.protection()),
-                        bed);
-                bed.group();
-                bed.router.onSettings(bed.now, old);
+                        fixture);
+                fixture.listReplicaSet();
+                fixture.router.onSettings(fixture.now, old);
             }
-            long began = bed.now;
-            bed.request(1, Bed.ANY);
-            while (bed.sendsOf(1).size() < 2 && bed.now < began + 900 * MS) {
-                bed.pass(20 * MS);
+            long began = fixture.now;
+            fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+            while (fixture.attemptsOf(1).size() < 2 && fixture.now < began + 900 * MS) {
+                fixture.advance(20 * MS);
             }
-            secondCopy[i] = bed.now - began;
+            secondCopy[i] = fixture.now - began;
         }
         assertEquals(secondCopy[0], secondCopy[1], "when a request is tried elsewhere");
         assertTrue(secondCopy[0] < 900 * MS, secondCopy[0] + "");
@@ -154,17 +156,17 @@
     void limitsFollowTheFleetOfTheNewSettings() {
         long[] sent = new long[2];
         for (int i = 0; i < 2; i++) {
-            Bed bed = new Bed();
-            bed.oneSession = false;
-            bed.routers = i == 0 ? 16 : 1;
-            bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
-            bed.poll("p", bed.now, ReplicationRole.PRIMARY);
-            bed.routers = 16;
-            bed.router.onSettings(bed.now, bed.settings());
+            RouterFixture fixture = new RouterFixture();
+            fixture.hasSharedSession = false;
+            fixture.fleetSize = i == 0 ? 16 : 1;
+            fixture.start().updateEndpoints(EndpointUpdateType.SNAPSHOT, RouterFixture.servingEntry("p"));
+            fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
+            fixture.fleetSize = 16;
+            fixture.router.onSettings(fixture.now, fixture.settings());
             for (int id = 0; id < 60; id++) {
-                bed.request(id, Bed.UNSAFE_WRITE);
+                fixture.sendRequest(id, RouterFixture.NON_IDEMPOTENT_WRITE);
             }
-            sent[i] = bed.sends.size();
+            sent[i] = fixture.sentAttempts.size();
         }
         assertEquals(sent[0], sent[1], "writes in flight at one of 16");
         assertTrue(sent[0] < 16, sent[0] + "");
@@ -178,29 +180,29 @@
     void oneTenantsQuotaIsNotTheOthers() {
         long[] sent = new long[2];
         for (int i = 0; i < 2; i++) {
-            Bed bed = new Bed();
-            bed.oneSession = false;
-            bed.start();
-            RouterSettings old = bed.settings();
+            RouterFixture fixture = new RouterFixture();
+            fixture.hasSharedSession = false;
+            fixture.start();
+            RouterSettings old = fixture.settings();
             RouterSettings both = with(
                     old,
                     1,
                     old.classes(),
                     List.of(new Tenant("small", 1), new Tenant("large", 1_000)),
                     old.protection());
-            bed.router = new ReadWriteSplitter(bed.now, 7, both, bed);
-            bed.group();
+            fixture.router = new ReadWriteSplitter(fixture.now, 7, both, fixture);
+            fixture.listReplicaSet();
             // One uses up its share long before; the other has sent nothing yet.
             for (int id = 0; id < 40 && i == 1; id++) {
-                bed.router.onRequest(bed.now, read(id, 0));
-                bed.router.onClientDisconnected(bed.now, id);
-                bed.sendsOf(id).forEach(s -> bed.outcome(s, 0, AttemptOutcome.SUCCESS));
+                fixture.router.onRequest(fixture.now, read(id, 0));
+                fixture.router.onClientDisconnected(fixture.now, id);
+                fixture.attemptsOf(id).forEach(s -> fixture.endAttempt(s, 0, AttemptOutcome.SUCCESS));
             }
-            bed.sends.clear();
+            fixture.sentAttempts.clear();
             for (int id = 100; id < 300; id++) {
-                bed.router.onRequest(bed.now, read(id, 1));
+                fixture.router.onRequest(fixture.now, read(id, 1));
             }
-            sent[i] = bed.sends.size();
+            sent[i] = fixture.sentAttempts.size();
         }
         assertTrue(sent[0] > 20, sent[0] + "");
         assertTrue(
@@ -209,7 +211,8 @@
     }
 
     private static RoutingRequest read(long id, int tenant) {
-        return new RoutingRequest(id, Bed.ANY, 0, "s" + id, tenant, false, 2_500 * MS, Positions.UNKNOWN);
+        return new RoutingRequest(
+                id, RouterFixture.EVENTUAL_READ, 0, "s" + id, tenant, false, 2_500 * MS, Positions.UNKNOWN);
     }
 
     /**
@@ -218,29 +221,29 @@
      */
     @Test
     void endGivesEachHeldRequestItsOneAnswer() {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().group();
-        bed.request(1, Bed.ANY);
-        bed.request(2, Bed.UNSAFE_WRITE);
-        bed.state("p", EndpointState.DRAINING);
-        bed.request(3, Bed.UNSAFE_WRITE);
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().listReplicaSet();
+        fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        fixture.sendRequest(2, RouterFixture.NON_IDEMPOTENT_WRITE);
+        fixture.updateState("p", EndpointState.DRAINING);
+        fixture.sendRequest(3, RouterFixture.NON_IDEMPOTENT_WRITE);
         assertEquals(
                 List.of(1, 1, 0),
                 List.of(
-                        bed.sendsOf(1).size(),
-                        bed.sendsOf(2).size(),
-                        bed.sendsOf(3).size()));
-        bed.router.onShutdown(bed.now);
-        bed.router.onShutdown(bed.now);
-        assertEquals(List.of(1L, 3L), bed.refused);
-        assertEquals(List.of(2L), bed.failed, "it may have run");
-        int sends = bed.sends.size();
-        bed.outcome(bed.sendsOf(1).get(0), 0, AttemptOutcome.CONNECTION_RESET);
-        bed.outcome(bed.sendsOf(2).get(0), 0, AttemptOutcome.UNREACHABLE);
-        bed.state("p", EndpointState.SERVING);
-        bed.pass(500 * MS);
-        assertEquals(sends, bed.sends.size(), "nothing is sent for what was answered");
-        assertEquals(3, bed.refused.size() + bed.failed.size());
+                        fixture.attemptsOf(1).size(),
+                        fixture.attemptsOf(2).size(),
+                        fixture.attemptsOf(3).size()));
+        fixture.router.onShutdown(fixture.now);
+        fixture.router.onShutdown(fixture.now);
+        assertEquals(List.of(1L, 3L), fixture.rejected);
+        assertEquals(List.of(2L), fixture.failed, "it may have run");
+        int sends = fixture.sentAttempts.size();
+        fixture.endAttempt(fixture.attemptsOf(1).get(0), 0, AttemptOutcome.CONNECTION_RESET);
+        fixture.endAttempt(fixture.attemptsOf(2).get(0), 0, AttemptOutcome.UNREACHABLE);
+        fixture.updateState("p", EndpointState.SERVING);
+        fixture.advance(500 * MS);
+        assertEquals(sends, fixture.sentAttempts.size(), "nothing is sent for what was answered");
+        assertEquals(3, fixture.rejected.size() + fixture.failed.size());
     }
 }
--- a/src/test/java/mintstair/decision/RetryPolicyTest.java
+++ b/src/test/java/mintstair/decision/RetryPolicyTest.java
@@ -9,10 +9,10 @@
 
 /** Which requests may be sent again, how long they may wait, and what a rejected client is told. */
 class RetryPolicyTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
     private static final long TIMEOUT = 2_000 * MS;
 
-    private final RouterSettings settings = new Bed().settings();
+    private final RouterSettings settings = new RouterFixture().settings();
     private final PooledLimits pooled = PooledLimits.create(1);
     private final RetryPolicy retries = new RetryPolicy(() -> settings, pooled);
     private final RequestClassTable classes = new RequestClassTable();
@@ -40,13 +40,13 @@
 
     @Test
     void onlyIdempotentRequestsAreSentAgainAfterOneThatMayHaveRun() {
-        assertTrue(retries.maySend(MS, afterOneThatMayHaveRun(Bed.ANY)));
-        assertFalse(retries.maySend(MS, afterOneThatMayHaveRun(Bed.UNSAFE_WRITE)));
+        assertTrue(retries.maySend(MS, afterOneThatMayHaveRun(RouterFixture.EVENTUAL_READ)));
+        assertFalse(retries.maySend(MS, afterOneThatMayHaveRun(RouterFixture.NON_IDEMPOTENT_WRITE)));
     }
 
     @Test
     void requestWithIdempotencyKeyIsSentAgainWithinItsDeduplicationWindow() {
-        InFlightRequest request = afterOneThatMayHaveRun(Bed.KEYED_WRITE);
+        InFlightRequest request = afterOneThatMayHaveRun(RouterFixture.IDEMPOTENCY_KEY_WRITE);
         assertTrue(retries.maySend(884 * MS, request));
         assertFalse(retries.maySend(885 * MS, request));
         assertEquals(885 * MS, RetryPolicy.beginBy(MS, request));
@@ -54,13 +54,13 @@
 
     @Test
     void nothingIsSentRightBeforeTheDeadline() {
-        assertTrue(retries.maySend(TIMEOUT - 16 * MS, request(Bed.ANY)));
-        assertFalse(retries.maySend(TIMEOUT - 15 * MS, request(Bed.ANY)));
+        assertTrue(retries.maySend(TIMEOUT - 16 * MS, request(RouterFixture.EVENTUAL_READ)));
+        assertFalse(retries.maySend(TIMEOUT - 15 * MS, request(RouterFixture.EVENTUAL_READ)));
     }
 
     @Test
     void attemptsAreBounded() {
-        InFlightRequest request = request(Bed.ANY);
+        InFlightRequest request = request(RouterFixture.EVENTUAL_READ);
         for (int attempt = 0; attempt < settings.limits().maxAttempts(); attempt++) {
             assertTrue(retries.maySend(MS, request));
             request.attemptStarted(0, endpoint);
@@ -80,21 +80,21 @@
 
     @Test
     void rejectionIsPromisedToBeHarmlessOnlyWhereItIs() {
-        assertTrue(RetryPolicy.isHarmlessToRepeat(request(Bed.UNSAFE_WRITE)));
-        assertFalse(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(Bed.UNSAFE_WRITE)));
-        assertFalse(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(Bed.KEYED_WRITE)));
-        assertTrue(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(Bed.ANY)));
+        assertTrue(RetryPolicy.isHarmlessToRepeat(request(RouterFixture.NON_IDEMPOTENT_WRITE)));
+        assertFalse(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(RouterFixture.NON_IDEMPOTENT_WRITE)));
+        assertFalse(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(RouterFixture.IDEMPOTENCY_KEY_WRITE)));
+        assertTrue(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(RouterFixture.EVENTUAL_READ)));
     }
 
     @Test
     void clientComesBackWithinItsObjectiveOrElseLate() {
-        assertEquals(75 * MS, retries.retryAfter(0, request(Bed.ANY)));
-        assertEquals(500 * MS, retries.retryAfter(200 * MS, request(Bed.ANY)));
+        assertEquals(75 * MS, retries.retryAfter(0, request(RouterFixture.EVENTUAL_READ)));
+        assertEquals(500 * MS, retries.retryAfter(200 * MS, request(RouterFixture.EVENTUAL_READ)));
     }
 
     @Test
     void unsentRequestIsHeldForLessThanHalfOfItsTime() {
-        InFlightRequest write = request(Bed.UNSAFE_WRITE);
+        InFlightRequest write = request(RouterFixture.NON_IDEMPOTENT_WRITE);
         assertEquals(900 * MS, QueueingPolicy.waitUntil(write, false));
         write.attemptStarted(0, endpoint);
         assertEquals(TIMEOUT - 15 * MS, QueueingPolicy.waitUntil(write, false));
@@ -103,9 +103,9 @@
 
     @Test
     void pendingRequestsAreServedByPriorityAndThenInOrder() {
-        InFlightRequest low = request(Bed.BOUNDED);
-        InFlightRequest firstHigh = request(Bed.ANY);
-        InFlightRequest secondHigh = request(Bed.ANY);
+        InFlightRequest low = request(RouterFixture.BOUNDED_READ);
+        InFlightRequest firstHigh = request(RouterFixture.EVENTUAL_READ);
+        InFlightRequest secondHigh = request(RouterFixture.EVENTUAL_READ);
         replicaSet.pending.add(low);
         replicaSet.pending.add(firstHigh);
         replicaSet.pending.add(secondHigh);
@@ -117,7 +117,7 @@
     void attemptIsStuckFarPastTheMeanOfItsClass() {
         RouterClock clock = new RouterClock(0);
         HedgingPolicy hedging = new HedgingPolicy(clock, new AnswerLossEstimator(pooled));
-        InFlightRequest request = request(Bed.ANY);
+        InFlightRequest request = request(RouterFixture.EVENTUAL_READ);
         request.attemptStarted(10 * MS, endpoint);
         assertEquals(260 * MS, hedging.stuckAt(request));
     }
@@ -130,7 +130,7 @@
         }
         assertTrue(loss.isLosingAnswers());
         HedgingPolicy hedging = new HedgingPolicy(new RouterClock(0), loss);
-        InFlightRequest request = request(Bed.ANY);
+        InFlightRequest request = request(RouterFixture.EVENTUAL_READ);
         request.attemptStarted(10 * MS, endpoint);
         assertEquals(175 * MS, hedging.stuckAt(request));
         assertTrue(hedging.mayCancelAt(endpoint));
--- a/src/test/java/mintstair/decision/RouterTimeTest.java
+++ b/src/test/java/mintstair/decision/RouterTimeTest.java
@@ -8,7 +8,7 @@
 
 /** The clock, the tick timer and the request rate of a router. */
 class RouterTimeTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
     private static final long SECOND = 1_000 * MS;
 
     @Test
@@ -30,18 +30,18 @@
 
     @Test
     void tickIsScheduledOnceAndOnlyBroughtForward() {
-        Bed bed = new Bed();
-        TickTimer ticks = new TickTimer(bed);
+        RouterFixture fixture = new RouterFixture();
+        TickTimer ticks = new TickTimer(fixture);
         ticks.schedule(0, 50 * MS);
         ticks.schedule(0, 60 * MS);
         ticks.schedule(0, 30 * MS);
         ticks.schedule(0, 0);
-        assertEquals("timer tick 50000\ntimer tick 30000\ntimer tick 20000\n", bed.trace.toString());
+        assertEquals("timer tick 50000\ntimer tick 30000\ntimer tick 20000\n", fixture.trace.toString());
     }
 
     @Test
     void tickThatWasBroughtForwardIsDueAtItsNewTimeAlone() {
-        TickTimer ticks = new TickTimer(new Bed());
+        TickTimer ticks = new TickTimer(new RouterFixture());
         ticks.schedule(0, 50 * MS);
         assertFalse(ticks.isDue(20 * MS, "tick"));
         assertFalse(ticks.isDue(50 * MS, "subscribe"));
--- a/src/test/java/mintstair/decision/SimulatedDeployment.java
+++ b/src/test/java/mintstair/decision/SimulatedDeployment.java
@@ -216,7 +216,7 @@
                             kinds.get(id),
                             () -> later(NETWORK, () -> ended(id, attempt, host, AttemptOutcome.SUCCESS, sentAt)),
                             () -> later(0, () -> ended(id, attempt, host, AttemptOutcome.OVERLOADED, sentAt))));
-            long giveUpAt = abandonAt > 0 ? abandonAt : now + Bed.DEADLINE;
+            long giveUpAt = abandonAt > 0 ? abandonAt : now + RouterFixture.CLIENT_TIMEOUT_MICROS;
             later(giveUpAt - now, () -> ended(id, attempt, host, AttemptOutcome.TIMEOUT, sentAt));
         }
 
@@ -306,9 +306,9 @@
     /** Routers of uneven traffic, the first with a third of all, in front of a primary p and replicas r1 to r3. */
     SimulatedDeployment(int routers, long seed) {
         random = new Random(seed);
-        Bed bed = new Bed();
-        bed.routers = routers;
-        settings = bed.settings();
+        RouterFixture fixture = new RouterFixture();
+        fixture.fleetSize = routers;
+        settings = fixture.settings();
         protection = settings.protection();
         for (String name : List.of("p", "r1", "r2", "r3")) {
             hosts.put(name, new Host(name));
@@ -434,16 +434,16 @@
 
     private int drawKind() {
         if (random.nextInt(WRITE_EVERY) == 0) {
-            return Bed.UNSAFE_WRITE;
+            return RouterFixture.NON_IDEMPOTENT_WRITE;
         }
         if (hasLargeReads && random.nextInt(LARGE_EVERY) == 0) {
-            return Bed.SESSION;
+            return RouterFixture.SESSION_READ;
         }
-        return random.nextBoolean() ? Bed.ANY : Bed.BOUNDED;
+        return random.nextBoolean() ? RouterFixture.EVENTUAL_READ : RouterFixture.BOUNDED_READ;
     }
 
     private static double workOf(int kind) {
-        return kind == Bed.SESSION ? LARGE_WORK : 1;
+        return kind == RouterFixture.SESSION_READ ? LARGE_WORK : 1;
     }
 
     private double meanWork() {
@@ -458,6 +458,8 @@
         proxy.kinds.put(id, client.kind);
         String session = "session " + random.nextInt(1_000_000);
         proxy.router.onRequest(
-                now, new RoutingRequest(id, client.kind, 0, session, 0, false, Bed.DEADLINE, Positions.UNKNOWN));
+                now,
+                new RoutingRequest(
+                        id, client.kind, 0, session, 0, false, RouterFixture.CLIENT_TIMEOUT_MICROS, Positions.UNKNOWN));
     }
 }
--- a/src/test/java/mintstair/decision/SlowStartPartsTest.java
+++ b/src/test/java/mintstair/decision/SlowStartPartsTest.java
@@ -76,9 +76,9 @@
 
     @Test
     void riseOfTheDemandShowsWithinSeconds() {
-        Bed bed = new Bed().start();
+        RouterFixture fixture = new RouterFixture().start();
         ReplicaSetDemand demand = new ReplicaSetDemand();
-        InFlightRequest read = request(bed, Bed.ANY, 1);
+        InFlightRequest read = request(fixture, RouterFixture.EVENTUAL_READ, 1);
         long at = 0;
         for (; at < 60 * SECOND; at += 250 * MS) {
             demand.requestArrived(at, read);
@@ -91,32 +91,33 @@
         assertEquals(0, demand.primaryOnlyPerSecond(at, 0));
     }
 
-    private static InFlightRequest request(Bed bed, int kind, long id) {
+    private static InFlightRequest request(RouterFixture fixture, int kind, long id) {
         ClassStatistics statistics =
-                new ClassStatistics(bed.settings().classes().get(kind));
-        RoutingRequest request = new RoutingRequest(id, kind, 0, "session", -1, false, Bed.DEADLINE, Positions.UNKNOWN);
+                new ClassStatistics(fixture.settings().classes().get(kind));
+        RoutingRequest request = new RoutingRequest(
+                id, kind, 0, "session", -1, false, RouterFixture.CLIENT_TIMEOUT_MICROS, Positions.UNKNOWN);
         return new InFlightRequest(request, statistics, 0, Positions.UNKNOWN, false, 0.5, 6, 1);
     }
 
     /** What a host was sent before it was told to have started counts as well: it started a moment ago. */
     @Test
     void whatWasSentRightBeforeTheStartIsCounted() {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().group();
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().listReplicaSet();
         for (int i = 0; i < 400; i++) {
-            bed.request(i, Bed.ANY);
-            bed.now += 10 * MS;
-            bed.sendsOf(i).forEach(sent -> bed.outcome(sent, 0, AttemptOutcome.SUCCESS));
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.now += 10 * MS;
+            fixture.attemptsOf(i).forEach(sent -> fixture.endAttempt(sent, 0, AttemptOutcome.SUCCESS));
         }
-        int before = bed.sends.size();
-        bed.list(EndpointUpdateType.DELTA, started("r1", bed.now));
+        int before = fixture.sentAttempts.size();
+        fixture.updateEndpoints(EndpointUpdateType.DELTA, started("r1", fixture.now));
         for (int i = 1_000; i < 1_020; i++) {
-            bed.request(i, Bed.ANY);
-            bed.now += 10 * MS;
-            bed.sendsOf(i).forEach(sent -> bed.outcome(sent, 0, AttemptOutcome.SUCCESS));
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.now += 10 * MS;
+            fixture.attemptsOf(i).forEach(sent -> fixture.endAttempt(sent, 0, AttemptOutcome.SUCCESS));
         }
-        List<Bed.Sent> after = bed.sends.subList(before, bed.sends.size());
+        List<RouterFixture.SentAttempt> after = fixture.sentAttempts.subList(before, fixture.sentAttempts.size());
         assertEquals(20, after.size());
         assertTrue(after.stream().noneMatch(sent -> sent.host().equals("r1")), after.toString());
     }
@@ -124,17 +125,28 @@
     /** Each way to a host passes through the gate: further attempts, trials and what only that host can serve too. */
     @Test
     void stickyRequestsAreCountedToo() {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().group();
-        bed.list(EndpointUpdateType.DELTA, started("p", bed.now));
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().listReplicaSet();
+        fixture.updateEndpoints(EndpointUpdateType.DELTA, started("p", fixture.now));
         for (int i = 0; i < 50; i++) {
-            bed.router.onRequest(
-                    bed.now,
-                    new RoutingRequest(i, Bed.ANY, 0, "session " + i, -1, false, Bed.DEADLINE, Positions.UNKNOWN, "p"));
+            fixture.router.onRequest(
+                    fixture.now,
+                    new RoutingRequest(
+                            i,
+                            RouterFixture.EVENTUAL_READ,
+                            0,
+                            "session " + i,
+                            -1,
+                            false,
+                            RouterFixture.CLIENT_TIMEOUT_MICROS,
+                            Positions.UNKNOWN,
+                            "p"));
         }
-        assertFalse(bed.sends.isEmpty());
-        assertTrue(bed.sends.size() < 10, "sent " + bed.sends.size() + " of 50 at once to a host that just started");
+        assertFalse(fixture.sentAttempts.isEmpty());
+        assertTrue(
+                fixture.sentAttempts.size() < 10,
+                "sent " + fixture.sentAttempts.size() + " of 50 at once to a host that just started");
     }
 
     private static EndpointEntry started(String host, long at) {
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/SplitterTest.java
@@ -17,82 +17,88 @@
 
 /** The departures from the ordinary path, and the module's own limits. */
 class SplitterTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
     private static final int MAX_LINES = 400;
     private static final int MAX_COLUMNS = 140;
 
     @Test
     void readsSpreadAtRandomOverReplicas() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 300; i++) {
-            bed.request(i, Bed.ANY);
-            bed.pass(60 * MS);
-            bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.advance(60 * MS);
+            fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
         }
         for (String r : List.of("r1", "r2", "r3")) {
-            long n = bed.sends.stream().filter(s -> s.host().equals(r)).count();
+            long n = fixture.sentAttempts.stream()
+                    .filter(s -> s.host().equals(r))
+                    .count();
             assertTrue(n > 70 && n < 130, r + " got " + n);
         }
     }
 
     @Test
     void newestEvidenceOfThePrimaryWinsWhateverItsOrder() {
-        Bed bed = new Bed().start().group();
-        bed.now += 1_000 * MS;
-        bed.poll("r1", bed.now, ReplicationRole.PRIMARY);
-        bed.poll("p", bed.now - 900 * MS, ReplicationRole.PRIMARY);
-        bed.request(1, Bed.UNSAFE_WRITE);
-        assertEquals("r1", bed.last().host());
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.now += 1_000 * MS;
+        fixture.answerHealthCheck("r1", fixture.now, ReplicationRole.PRIMARY);
+        fixture.answerHealthCheck("p", fixture.now - 900 * MS, ReplicationRole.PRIMARY);
+        fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
+        assertEquals("r1", fixture.lastAttempt().host());
     }
 
     @Test
     void silentPrimaryIsFedNoMoreUnsafeWrites() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 6; i++) {
-            bed.request(i, Bed.UNSAFE_WRITE);
+            fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
-        int before = bed.sends.size();
-        bed.pass(2_000 * MS);
-        bed.request(50, Bed.UNSAFE_WRITE);
-        assertEquals(before, bed.sends.size());
-        assertTrue(bed.logs.stream().anyMatch(l -> l.startsWith("unresponsive p (primary)")), bed.logs.toString());
-        bed.poll("r1", bed.now, ReplicationRole.PRIMARY);
-        assertEquals(50, bed.last().id());
-        assertEquals("r1", bed.last().host());
+        int before = fixture.sentAttempts.size();
+        fixture.advance(2_000 * MS);
+        fixture.sendRequest(50, RouterFixture.NON_IDEMPOTENT_WRITE);
+        assertEquals(before, fixture.sentAttempts.size());
+        assertTrue(
+                fixture.logLines.stream().anyMatch(l -> l.startsWith("unresponsive p (primary)")),
+                fixture.logLines.toString());
+        fixture.answerHealthCheck("r1", fixture.now, ReplicationRole.PRIMARY);
+        assertEquals(50, fixture.lastAttempt().requestId());
+        assertEquals("r1", fixture.lastAttempt().host());
     }
 
     @Test
     void readStuckAtASilentReplicaIsServedElsewhere() {
-        Bed bed = new Bed().start().group();
-        bed.request(1, Bed.ANY);
-        String first = bed.last().host();
-        bed.pass(900 * MS);
-        assertTrue(bed.sendsOf(1).size() >= 2);
-        assertNotEquals(first, bed.sendsOf(1).get(1).host());
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        String first = fixture.lastAttempt().host();
+        fixture.advance(900 * MS);
+        assertTrue(fixture.attemptsOf(1).size() >= 2);
+        assertNotEquals(first, fixture.attemptsOf(1).get(1).host());
     }
 
     @Test
     void whereReplicasCheckABoundedReadTriesTheLeastBehind() {
-        Bed bed = new Bed();
-        bed.check = ReplicaReadCheck.REJECT;
-        bed.start().group();
-        bed.now += 250 * MS;
-        bed.request(1, Bed.BOUNDED);
-        assertNotEquals("p", bed.last().host());
-        bed.outcome(bed.last(), 0, AttemptOutcome.MISDIRECTED, ReplicationRole.REPLICA, Positions.UNKNOWN);
-        assertEquals(2, bed.sends.size());
-        assertNotEquals(bed.sends.get(0).host(), bed.sends.get(1).host());
+        RouterFixture fixture = new RouterFixture();
+        fixture.replicaReadCheck = ReplicaReadCheck.REJECT;
+        fixture.start().listReplicaSet();
+        fixture.now += 250 * MS;
+        fixture.sendRequest(1, RouterFixture.BOUNDED_READ);
+        assertNotEquals("p", fixture.lastAttempt().host());
+        fixture.endAttempt(
+                fixture.lastAttempt(), 0, AttemptOutcome.MISDIRECTED, ReplicationRole.REPLICA, Positions.UNKNOWN);
+        assertEquals(2, fixture.sentAttempts.size());
+        assertNotEquals(
+                fixture.sentAttempts.get(0).host(), fixture.sentAttempts.get(1).host());
     }
 
     @Test
     void listOutOfReachIsAskedAgainLaterAndLater() {
-        Bed bed = new Bed().start().group();
-        assertEquals(1, bed.subscribed);
-        bed.trace.setLength(0);
-        bed.list(EndpointUpdateType.FAILED);
-        bed.list(EndpointUpdateType.FAILED);
-        bed.list(EndpointUpdateType.FAILED);
-        long[] waits = bed.trace
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        assertEquals(1, fixture.subscriptions);
+        fixture.trace.setLength(0);
+        fixture.updateEndpoints(EndpointUpdateType.FAILED);
+        fixture.updateEndpoints(EndpointUpdateType.FAILED);
+        fixture.updateEndpoints(EndpointUpdateType.FAILED);
+        long[] waits = fixture.trace
                 .toString()
                 .lines()
                 .filter(l -> l.startsWith("timer subscribe"))
@@ -100,10 +106,10 @@
                 .toArray();
         assertEquals(3, waits.length);
         assertTrue(waits[0] >= 500 * MS && waits[2] >= 2_000 * MS);
-        bed.router.onTimer(bed.now, "subscribe");
-        assertEquals(2, bed.subscribed);
-        bed.request(1, Bed.ANY);
-        assertEquals(1, bed.sends.size());
+        fixture.router.onTimer(fixture.now, "subscribe");
+        assertEquals(2, fixture.subscriptions);
+        fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        assertEquals(1, fixture.sentAttempts.size());
     }
 
     @Test
@@ -112,173 +118,189 @@
     }
 
     private static String script() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 200; i++) {
-            bed.request(i, i % 5);
-            bed.pass(20 * MS);
+            fixture.sendRequest(i, i % 5);
+            fixture.advance(20 * MS);
             if (i % 3 == 0) {
-                bed.outcome(bed.last(), bed.sendsOf(bed.last().id()).size() - 1, AttemptOutcome.SUCCESS);
+                fixture.endAttempt(
+                        fixture.lastAttempt(),
+                        fixture.attemptsOf(fixture.lastAttempt().requestId()).size() - 1,
+                        AttemptOutcome.SUCCESS);
             }
         }
-        return bed.trace.toString();
+        return fixture.trace.toString();
     }
 
     @Test
     void hostsOutOfReachGetNoTrialTraffic() {
-        Bed bed = new Bed().start().group();
-        bed.now += 500 * MS;
-        for (int i = 0; i < 20 && bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")); i++) {
-            bed.request(1_000 + i, Bed.ANY);
-            bed.loseOrAnswerPolls("r1");
-            bed.now += 100 * MS;
-            if (!bed.sendsOf(1_000 + i).isEmpty()) {
-                bed.outcome(
-                        bed.last(),
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.now += 500 * MS;
+        for (int i = 0; i < 20 && fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")); i++) {
+            fixture.sendRequest(1_000 + i, RouterFixture.EVENTUAL_READ);
+            fixture.answerHealthChecksExcept("r1");
+            fixture.now += 100 * MS;
+            if (!fixture.attemptsOf(1_000 + i).isEmpty()) {
+                fixture.endAttempt(
+                        fixture.lastAttempt(),
                         0,
-                        bed.last().host().equals("r1") ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+                        fixture.lastAttempt().host().equals("r1")
+                                ? AttemptOutcome.UNREACHABLE
+                                : AttemptOutcome.SUCCESS);
             }
         }
-        assertTrue(bed.logs.contains("unresponsive r1: unreachable"), bed.logs.toString());
-        bed.sends.clear();
+        assertTrue(fixture.logLines.contains("unresponsive r1: unreachable"), fixture.logLines.toString());
+        fixture.sentAttempts.clear();
         for (int i = 0; i < 200; i++) {
-            bed.request(i, Bed.ANY);
-            bed.loseOrAnswerPolls("r1");
-            bed.now += 40 * MS;
-            boolean lost = bed.last().host().equals("r1");
-            if (!bed.sendsOf(i).isEmpty())
-                bed.outcome(bed.last(), 0, lost ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.answerHealthChecksExcept("r1");
+            fixture.now += 40 * MS;
+            boolean lost = fixture.lastAttempt().host().equals("r1");
+            if (!fixture.attemptsOf(i).isEmpty())
+                fixture.endAttempt(
+                        fixture.lastAttempt(), 0, lost ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
         }
-        assertTrue(bed.sends.size() >= 195, "sent " + bed.sends.size());
-        assertTrue(bed.sends.stream().filter(s -> s.host().equals("r1")).count() < 10);
-        bed.router.onHealthCheckEnded(
-                bed.now, "r1", AttemptOutcome.SUCCESS, 1 * MS, new ReplicationStatus(bed.now, ReplicationRole.REPLICA));
-        assertTrue(bed.logs.contains("slow start r1: capacity grows from its start on"), bed.logs.toString());
+        assertTrue(fixture.sentAttempts.size() >= 195, "sent " + fixture.sentAttempts.size());
+        assertTrue(
+                fixture.sentAttempts.stream().filter(s -> s.host().equals("r1")).count() < 10);
+        fixture.router.onHealthCheckEnded(
+                fixture.now,
+                "r1",
+                AttemptOutcome.SUCCESS,
+                1 * MS,
+                new ReplicationStatus(fixture.now, ReplicationRole.REPLICA));
+        assertTrue(
+                fixture.logLines.contains("slow start r1: capacity grows from its start on"),
+                fixture.logLines.toString());
     }
 
     @Test
     void endOfASlowStartIsLoggedWithWhatWasSentAndHeldBack() {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().group();
-        bed.list(EndpointUpdateType.DELTA, new EndpointEntry("p", false, "z", 0, EndpointState.SERVING, 1, bed.now));
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().listReplicaSet();
+        fixture.updateEndpoints(
+                EndpointUpdateType.DELTA, new EndpointEntry("p", false, "z", 0, EndpointState.SERVING, 1, fixture.now));
         for (int i = 0; i < 20; i++) {
-            bed.request(i, Bed.UNSAFE_WRITE);
+            fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
-        bed.pass(1_000 * MS);
-        assertTrue(bed.logs.stream().noneMatch(line -> line.contains(": over after")), bed.logs.toString());
-        bed.pass(9_100 * MS);
-        String line = bed.logs.stream()
+        fixture.advance(1_000 * MS);
+        assertTrue(
+                fixture.logLines.stream().noneMatch(line -> line.contains(": over after")),
+                fixture.logLines.toString());
+        fixture.advance(9_100 * MS);
+        String line = fixture.logLines.stream()
                 .filter(each -> each.startsWith("slow start p: over after 10.0 s, "))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError(bed.logs.toString()));
-        String counts = bed.sends.size() + " attempts sent, ([1-9]|1[0-9]) requests held back";
+                .orElseThrow(() -> new AssertionError(fixture.logLines.toString()));
+        String counts = fixture.sentAttempts.size() + " attempts sent, ([1-9]|1[0-9]) requests held back";
         assertTrue(line.matches(".* s, " + counts), line);
     }
 
     @Test
     void connectionsNotMadeShowALostHostBeforeItsPollsDo() {
-        Bed bed = new Bed().start().group();
-        for (int i = 0; i < 40 && bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")); i++) {
-            bed.request(i, Bed.ANY);
-            bed.now += 10 * MS;
-            bed.outcome(
-                    bed.last(),
-                    bed.sendsOf(bed.last().id()).size() - 1,
-                    bed.last().host().equals("r2") ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        for (int i = 0; i < 40 && fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")); i++) {
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.now += 10 * MS;
+            fixture.endAttempt(
+                    fixture.lastAttempt(),
+                    fixture.attemptsOf(fixture.lastAttempt().requestId()).size() - 1,
+                    fixture.lastAttempt().host().equals("r2") ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             // A poll that was not even sent is no sign of life.
-            bed.router.onHealthCheckEnded(bed.now, "r2", AttemptOutcome.NOT_SENT, 0, null);
+            fixture.router.onHealthCheckEnded(fixture.now, "r2", AttemptOutcome.NOT_SENT, 0, null);
         }
-        assertTrue(bed.logs.contains("unresponsive r2: unreachable"), bed.logs.toString());
+        assertTrue(fixture.logLines.contains("unresponsive r2: unreachable"), fixture.logLines.toString());
     }
 
     /** Guards against hosts that are taken for restarted, and fed as cold ones, as connections to them break. */
     @Test
     void brokenPollsLeaveAHostInUse() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 5; i++) {
-            bed.now += 100 * MS;
-            bed.router.onHealthCheckEnded(bed.now, "r1", AttemptOutcome.CONNECTION_RESET, MS, null);
+            fixture.now += 100 * MS;
+            fixture.router.onHealthCheckEnded(fixture.now, "r1", AttemptOutcome.CONNECTION_RESET, MS, null);
         }
-        bed.poll("r1", bed.now, ReplicationRole.REPLICA);
-        assertTrue(bed.logs.stream().noneMatch(line -> line.contains("r1")), bed.logs.toString());
+        fixture.answerHealthCheck("r1", fixture.now, ReplicationRole.REPLICA);
+        assertTrue(fixture.logLines.stream().noneMatch(line -> line.contains("r1")), fixture.logLines.toString());
     }
 
     /** Guards against growth over a long day, and against polls that become rarer with every host that has gone. */
     @Test
     void hostsThatStayAwayAreForgotten() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 50; i++) {
-            bed.list(EndpointUpdateType.DELTA, Bed.ready("new" + i));
-            bed.poll("new" + i, bed.now, ReplicationRole.REPLICA);
-            bed.state("new" + i, EndpointState.REMOVED);
+            fixture.updateEndpoints(EndpointUpdateType.DELTA, RouterFixture.servingEntry("new" + i));
+            fixture.answerHealthCheck("new" + i, fixture.now, ReplicationRole.REPLICA);
+            fixture.updateState("new" + i, EndpointState.REMOVED);
         }
-        bed.now += 11_000 * MS;
-        bed.state("r1", EndpointState.SERVING);
-        bed.logs.clear();
-        bed.router.onHealthCheckEnded(bed.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
-        bed.router.onHealthCheckEnded(bed.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
-        assertTrue(bed.logs.isEmpty(), "nothing is known of it any more");
+        fixture.now += 11_000 * MS;
+        fixture.updateState("r1", EndpointState.SERVING);
+        fixture.logLines.clear();
+        fixture.router.onHealthCheckEnded(fixture.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
+        fixture.router.onHealthCheckEnded(fixture.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
+        assertTrue(fixture.logLines.isEmpty(), "nothing is known of it any more");
     }
 
     /** Guards against refusals that come late for a request of which nothing was ever sent. */
     @Test
     void whatWasNeverSentIsGivenUpInTheFirstHalfOfItsTime() {
-        Bed bed = new Bed().start();
-        bed.list(EndpointUpdateType.SNAPSHOT, Bed.ready("r1"));
-        bed.request(1, Bed.UNSAFE_WRITE, 1000 * MS, Positions.UNKNOWN);
-        bed.pass(500 * MS);
-        assertEquals(List.of(1L), bed.refused);
+        RouterFixture fixture = new RouterFixture().start();
+        fixture.updateEndpoints(EndpointUpdateType.SNAPSHOT, RouterFixture.servingEntry("r1"));
+        fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE, 1000 * MS, Positions.UNKNOWN);
+        fixture.advance(500 * MS);
+        assertEquals(List.of(1L), fixture.rejected);
     }
 
     @Test
     void refusedClientsComeBackWithinTheirAimOrElseLate() {
-        Bed bed = new Bed().start().group();
-        bed.list(EndpointUpdateType.SNAPSHOT);
-        bed.request(1, Bed.ANY);
-        bed.pass(120 * MS);
-        assertEquals(List.of(75 * MS), bed.comeBacks);
-        Bed late = new Bed().start().group();
-        late.request(1, Bed.ANY);
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.updateEndpoints(EndpointUpdateType.SNAPSHOT);
+        fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        fixture.advance(120 * MS);
+        assertEquals(List.of(75 * MS), fixture.retryAfters);
+        RouterFixture late = new RouterFixture().start().listReplicaSet();
+        late.sendRequest(1, RouterFixture.EVENTUAL_READ);
         late.now += 250 * MS;
-        late.outcome(late.last(), 0, AttemptOutcome.TIMEOUT, ReplicationRole.UNKNOWN, Positions.UNKNOWN);
-        assertEquals(List.of(500 * MS), late.comeBacks);
+        late.endAttempt(late.lastAttempt(), 0, AttemptOutcome.TIMEOUT, ReplicationRole.UNKNOWN, Positions.UNKNOWN);
+        assertEquals(List.of(500 * MS), late.retryAfters);
     }
 
     /** Guards against reads that are refused until some write comes to look for the group's new primary. */
     @Test
     void readLooksForAPrimaryWhereTheOldOneDrains() {
-        Bed bed = new Bed().start().group();
-        bed.now += 400 * MS;
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.now += 400 * MS;
         for (String r : List.of("r1", "r2", "r3")) {
-            bed.poll(r, bed.now - 5_000 * MS, ReplicationRole.REPLICA);
+            fixture.answerHealthCheck(r, fixture.now - 5_000 * MS, ReplicationRole.REPLICA);
         }
-        bed.state("p", EndpointState.DRAINING);
-        bed.probes.clear();
-        bed.request(1, Bed.BOUNDED);
-        assertTrue(bed.probes.containsAll(List.of("r1", "r2", "r3")), bed.probes.toString());
-        bed.poll("r2", bed.now, ReplicationRole.PRIMARY);
-        assertEquals("r2", bed.last().host());
+        fixture.updateState("p", EndpointState.DRAINING);
+        fixture.healthChecks.clear();
+        fixture.sendRequest(1, RouterFixture.BOUNDED_READ);
+        assertTrue(fixture.healthChecks.containsAll(List.of("r1", "r2", "r3")), fixture.healthChecks.toString());
+        fixture.answerHealthCheck("r2", fixture.now, ReplicationRole.PRIMARY);
+        assertEquals("r2", fixture.lastAttempt().host());
     }
 
     /** Guards against a read that meets the same fault at its primary again and again, with replicas unasked. */
     @Test
     void readThatFailedAtThePrimaryIsProvenElsewhere() {
-        Bed bed = new Bed().start().group();
-        bed.now += 400 * MS;
-        bed.request(1, Bed.BOUNDED);
-        for (int i = 0; i < 20 && bed.sends.isEmpty(); i++) {
-            bed.answerPolls(300 * MS);
-            bed.pass(5 * MS);
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.now += 400 * MS;
+        fixture.sendRequest(1, RouterFixture.BOUNDED_READ);
+        for (int i = 0; i < 20 && fixture.sentAttempts.isEmpty(); i++) {
+            fixture.answerHealthChecks(300 * MS);
+            fixture.advance(5 * MS);
         }
-        assertEquals("p", bed.last().host());
-        bed.answerPolls(300 * MS);
-        bed.now += 40 * MS;
-        int polls = bed.probes.size();
-        bed.outcome(bed.last(), 0, AttemptOutcome.ERROR);
-        assertTrue(bed.probes.size() > polls);
-        assertEquals(1, bed.sends.size());
-        bed.answerPolls(10 * MS);
-        assertFalse(bed.last().host().equals("p"));
+        assertEquals("p", fixture.lastAttempt().host());
+        fixture.answerHealthChecks(300 * MS);
+        fixture.now += 40 * MS;
+        int polls = fixture.healthChecks.size();
+        fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.ERROR);
+        assertTrue(fixture.healthChecks.size() > polls);
+        assertEquals(1, fixture.sentAttempts.size());
+        fixture.answerHealthChecks(10 * MS);
+        assertFalse(fixture.lastAttempt().host().equals("p"));
     }
 
     /**
@@ -288,29 +310,30 @@
     private static int sentUnheard(long latency) {
         int sent = 0;
         for (int n = 0; n < 50; n++) {
-            Bed bed = new Bed();
-            bed.seed = n;
-            bed.oneSession = false;
-            bed.routers = 14;
-            bed.start();
+            RouterFixture fixture = new RouterFixture();
+            fixture.seed = n;
+            fixture.hasSharedSession = false;
+            fixture.fleetSize = 14;
+            fixture.start();
             List<EndpointEntry> hosts = new ArrayList<>();
             for (int g = 0; g < 2; g++) {
                 for (String h : List.of("p", "r1", "r2", "r3")) {
                     hosts.add(new EndpointEntry(h + g, false, "z", g, EndpointState.SERVING, 1, 0));
                 }
             }
-            bed.list(EndpointUpdateType.SNAPSHOT, hosts.toArray(EndpointEntry[]::new));
-            hosts.forEach(h -> bed.poll(
+            fixture.updateEndpoints(EndpointUpdateType.SNAPSHOT, hosts.toArray(EndpointEntry[]::new));
+            hosts.forEach(h -> fixture.answerHealthCheck(
                     h.host(),
-                    bed.now - (h.host().startsWith("p") ? 0 : 9_000 * MS),
+                    fixture.now - (h.host().startsWith("p") ? 0 : 9_000 * MS),
                     h.host().startsWith("p") ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA));
             for (int i = 0; i < 60; i++) {
-                bed.router.onRequest(
-                        bed.now, new RoutingRequest(i, Bed.SESSION, 1, "s" + i, 0, false, 1200 * MS, 5 * MS));
-                bed.now += latency;
-                if (!bed.sends.isEmpty() && bed.last().id() == i) {
-                    bed.router.onAttemptEnded(
-                            bed.now,
+                fixture.router.onRequest(
+                        fixture.now,
+                        new RoutingRequest(i, RouterFixture.SESSION_READ, 1, "s" + i, 0, false, 1200 * MS, 5 * MS));
+                fixture.now += latency;
+                if (!fixture.sentAttempts.isEmpty() && fixture.lastAttempt().requestId() == i) {
+                    fixture.router.onAttemptEnded(
+                            fixture.now,
                             new AttemptResult(
                                     i,
                                     0,
@@ -319,12 +342,13 @@
                                     latency,
                                     true,
                                     ReplicationRole.PRIMARY,
-                                    bed.now));
+                                    fixture.now));
                 }
             }
-            bed.router.onRequest(
-                    bed.now, new RoutingRequest(99, Bed.SESSION, 0, "of " + n, 0, false, 1200 * MS, 5 * MS));
-            sent += bed.last().id() == 99 ? 1 : 0;
+            fixture.router.onRequest(
+                    fixture.now,
+                    new RoutingRequest(99, RouterFixture.SESSION_READ, 0, "of " + n, 0, false, 1200 * MS, 5 * MS));
+            sent += fixture.lastAttempt().requestId() == 99 ? 1 : 0;
         }
         return sent;
     }
@@ -340,76 +364,80 @@
 
     @Test
     void clockThatGoesBackIsTakenToStand() {
-        Bed bed = new Bed().start().group();
-        bed.router.onTimer(bed.now + 1_000 * MS, "tick");
-        bed.now -= 500 * MS;
-        bed.request(1, Bed.BOUNDED);
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.router.onTimer(fixture.now + 1_000 * MS, "tick");
+        fixture.now -= 500 * MS;
+        fixture.sendRequest(1, RouterFixture.BOUNDED_READ);
         assertEquals(
                 List.of("p"),
-                bed.sends.stream().map(Bed.Sent::host).toList(),
+                fixture.sentAttempts.stream()
+                        .map(RouterFixture.SentAttempt::host)
+                        .toList(),
                 "replicas known 1 s before the last time");
     }
 
     @Test
     void busyPrimaryWhoseReplicasAdvanceIsNotSilent() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 6; i++) {
-            bed.request(i, Bed.UNSAFE_WRITE);
+            fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
         for (int i = 0; i < 20; i++) {
-            bed.pass(100 * MS);
-            bed.poll("r1", bed.now - 10 * MS, ReplicationRole.REPLICA);
+            fixture.advance(100 * MS);
+            fixture.answerHealthCheck("r1", fixture.now - 10 * MS, ReplicationRole.REPLICA);
         }
-        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive p")), bed.logs.toString());
-        bed.request(50, Bed.UNSAFE_WRITE);
-        assertEquals("p", bed.last().host());
+        assertTrue(
+                fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive p")), fixture.logLines.toString());
+        fixture.sendRequest(50, RouterFixture.NON_IDEMPOTENT_WRITE);
+        assertEquals("p", fixture.lastAttempt().host());
     }
 
     @Test
     void oneLongRequestIsNoSilence() {
-        Bed bed = new Bed().start().group();
-        bed.request(1, Bed.UNSAFE_WRITE);
-        bed.pass(2_500 * MS);
-        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")), bed.logs.toString());
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
+        fixture.advance(2_500 * MS);
+        assertTrue(fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")), fixture.logLines.toString());
     }
 
     @Test
     void sessionReadNeedsProofAsLongAsThePrimaryHasRoom() {
-        Bed bed = new Bed();
-        bed.check = ReplicaReadCheck.REJECT;
-        bed.start().group();
-        bed.now += 100 * MS;
+        RouterFixture fixture = new RouterFixture();
+        fixture.replicaReadCheck = ReplicaReadCheck.REJECT;
+        fixture.start().listReplicaSet();
+        fixture.now += 100 * MS;
         for (int i = 0; i < 30; i++) {
-            bed.request(i, Bed.SESSION, 1_200 * MS, 50 * MS);
+            fixture.sendRequest(i, RouterFixture.SESSION_READ, 1_200 * MS, 50 * MS);
         }
-        assertEquals("p", bed.sends.get(0).host());
-        assertEquals("p", bed.sends.get(1).host());
-        assertNotEquals("p", bed.last().host());
+        assertEquals("p", fixture.sentAttempts.get(0).host());
+        assertEquals("p", fixture.sentAttempts.get(1).host());
+        assertNotEquals("p", fixture.lastAttempt().host());
     }
 
     @Test
     void eventsOutOfPlaceDoNoHarm() {
-        Bed bed = new Bed().start().group();
-        bed.router.onClientDisconnected(bed.now, 99);
-        bed.router.onTimer(bed.now, "unheard of");
-        bed.router.onHealthCheckEnded(bed.now, "stranger", AttemptOutcome.SUCCESS, 1, null);
-        bed.router.onAttemptEnded(
-                bed.now, new AttemptResult(99, 0, "p", AttemptOutcome.SUCCESS, 1, true, ReplicationRole.PRIMARY, 0));
-        bed.request(1, Bed.ANY);
-        bed.router.onClientDisconnected(bed.now, 1);
-        bed.outcome(bed.last(), 0, AttemptOutcome.TIMEOUT);
-        assertEquals(1, bed.sends.size());
-        assertTrue(bed.failed.isEmpty() && bed.refused.isEmpty());
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.router.onClientDisconnected(fixture.now, 99);
+        fixture.router.onTimer(fixture.now, "unheard of");
+        fixture.router.onHealthCheckEnded(fixture.now, "stranger", AttemptOutcome.SUCCESS, 1, null);
+        fixture.router.onAttemptEnded(
+                fixture.now,
+                new AttemptResult(99, 0, "p", AttemptOutcome.SUCCESS, 1, true, ReplicationRole.PRIMARY, 0));
+        fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        fixture.router.onClientDisconnected(fixture.now, 1);
+        fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.TIMEOUT);
+        assertEquals(1, fixture.sentAttempts.size());
+        assertTrue(fixture.failed.isEmpty() && fixture.rejected.isEmpty());
     }
 
     @Test
     void impossibleSettingsAreRefusedByName() {
-        Bed bed = new Bed();
-        bed.routers = 0;
-        assertTrue(assertThrows(IllegalArgumentException.class, bed::start)
+        RouterFixture fixture = new RouterFixture();
+        fixture.fleetSize = 0;
+        assertTrue(assertThrows(IllegalArgumentException.class, fixture::start)
                 .getMessage()
                 .contains("routers"));
-        Bed other = new Bed();
+        RouterFixture other = new RouterFixture();
         other.maxAttempts = 0;
         assertTrue(assertThrows(IllegalArgumentException.class, other::start)
                 .getMessage()
--- a/src/test/java/mintstair/decision/WrongClockTest.java
+++ b/src/test/java/mintstair/decision/WrongClockTest.java
@@ -16,32 +16,38 @@
  * begin one, nor hide a new primary.
  */
 class WrongClockTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
     private static final long SECOND = 1_000 * MS;
     private static final long HOUR = 3_600 * SECOND;
 
-    private final Bed bed = new Bed();
+    private final RouterFixture fixture = new RouterFixture();
 
     /**
      * Group 0 as the right clock, which is so far ahead of the router's, has it; {@code lag} is that of all replicas.
      */
     private void start(long ahead, long lag) {
-        bed.now = 100 * HOUR;
-        bed.start();
-        bed.list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"), Bed.ready("r1"), Bed.ready("r2"), Bed.ready("r3"));
+        fixture.now = 100 * HOUR;
+        fixture.start();
+        fixture.updateEndpoints(
+                EndpointUpdateType.SNAPSHOT,
+                RouterFixture.servingEntry("p"),
+                RouterFixture.servingEntry("r1"),
+                RouterFixture.servingEntry("r2"),
+                RouterFixture.servingEntry("r3"));
         for (String replica : List.of("r1", "r2", "r3")) {
-            bed.poll(replica, bed.now + ahead - lag, ReplicationRole.REPLICA);
+            fixture.answerHealthCheck(replica, fixture.now + ahead - lag, ReplicationRole.REPLICA);
         }
-        bed.poll("p", bed.now + ahead, ReplicationRole.PRIMARY);
+        fixture.answerHealthCheck("p", fixture.now + ahead, ReplicationRole.PRIMARY);
     }
 
     private void pollAll(long ahead, long lag) {
-        for (; bed.answered < bed.probes.size(); bed.answered++) {
-            boolean primary = bed.probes.get(bed.answered).equals("p");
-            bed.now += MS;
-            bed.poll(
-                    bed.probes.get(bed.answered),
-                    bed.now + ahead - (primary ? 0 : lag),
+        for (; fixture.answeredHealthChecks < fixture.healthChecks.size(); fixture.answeredHealthChecks++) {
+            boolean primary =
+                    fixture.healthChecks.get(fixture.answeredHealthChecks).equals("p");
+            fixture.now += MS;
+            fixture.answerHealthCheck(
+                    fixture.healthChecks.get(fixture.answeredHealthChecks),
+                    fixture.now + ahead - (primary ? 0 : lag),
                     primary ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
         }
     }
@@ -49,13 +55,13 @@
     private Set<String> hostsOfReads(int reads, int kind, long ahead, long lag) {
         Set<String> hosts = new HashSet<>();
         for (long id = 1; id <= reads; id++) {
-            bed.now += 5 * MS;
-            int sent = bed.sends.size();
-            bed.request(id, kind);
+            fixture.now += 5 * MS;
+            int sent = fixture.sentAttempts.size();
+            fixture.sendRequest(id, kind);
             pollAll(ahead, lag);
-            if (bed.sends.size() > sent) {
-                hosts.add(bed.last().host());
-                bed.outcome(bed.last(), bed.sendsOf(id).size() - 1, AttemptOutcome.SUCCESS);
+            if (fixture.sentAttempts.size() > sent) {
+                hosts.add(fixture.lastAttempt().host());
+                fixture.endAttempt(fixture.lastAttempt(), fixture.attemptsOf(id).size() - 1, AttemptOutcome.SUCCESS);
             }
         }
         return hosts;
@@ -68,21 +74,21 @@
     @Test
     void clockThatIsBehindMakesNoStaleRead() {
         start(HOUR, 5 * SECOND);
-        assertEquals(Set.of("p"), hostsOfReads(100, Bed.BOUNDED, HOUR, 5 * SECOND));
+        assertEquals(Set.of("p"), hostsOfReads(100, RouterFixture.BOUNDED_READ, HOUR, 5 * SECOND));
     }
 
     /** Two seconds behind, and replicas that lag by as much: the smallest step that hides a lag. */
     @Test
     void clockThatIsBehindByAsMuchAsReplicasLagMakesNoStaleRead() {
         start(2 * SECOND, 2 * SECOND);
-        assertEquals(Set.of("p"), hostsOfReads(100, Bed.BOUNDED, 2 * SECOND, 2 * SECOND));
+        assertEquals(Set.of("p"), hostsOfReads(100, RouterFixture.BOUNDED_READ, 2 * SECOND, 2 * SECOND));
     }
 
     /** Its own answers show what replicas lag: the clock is right there, and those that keep up are used. */
     @Test
     void replicasThatKeepUpAreUsedWhereTheClockIsBehind() {
         start(HOUR, 10 * MS);
-        assertTrue(hostsOfReads(100, Bed.BOUNDED, HOUR, 10 * MS).size() > 2);
+        assertTrue(hostsOfReads(100, RouterFixture.BOUNDED_READ, HOUR, 10 * MS).size() > 2);
     }
 
     /**
@@ -91,13 +97,15 @@
     @Test
     void clockThatIsBehindStartsNoSlowStart() {
         start(HOUR, 10 * MS);
-        long started = bed.now + HOUR - 600 * SECOND;
+        long started = fixture.now + HOUR - 600 * SECOND;
         for (String host : List.of("p", "r1", "r2", "r3")) {
-            bed.list(
+            fixture.updateEndpoints(
                     EndpointUpdateType.DELTA,
                     new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, started));
         }
-        assertFalse(bed.logs.stream().anyMatch(line -> line.startsWith("slow start ")), bed.logs.toString());
+        assertFalse(
+                fixture.logLines.stream().anyMatch(line -> line.startsWith("slow start ")),
+                fixture.logLines.toString());
     }
 
     /**
@@ -106,31 +114,33 @@
      */
     @Test
     void slowStartOfAWrongClockEndsWithTheFirstPositions() {
-        bed.now = 100 * HOUR;
-        bed.start();
-        long started = bed.now + HOUR - 600 * SECOND;
-        bed.list(
+        fixture.now = 100 * HOUR;
+        fixture.start();
+        long started = fixture.now + HOUR - 600 * SECOND;
+        fixture.updateEndpoints(
                 EndpointUpdateType.SNAPSHOT,
                 new EndpointEntry("p", false, "z", 0, EndpointState.SERVING, 1, started),
                 new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, started));
-        bed.poll("p", bed.now + HOUR, ReplicationRole.PRIMARY);
-        bed.poll("r1", bed.now + HOUR, ReplicationRole.REPLICA);
+        fixture.answerHealthCheck("p", fixture.now + HOUR, ReplicationRole.PRIMARY);
+        fixture.answerHealthCheck("r1", fixture.now + HOUR, ReplicationRole.REPLICA);
         // 40 at once: a cold replica would be given its fifth of them at most.
-        int sent = bed.sends.size();
+        int sent = fixture.sentAttempts.size();
         for (long id = 1; id <= 12; id++) {
-            bed.request(id, Bed.ANY);
+            fixture.sendRequest(id, RouterFixture.EVENTUAL_READ);
         }
-        assertTrue(bed.sends.size() - sent >= 10, "sent " + (bed.sends.size() - sent));
+        assertTrue(fixture.sentAttempts.size() - sent >= 10, "sent " + (fixture.sentAttempts.size() - sent));
     }
 
     /** Started a second ago by the right clock; this one is an hour ahead. */
     @Test
     void clockThatIsAheadWipesNoSlowStart() {
         start(-HOUR, 10 * MS);
-        bed.list(
+        fixture.updateEndpoints(
                 EndpointUpdateType.DELTA,
-                new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now - HOUR - SECOND));
-        assertTrue(bed.logs.contains("slow start r1: capacity grows from its start on"), bed.logs.toString());
+                new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, fixture.now - HOUR - SECOND));
+        assertTrue(
+                fixture.logLines.contains("slow start r1: capacity grows from its start on"),
+                fixture.logLines.toString());
     }
 
     /**
@@ -139,15 +149,17 @@
      */
     @Test
     void slowStartThatAClockAheadHidBeginsWithTheFirstPositions() {
-        bed.now = 100 * HOUR;
-        bed.start();
-        bed.list(
+        fixture.now = 100 * HOUR;
+        fixture.start();
+        fixture.updateEndpoints(
                 EndpointUpdateType.SNAPSHOT,
-                Bed.ready("p"),
-                new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now - HOUR - SECOND));
-        bed.poll("p", bed.now - HOUR, ReplicationRole.PRIMARY);
-        bed.poll("r1", bed.now - HOUR, ReplicationRole.REPLICA);
-        assertTrue(bed.logs.contains("slow start r1: capacity grows from its start on"), bed.logs.toString());
+                RouterFixture.servingEntry("p"),
+                new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, fixture.now - HOUR - SECOND));
+        fixture.answerHealthCheck("p", fixture.now - HOUR, ReplicationRole.PRIMARY);
+        fixture.answerHealthCheck("r1", fixture.now - HOUR, ReplicationRole.REPLICA);
+        assertTrue(
+                fixture.logLines.contains("slow start r1: capacity grows from its start on"),
+                fixture.logLines.toString());
     }
 
     /**
@@ -157,12 +169,13 @@
     @Test
     void newPrimaryThatAPollTellsOfIsFoundWhereTheClockIsAhead() {
         start(-HOUR, 10 * MS);
-        bed.request(1, Bed.UNSAFE_WRITE);
-        bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS, ReplicationRole.PRIMARY, Positions.UNKNOWN);
-        bed.now += 10 * SECOND;
-        bed.poll("r1", bed.now - HOUR, ReplicationRole.PRIMARY);
-        bed.request(2, Bed.UNSAFE_WRITE);
-        assertEquals("r1", bed.last().host());
+        fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
+        fixture.endAttempt(
+                fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS, ReplicationRole.PRIMARY, Positions.UNKNOWN);
+        fixture.now += 10 * SECOND;
+        fixture.answerHealthCheck("r1", fixture.now - HOUR, ReplicationRole.PRIMARY);
+        fixture.sendRequest(2, RouterFixture.NON_IDEMPOTENT_WRITE);
+        assertEquals("r1", fixture.lastAttempt().host());
     }
 
     /**
@@ -172,19 +185,20 @@
     @Test
     void lostPrimaryIsNotTakenToLiveWhereTheClockIsBehind() {
         start(HOUR, 10 * MS);
-        bed.now += 10 * SECOND;
-        bed.probes.clear();
-        bed.answered = 0;
-        int sent = bed.sends.size();
-        bed.request(1, Bed.UNSAFE_WRITE);
-        assertEquals(sent, bed.sends.size(), "a write goes to a primary that was not heard of for 10 s");
-        assertTrue(bed.probes.contains("p"));
+        fixture.now += 10 * SECOND;
+        fixture.healthChecks.clear();
+        fixture.answeredHealthChecks = 0;
+        int sent = fixture.sentAttempts.size();
+        fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
+        assertEquals(sent, fixture.sentAttempts.size(), "a write goes to a primary that was not heard of for 10 s");
+        assertTrue(fixture.healthChecks.contains("p"));
     }
 
     /** Nothing of this concerns a clock that is right to within what machines' clocks differ by. */
     @Test
     void readsAreSpreadByARightClock() {
         start(2 * MS, 10 * MS);
-        assertTrue(hostsOfReads(100, Bed.BOUNDED, 2 * MS, 10 * MS).size() > 2);
+        assertTrue(
+                hostsOfReads(100, RouterFixture.BOUNDED_READ, 2 * MS, 10 * MS).size() > 2);
     }
 }
