--- a/src/main/java/mintstair/decision/AnswerLossEstimator.java
+++ b/src/main/java/mintstair/decision/AnswerLossEstimator.java
@@ -25,7 +25,7 @@
     }
 
     /** Whether answers get lost, rather than late by overload. */
-    boolean isLosingAnswers() {
+    boolean isLosingReplies() {
         double answerTime = Math.max(MIN_ANSWER_TIME, pooled.replicas().answerTime());
         boolean swift = answerTime < ConcurrencyLimit.SWIFT * ConcurrencyLimit.STRAIN_AIM;
         return swift && lostShare > LOSS_THRESHOLD + Math.exp(-1 / answerTime);
--- a/src/main/java/mintstair/decision/AttemptObserver.java
+++ b/src/main/java/mintstair/decision/AttemptObserver.java
@@ -72,7 +72,7 @@
             endpoint.overloadedAt = now;
         }
         if (outcome == AttemptOutcome.SUCCESS) {
-            throughput.answered(request.work);
+            throughput.recordServed(request.work);
         }
         if (outcome == AttemptOutcome.SUCCESS && request.isWrite()) {
             rememberWrite(now, request, result);
--- a/src/main/java/mintstair/decision/AttemptRules.java
+++ b/src/main/java/mintstair/decision/AttemptRules.java
@@ -16,27 +16,27 @@
      * @param now the time in microseconds
      * @param requestOver whether its request has had its final answer or was given up
      * @param clientGone whether its client has closed its connection
-     * @param until when the attempt is given up, and the client's deadline at the latest
+     * @param abandonAt when the attempt is given up, and the client's deadline at the latest
      * @param beginBy until when what the decision rested on holds
-     * @param hostDrains whether its host is listed as draining
+     * @param hostDraining whether its host is listed as draining
      */
     public record Facts(
-            long now, boolean requestOver, boolean clientGone, long until, long beginBy, boolean hostDrains) {}
+            long now, boolean requestOver, boolean clientGone, long abandonAt, long beginBy, boolean hostDraining) {}
 
     /** What holds it back, the first that applies, or that it may begin. */
-    public static AttemptVerdict rule(Facts facts) {
+    public static AttemptVerdict evaluate(Facts facts) {
         if (facts.requestOver()) {
             return AttemptVerdict.REQUEST_OVER;
         }
         if (facts.clientGone()) {
             return AttemptVerdict.CLIENT_GONE;
         }
-        if (facts.now() >= facts.until()) {
+        if (facts.now() >= facts.abandonAt()) {
             return AttemptVerdict.DEADLINE_PASSED;
         }
         if (facts.now() > facts.beginBy()) {
             return AttemptVerdict.DECISION_EXPIRED;
         }
-        return facts.hostDrains() ? AttemptVerdict.HOST_DRAINING : AttemptVerdict.MAY_BEGIN;
+        return facts.hostDraining() ? AttemptVerdict.HOST_DRAINING : AttemptVerdict.MAY_BEGIN;
     }
 }
--- a/src/main/java/mintstair/decision/ClassStatistics.java
+++ b/src/main/java/mintstair/decision/ClassStatistics.java
@@ -67,7 +67,7 @@
     }
 
     /** The mean latency of successful attempts. */
-    double mean() {
+    double meanLatency() {
         return mean;
     }
 
@@ -82,7 +82,7 @@
     }
 
     /** A latency that is {@code deviations} mean deviations above the mean. */
-    double latencyAbove(double deviations) {
+    double meanPlusDeviations(double deviations) {
         return mean + deviations * deviation;
     }
 
--- a/src/main/java/mintstair/decision/ConcurrencyLimit.java
+++ b/src/main/java/mintstair/decision/ConcurrencyLimit.java
@@ -64,12 +64,12 @@
         this.keptInFlight = keptInFlight;
         this.pooled = pooled;
         this.routers = routers;
-        shareAmong(routers);
+        setFleetSize(routers);
         limit = first;
     }
 
     /** One of so many routers from now on, and its part as much smaller or larger. */
-    void shareAmong(double count) {
+    void setFleetSize(double count) {
         least = Math.max(LEAST_OF_ONE, LEAST_OF_ALL / count);
         first = Math.max(FIRST_OF_ONE, FIRST_OF_ALL / count);
         limit = Math.max(least, limit * routers / count);
--- a/src/main/java/mintstair/decision/Endpoint.java
+++ b/src/main/java/mintstair/decision/Endpoint.java
@@ -105,11 +105,11 @@
 
     /** Whether it is warming up now. */
     boolean isInSlowStart(long now, ProtectionSettings protection) {
-        return slowStart.isActive() && slowStart.share(now, protection) < 1;
+        return slowStart.isActive() && slowStart.capacityShare(now, protection) < 1;
     }
 
     /** The share of its capacity that it can be trusted with, below 1 during slow start. */
     double capacityShare(long now, ProtectionSettings protection) {
-        return slowStart.share(now, protection);
+        return slowStart.capacityShare(now, protection);
     }
 }
--- a/src/main/java/mintstair/decision/EndpointDirectory.java
+++ b/src/main/java/mintstair/decision/EndpointDirectory.java
@@ -84,7 +84,7 @@
         endpoint.size = entry.size();
         if (entry.lastStart() > endpoint.listedStart) {
             endpoint.listedStart = entry.lastStart();
-            slowStarts.judgeListedStart(now, endpoint);
+            slowStarts.updateListedStart(now, endpoint);
         }
         // The list's role is late: it only fills in where nothing better is known.
         if (settings.get().listReportsRole() && entry.primary() && replicaSet.primary == null) {
@@ -119,10 +119,10 @@
     void settingsChanged(long now) {
         double fleetSize = fleetShare.effectiveFleetSize();
         for (ReplicaSet replicaSet : replicaSets.values()) {
-            replicaSet.replicaLimit.shareAmong(fleetSize);
+            replicaSet.replicaLimit.setFleetSize(fleetSize);
         }
         for (Endpoint endpoint : endpoints.values()) {
-            endpoint.primaryLimit.shareAmong(fleetSize);
+            endpoint.primaryLimit.setFleetSize(fleetSize);
             slowStarts.settingsChanged(now, endpoint);
             if (endpoint.isRemovalDoubted()) {
                 endpoint.removed(now, isRemovalAdvisory());
@@ -134,7 +134,7 @@
     void hostClockChanged(long now) {
         for (Endpoint endpoint : endpoints.values()) {
             if (endpoint.listedStart > 0) {
-                slowStarts.judgeListedStart(now, endpoint);
+                slowStarts.updateListedStart(now, endpoint);
             }
         }
     }
--- a/src/main/java/mintstair/decision/EndpointSelector.java
+++ b/src/main/java/mintstair/decision/EndpointSelector.java
@@ -49,11 +49,11 @@
     Endpoint choose(long now, InFlightRequest request) {
         ReplicaSet replicaSet = directory.replicaSet(request.request.group());
         if (request.isSticky()) {
-            request.heldBackBy = GiveUpReason.STICKY_HOST;
+            request.heldBackReason = GiveUpReason.STICKY_HOST;
             return chooseSticky(now, replicaSet, request);
         }
         if (request.needsPrimary()) {
-            request.heldBackBy = GiveUpReason.NO_PRIMARY;
+            request.heldBackReason = GiveUpReason.NO_PRIMARY;
             return primaries.isConfirmed(now, replicaSet) ? primaryAdmission.admit(now, replicaSet, request) : null;
         }
         return chooseForRead(now, replicaSet, request);
@@ -117,7 +117,7 @@
     private void recordFallback(ReplicaSet replicaSet, InFlightRequest read, boolean fellBack) {
         if (!read.fallbackCounted) {
             read.fallbackCounted = true;
-            primaryAdmission.recordRead(replicaSet, fellBack);
+            primaryAdmission.recordReadDecision(replicaSet, fellBack);
         }
     }
 
--- a/src/main/java/mintstair/decision/FailureDetector.java
+++ b/src/main/java/mintstair/decision/FailureDetector.java
@@ -91,7 +91,7 @@
         liveness.heardAt = now;
         boolean wasUnreachable = liveness.unreachableInARow > 0;
         if (liveness.isUnresponsive() && wasUnreachable) {
-            slowStarts.found(endpoint, now);
+            slowStarts.startDetected(endpoint, now);
         }
         boolean longUnresponsive = liveness.isUnresponsive() && now - liveness.unresponsiveSince() > SUSPICION_MICROS;
         if (served || wasUnreachable || longUnresponsive) {
--- a/src/main/java/mintstair/decision/HealthChecker.java
+++ b/src/main/java/mintstair/decision/HealthChecker.java
@@ -135,15 +135,15 @@
                 candidates.add(member);
             }
         }
-        if (now - read.polledAt < ON_DEMAND_WAIT_MICROS && inFlight) {
+        if (now - read.lastPolledAt < ON_DEMAND_WAIT_MICROS && inFlight) {
             return true;
         }
-        boolean roundsUsed = read.polls >= MAX_ROUNDS && now - read.polledAt < NEXT_ROUND_MICROS;
+        boolean roundsUsed = read.pollRounds >= MAX_ROUNDS && now - read.lastPolledAt < NEXT_ROUND_MICROS;
         if (candidates.isEmpty() || roundsUsed) {
             return false;
         }
-        read.polls++;
-        read.polledAt = now;
+        read.pollRounds++;
+        read.lastPolledAt = now;
         return checkSome(now, candidates);
     }
 
--- a/src/main/java/mintstair/decision/HedgingPolicy.java
+++ b/src/main/java/mintstair/decision/HedgingPolicy.java
@@ -21,16 +21,16 @@
     long stuckAt(InFlightRequest request) {
         ClassStatistics statistics = request.statistics;
         long since = Math.max(request.lastSentAt(), clock.runningSince());
-        double wait = statistics.latencyAbove(STUCK_DEVIATIONS);
-        if (answerLoss.isLosingAnswers()) {
-            double left = request.objectiveEnd() - RESERVED_LATENCIES * statistics.mean() - since;
-            wait = Math.min(wait, Math.max(statistics.latencyAbove(STUCK_DEVIATIONS_WITH_LOSS), left));
+        double wait = statistics.meanPlusDeviations(STUCK_DEVIATIONS);
+        if (answerLoss.isLosingReplies()) {
+            double left = request.objectiveEnd() - RESERVED_LATENCIES * statistics.meanLatency() - since;
+            wait = Math.min(wait, Math.max(statistics.meanPlusDeviations(STUCK_DEVIATIONS_WITH_LOSS), left));
         }
         return since + (long) wait;
     }
 
     /** Whether an attempt at the endpoint may be cancelled, so that the request can be tried elsewhere. */
-    boolean mayCancelAt(Endpoint endpoint) {
-        return endpoint.liveness.isUnresponsive() || answerLoss.isLosingAnswers();
+    boolean canCancelAt(Endpoint endpoint) {
+        return endpoint.liveness.isUnresponsive() || answerLoss.isLosingReplies();
     }
 }
--- a/src/main/java/mintstair/decision/HostThroughput.java
+++ b/src/main/java/mintstair/decision/HostThroughput.java
@@ -34,7 +34,7 @@
     private double meanSize = 1;
 
     /** A host has served a request. */
-    void answered(double work) {
+    void recordServed(double work) {
         answeredWork += work;
     }
 
@@ -73,7 +73,7 @@
      * The work that a warm host of this size does in a second for this router, whose clients ask for so much in all. A
      * large one counts as one of the mean: sizes are rough, and some tell how busy a host was.
      */
-    double perHostSecond(double size, double demandPerSecond) {
+    double workPerSecond(double size, double demandPerSecond) {
         double relativeSize = size > 0 ? Math.min(1, size / meanSize) : 1;
         return relativeSize * perMeanHostSecond(demandPerSecond);
     }
--- a/src/main/java/mintstair/decision/InFlightRequest.java
+++ b/src/main/java/mintstair/decision/InFlightRequest.java
@@ -35,9 +35,9 @@
 
     long queuedAt;
     /** How often endpoints were polled for it, and when last. */
-    int polls;
+    int pollRounds;
 
-    long polledAt = Endpoint.NEVER;
+    long lastPolledAt = Endpoint.NEVER;
     /** Whether it has been counted as a read that did or did not fall back to the primary. */
     boolean fallbackCounted;
     /** Whether its newest attempt was counted as late while it was still out. */
@@ -45,7 +45,7 @@
     /** The endpoint in slow start that it was counted as held back from; null for none. */
     Endpoint heldBackFrom;
     /** What kept it from being sent when that was last looked at. */
-    GiveUpReason heldBackBy = GiveUpReason.NO_PRIMARY;
+    GiveUpReason heldBackReason = GiveUpReason.NO_PRIMARY;
 
     InFlightRequest(
             RoutingRequest request,
@@ -125,7 +125,7 @@
     }
 
     /** An attempt that has ended may have run. */
-    void mayHaveRun(int attempt) {
+    void markMayHaveRun(int attempt) {
         if (!mayHaveRun) {
             firstMayHaveRunAt = sentAt[attempt];
         }
--- a/src/main/java/mintstair/decision/LoadFeedback.java
+++ b/src/main/java/mintstair/decision/LoadFeedback.java
@@ -26,13 +26,13 @@
         ClassStatistics statistics = request.statistics;
         endpoint.outliers.decay(now);
         if (outcome == AttemptOutcome.SUCCESS) {
-            endpoint.outliers.recordLatency(result.latencyMicros() / statistics.mean());
+            endpoint.outliers.recordLatency(result.latencyMicros() / statistics.meanLatency());
             statistics.recordLatency(result.latencyMicros());
             requestWork.recordLatency(result.latencyMicros());
         }
         if (isEndpointsDoing(outcome)) {
             endpoint.outliers.recordOutcome(isFailure(outcome));
-            recordLoss(outcome, result.latencyMicros() > statistics.latencyAbove(HedgingPolicy.STUCK_DEVIATIONS));
+            recordLoss(outcome, result.latencyMicros() > statistics.meanPlusDeviations(HedgingPolicy.STUCK_DEVIATIONS));
         }
         long objective = request.requestClass().latencyObjectiveMicros();
         // What was given up when hardly begun, as its request's time ran out, says nothing of an endpoint.
@@ -48,7 +48,7 @@
     }
 
     /** The newest attempt of the request is still out: counts it as late once, when that time has come. */
-    void attemptOutstanding(long now, InFlightRequest request) {
+    void recordIfLate(long now, InFlightRequest request) {
         long since = Math.max(request.lastSentAt(), clock.runningSince());
         long lateAt = since + (long) (LATE_SHARE * request.requestClass().latencyObjectiveMicros());
         if (!request.lateCounted && now >= lateAt) {
--- a/src/main/java/mintstair/decision/OpenRequests.java
+++ b/src/main/java/mintstair/decision/OpenRequests.java
@@ -39,7 +39,7 @@
     /** The final answer at once: rejected where the client may safely come again, else failed. */
     void giveUp(long now, InFlightRequest request, GiveUpReason reason) {
         actions.gaveUp(request.request.id(), reason);
-        if (RetryPolicy.isHarmlessToRepeat(request)) {
+        if (RetryPolicy.isSafeToRepeat(request)) {
             actions.reject(request.request.id(), retries.retryAfter(now, request));
         } else {
             actions.fail(request.request.id());
@@ -51,11 +51,11 @@
     void finish(InFlightRequest request) {
         request.finish();
         cancelAttempts(request);
-        removeIfOver(request);
+        removeIfDone(request);
     }
 
     /** Forgets the request if nothing of it is left. */
-    void removeIfOver(InFlightRequest request) {
+    void removeIfDone(InFlightRequest request) {
         if (request.isFinished() && request.outstanding() == 0) {
             requests.remove(request.request.id());
         }
--- a/src/main/java/mintstair/decision/PooledLimits.java
+++ b/src/main/java/mintstair/decision/PooledLimits.java
@@ -30,9 +30,9 @@
     }
 
     /** Adopts another fleet size. */
-    void shareAmong(double fleetSize) {
-        primaries.shareAmong(fleetSize);
-        replicas.shareAmong(fleetSize);
+    void setFleetSize(double fleetSize) {
+        primaries.setFleetSize(fleetSize);
+        replicas.setFleetSize(fleetSize);
     }
 
     /**
--- a/src/main/java/mintstair/decision/PrimaryAdmission.java
+++ b/src/main/java/mintstair/decision/PrimaryAdmission.java
@@ -28,7 +28,7 @@
     }
 
     /** It was decided for the first time whether a read falls back to its primary. */
-    void recordRead(ReplicaSet replicaSet, boolean fellBack) {
+    void recordReadDecision(ReplicaSet replicaSet, boolean fellBack) {
         fallbackRate.record(fellBack);
         replicaSet.fallbackRate.record(fellBack);
     }
@@ -37,14 +37,14 @@
     Endpoint admit(long now, ReplicaSet replicaSet, InFlightRequest request) {
         Endpoint primary = replicaSet.primary;
         if (primary == null || !primary.isServing()) {
-            request.heldBackBy = GiveUpReason.NO_PRIMARY;
+            request.heldBackReason = GiveUpReason.NO_PRIMARY;
             return null;
         }
         if (primary.liveness.isUnresponsive()) {
-            request.heldBackBy = GiveUpReason.NO_PRIMARY;
+            request.heldBackReason = GiveUpReason.NO_PRIMARY;
             return isTrial(now, primary, request) ? primary : null;
         }
-        request.heldBackBy = GiveUpReason.PRIMARY_LIMIT;
+        request.heldBackReason = GiveUpReason.PRIMARY_LIMIT;
         if (request.isOutstandingAt(primary) || isResting(now, primary)) {
             return null;
         }
@@ -58,7 +58,7 @@
         // A host in slow start gets no more of the demand than its share of its capacity, however little it was sent.
         boolean inShare = request.admissionSample < primary.capacityShare(now, protection);
         if (!inShare || !slowStartBudget.admits(now, primary, request, directedPerSecond(now, replicaSet))) {
-            request.heldBackBy = GiveUpReason.SLOW_START;
+            request.heldBackReason = GiveUpReason.SLOW_START;
             slowStartBudget.countHeldBack(primary, request);
             return null;
         }
@@ -68,7 +68,7 @@
 
     /** The work a second that comes to the primary: what needs it, and the reads that fall back to it. */
     private double directedPerSecond(long now, ReplicaSet replicaSet) {
-        double assumed = slowStartBudget.assumedPerSecond(now);
+        double assumed = slowStartBudget.assumedDemandPerSecond(now);
         double fallingBack = replicaSet.hasUsableReplica() ? fallbackShare(replicaSet) : 1;
         return replicaSet.demand.primaryOnlyPerSecond(now, assumed)
                 + fallingBack * replicaSet.demand.readsPerSecond(now, assumed);
--- a/src/main/java/mintstair/decision/QueueingPolicy.java
+++ b/src/main/java/mintstair/decision/QueueingPolicy.java
@@ -22,7 +22,7 @@
     private QueueingPolicy() {}
 
     /** Until when the request may wait. Writes are held through the loss of a primary. */
-    static long waitUntil(InFlightRequest request, boolean hasUsablePrimary) {
+    static long queueDeadline(InFlightRequest request, boolean hasUsablePrimary) {
         long latest = request.deadline - RetryPolicy.DEADLINE_MARGIN_MICROS;
         if (request.attempts() == 0) {
             long unsent = request.arrivedAt + (long) (UNSENT_SHARE * request.request.timeoutMicros());
@@ -37,7 +37,7 @@
     }
 
     /** Takes all pending requests out of the queue, those of the highest priority first and else in their order. */
-    static List<InFlightRequest> drain(ReplicaSet replicaSet) {
+    static List<InFlightRequest> takeAllByPriority(ReplicaSet replicaSet) {
         if (replicaSet.pending.isEmpty()) {
             return List.of();
         }
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -129,7 +129,7 @@
     public void onSettings(long at, RouterSettings changed) {
         long now = clock.advance(at);
         adopt(now, changed);
-        pooled.shareAmong(fleetShare.effectiveFleetSize());
+        pooled.setFleetSize(fleetShare.effectiveFleetSize());
         directory.settingsChanged(now);
         actions.log("settings changed: " + classes.size() + " classes");
     }
@@ -235,27 +235,27 @@
                 tryAgain(now, request, result);
             }
         }
-        requests.removeIfOver(request);
+        requests.removeIfDone(request);
         servePending(now, endpoint.replicaSet);
     }
 
     private void tryAgain(long now, InFlightRequest request, AttemptResult result) {
         AttemptOutcome outcome = result.outcome();
         if (!outcome.hadNoEffect()) {
-            request.mayHaveRun(result.attempt());
+            request.markMayHaveRun(result.attempt());
         }
         if (request.outstanding() > 0) {
             return;
         }
         if (outcome == AttemptOutcome.ERROR) {
             // What failed at the primary may be proven elsewhere before it meets the same fault again.
-            request.polls = 0;
+            request.pollRounds = 0;
         }
         boolean worthless = request.isWorthlessWhenLate() && now >= request.objectiveEnd();
         if (worthless) {
             requests.giveUp(now, request, GiveUpReason.OUT_OF_TIME);
-        } else if (!retries.maySend(now, request)) {
-            requests.giveUp(now, request, retries.whyNot(now, request));
+        } else if (!retries.canSend(now, request)) {
+            requests.giveUp(now, request, retries.giveUpReason(now, request));
         } else if (!retries.tryAcquireAfter(outcome)) {
             requests.giveUp(now, request, GiveUpReason.RETRY_BUDGET);
         } else {
@@ -284,20 +284,20 @@
     /** Those that wait, of the highest priority first: sent as capacity appears, given up in time. */
     private void servePending(long now, ReplicaSet replicaSet) {
         boolean hasPrimary = replicaSet.hasUsablePrimary();
-        for (InFlightRequest request : QueueingPolicy.drain(replicaSet)) {
+        for (InFlightRequest request : QueueingPolicy.takeAllByPriority(replicaSet)) {
             request.queued = false;
             if (request.isFinished()) {
                 continue;
             }
             // The deduplication window of a retry may have closed while it waited.
-            boolean maySend = retries.maySend(now, request);
-            Endpoint endpoint = maySend ? selector.choose(now, request) : null;
+            boolean canSend = retries.canSend(now, request);
+            Endpoint endpoint = canSend ? selector.choose(now, request) : null;
             if (endpoint != null) {
                 send(now, request, endpoint);
-            } else if (!maySend) {
-                requests.giveUp(now, request, retries.whyNot(now, request));
-            } else if (now >= QueueingPolicy.waitUntil(request, hasPrimary)) {
-                requests.giveUp(now, request, request.heldBackBy);
+            } else if (!canSend) {
+                requests.giveUp(now, request, retries.giveUpReason(now, request));
+            } else if (now >= QueueingPolicy.queueDeadline(request, hasPrimary)) {
+                requests.giveUp(now, request, request.heldBackReason);
             } else {
                 request.queued = true;
                 replicaSet.pending.add(request);
@@ -323,15 +323,15 @@
         long now = clock.advance(at);
         subscription.timerFired(name);
         if (ticks.isDue(now, name)) {
-            clock.timerFired(now, ticks.start());
+            clock.timerFired(now, ticks.beginTick());
             tick(now);
         }
     }
 
     private void tick(long now) {
-        slowStarts.reportEnded(now);
+        slowStarts.logEnded(now);
         sendTimedChecks(now);
-        double patience = classes.patience();
+        double patience = classes.replyTimeout();
         for (InFlightRequest request : requests.all()) {
             if (!request.isFinished() && request.outstanding() > 0) {
                 checkNewestAttempt(now, request, patience);
@@ -358,9 +358,9 @@
     private void checkNewestAttempt(long now, InFlightRequest request, double patience) {
         Endpoint endpoint = request.lastEndpoint();
         failureDetector.checkForMissedAnswers(now, endpoint, patience);
-        load.attemptOutstanding(now, request);
+        load.recordIfLate(now, request);
         boolean stuck = now >= hedging.stuckAt(request) && request.outstanding() == 1;
-        if (stuck && retries.canAfford()) {
+        if (stuck && retries.hasBudget()) {
             moveFrom(now, request, endpoint);
         }
         ticks.schedule(now, Math.max(now + 2 * TickTimer.INTERVAL_MICROS, hedging.stuckAt(request)));
@@ -377,7 +377,7 @@
 
     /** Tries the request elsewhere, by a hedged attempt or by cancelling the one that is out. */
     private void moveFrom(long now, InFlightRequest request, Endpoint from) {
-        if (!RetryPolicy.mayHedge(request) || !retries.maySend(now, request) || !retries.canAfford()) {
+        if (!RetryPolicy.canHedge(request) || !retries.canSend(now, request) || !retries.hasBudget()) {
             return;
         }
         if (settings.limits().hedging() && request.isRepeatable()) {
@@ -385,7 +385,7 @@
             if (other != null && other != from && retries.tryAcquire()) {
                 send(now, request, other);
             }
-        } else if (settings.limits().cancellation() && hedging.mayCancelAt(from) && retries.tryAcquire()) {
+        } else if (settings.limits().cancellation() && hedging.canCancelAt(from) && retries.tryAcquire()) {
             requests.cancelAttempts(request);
         }
     }
--- a/src/main/java/mintstair/decision/ReplicaSelector.java
+++ b/src/main/java/mintstair/decision/ReplicaSelector.java
@@ -77,7 +77,7 @@
     }
 
     private double readsPerSecond(long now, ReplicaSet replicaSet) {
-        return replicaSet.demand.readsPerSecond(now, slowStartBudget.assumedPerSecond(now));
+        return replicaSet.demand.readsPerSecond(now, slowStartBudget.assumedDemandPerSecond(now));
     }
 
     /**
--- a/src/main/java/mintstair/decision/RequestAcceptor.java
+++ b/src/main/java/mintstair/decision/RequestAcceptor.java
@@ -72,7 +72,7 @@
 
     private boolean isOverQuota(long now, RoutingRequest request) {
         double rate = requestRate.perSecondAtLastRequest();
-        return quotas.isExceeded(now, request.tenant(), rate, fleetShare.effectiveFleetSize());
+        return quotas.countAndCheckOverQuota(now, request.tenant(), rate, fleetShare.effectiveFleetSize());
     }
 
     /** Where only a part is admitted a session keeps its sample, so that trying again is no way in. */
--- a/src/main/java/mintstair/decision/RequestClassTable.java
+++ b/src/main/java/mintstair/decision/RequestClassTable.java
@@ -52,7 +52,7 @@
     double meanLatency() {
         double sum = 0;
         for (ClassStatistics statistics : classes) {
-            sum += statistics.mean() / classes.length;
+            sum += statistics.meanLatency() / classes.length;
         }
         return sum;
     }
@@ -61,10 +61,10 @@
      * A time, in microseconds, within which an endpoint with attempts in flight should have answered one, whatever
      * the classes.
      */
-    double patience() {
+    double replyTimeout() {
         double longest = 0;
         for (ClassStatistics statistics : classes) {
-            longest = Math.max(longest, statistics.latencyAbove(PATIENCE_DEVIATIONS));
+            longest = Math.max(longest, statistics.meanPlusDeviations(PATIENCE_DEVIATIONS));
         }
         return PATIENCE_FACTOR * longest;
     }
--- a/src/main/java/mintstair/decision/RetryPolicy.java
+++ b/src/main/java/mintstair/decision/RetryPolicy.java
@@ -42,7 +42,7 @@
     }
 
     /** Whether a further attempt can be afforded. */
-    boolean canAfford() {
+    boolean hasBudget() {
         return budget.hasToken();
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Whether the request may be sent, again or for the first time: what may have run only where its class says so. */
-    boolean maySend(long now, InFlightRequest request) {
+    boolean canSend(long now, InFlightRequest request) {
         if (request.attempts() >= mostAttempts(request) || isOutOfTime(now, request)) {
             return false;
         }
@@ -78,7 +78,7 @@
     }
 
     /** Why a request that may not be sent now is given up. */
-    GiveUpReason whyNot(long now, InFlightRequest request) {
+    GiveUpReason giveUpReason(long now, InFlightRequest request) {
         if (isOutOfTime(now, request)) {
             return GiveUpReason.OUT_OF_TIME;
         }
@@ -91,7 +91,7 @@
     }
 
     /** Whether a further attempt could be hedged or moved: anything but what must not run twice. */
-    static boolean mayHedge(InFlightRequest request) {
+    static boolean canHedge(InFlightRequest request) {
         return request.requestClass().idempotency() != Idempotency.NOT_IDEMPOTENT && request.outstanding() <= 1;
     }
 
@@ -123,7 +123,7 @@
     }
 
     /** Whether it can be promised that the client may send the request again without doubling its effect. */
-    static boolean isHarmlessToRepeat(InFlightRequest request) {
+    static boolean isSafeToRepeat(InFlightRequest request) {
         if (request.isRepeatable() || (!request.mayHaveRun() && request.outstanding() == 0)) {
             return true;
         }
--- a/src/main/java/mintstair/decision/SlowStart.java
+++ b/src/main/java/mintstair/decision/SlowStart.java
@@ -67,7 +67,7 @@
     }
 
     /** The share of its capacity that the host can be trusted with now. */
-    double share(long now, ProtectionSettings protection) {
+    double capacityShare(long now, ProtectionSettings protection) {
         if (!active) {
             return 1;
         }
--- a/src/main/java/mintstair/decision/SlowStartBudget.java
+++ b/src/main/java/mintstair/decision/SlowStartBudget.java
@@ -82,7 +82,7 @@
     }
 
     /** What is assumed of the demand of a replica set, of either kind, before it has shown. */
-    double assumedPerSecond(long now) {
+    double assumedDemandPerSecond(long now) {
         return demand.perSecond(now) / (KINDS * Math.max(1, replicaSets.getAsInt()));
     }
 
@@ -117,7 +117,7 @@
         ProtectionSettings protection = settings.get().protection();
         double perSecond = protection.overloadMultiple()
                 * endpoint.capacityShare(now, protection)
-                * throughput.perHostSecond(endpoint.size, demand.perSecond(now));
+                * throughput.workPerSecond(endpoint.size, demand.perSecond(now));
         double leastPerSpan = LEAST_OF_ALL * demand.meanWork() / fleetShare.effectiveFleetSize();
         return Math.max(perSecond, leastPerSpan * MICROS_PER_SECOND / protection.overloadSpanMicros());
     }
--- a/src/main/java/mintstair/decision/SlowStartController.java
+++ b/src/main/java/mintstair/decision/SlowStartController.java
@@ -25,13 +25,13 @@
     }
 
     /** The endpoint was found to have started at this time, whatever the endpoint list says. */
-    void found(Endpoint endpoint, long startedAt) {
+    void startDetected(Endpoint endpoint, long startedAt) {
         endpoint.slowStart.found(startedAt);
         begun(endpoint);
     }
 
     /** Judges the start by the endpoint list; due when that, or what is known of the hosts' clock, has changed. */
-    void judgeListedStart(long now, Endpoint endpoint) {
+    void updateListedStart(long now, Endpoint endpoint) {
         long age = positions.startedAgo(now, endpoint.listedStart);
         if (age < settings.get().protection().slowStartMicros()) {
             endpoint.slowStart.listed(now - age);
@@ -47,12 +47,12 @@
         long start = Math.max(endpoint.slowStart.since(), listed);
         boolean warming = start > 0 && now - start < settings.get().protection().slowStartMicros();
         if (warming && !endpoint.slowStart.isActive()) {
-            found(endpoint, start);
+            startDetected(endpoint, start);
         }
     }
 
     /** Reports the slow starts that are over; due from time to time. */
-    void reportEnded(long now) {
+    void logEnded(long now) {
         if (!warmingUp.isEmpty()) {
             warmingUp.removeIf(endpoint -> hasEnded(now, endpoint));
         }
@@ -60,7 +60,7 @@
 
     private boolean hasEnded(long now, Endpoint endpoint) {
         SlowStart slowStart = endpoint.slowStart;
-        if (slowStart.share(now, settings.get().protection()) < 1) {
+        if (slowStart.capacityShare(now, settings.get().protection()) < 1) {
             return false;
         }
         actions.log(String.format(
--- a/src/main/java/mintstair/decision/TenantQuotas.java
+++ b/src/main/java/mintstair/decision/TenantQuotas.java
@@ -40,7 +40,7 @@
      * @param requestsPerSecond of all tenants at this router: where it has more than an equal part of all traffic,
      *     its part is larger
      */
-    boolean isExceeded(long now, int tenant, double requestsPerSecond, double fleetSize) {
+    boolean countAndCheckOverQuota(long now, int tenant, double requestsPerSecond, double fleetSize) {
         if (tenant < 0) {
             return false;
         }
--- a/src/main/java/mintstair/decision/TickTimer.java
+++ b/src/main/java/mintstair/decision/TickTimer.java
@@ -35,7 +35,7 @@
     }
 
     /** Takes note that the tick has begun; returns when it was due. */
-    long start() {
+    long beginTick() {
         long due = dueAt;
         dueAt = Long.MAX_VALUE;
         return due;
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -82,7 +82,7 @@
 
     /** Decides whether an attempt that is given up at {@code abandonAtMicros} may begin now. */
     public AttemptVerdict mayBegin(long nowMicros, RouterAction.Send attempt, Exchange exchange, long abandonAtMicros) {
-        return AttemptRules.rule(new AttemptRules.Facts(
+        return AttemptRules.evaluate(new AttemptRules.Facts(
                 nowMicros,
                 exchange.isOver(),
                 !exchange.isWanted(),
--- a/src/test/java/mintstair/decision/AttemptRulesTableTest.java
+++ b/src/test/java/mintstair/decision/AttemptRulesTableTest.java
@@ -11,7 +11,7 @@
     private static final long LATER = NOW + 1;
 
     private static AttemptVerdict rule(boolean over, boolean gone, long until, long beginBy, boolean drains) {
-        return AttemptRules.rule(new AttemptRules.Facts(NOW, over, gone, until, beginBy, drains));
+        return AttemptRules.evaluate(new AttemptRules.Facts(NOW, over, gone, until, beginBy, drains));
     }
 
     @Test
--- a/src/test/java/mintstair/decision/BudgetsTest.java
+++ b/src/test/java/mintstair/decision/BudgetsTest.java
@@ -42,10 +42,10 @@
         TenantQuotas quotas = new TenantQuotas();
         quotas.apply(0, new Bed().settings());
         for (int i = 0; i < 5; i++) {
-            assertFalse(quotas.isExceeded(0, 0, 100, 10));
+            assertFalse(quotas.countAndCheckOverQuota(0, 0, 100, 10));
         }
-        assertTrue(quotas.isExceeded(0, 0, 100, 10));
-        assertFalse(quotas.isExceeded(SECOND, 0, 100, 10));
+        assertTrue(quotas.countAndCheckOverQuota(0, 0, 100, 10));
+        assertFalse(quotas.countAndCheckOverQuota(SECOND, 0, 100, 10));
     }
 
     @Test
@@ -53,7 +53,7 @@
         TenantQuotas quotas = new TenantQuotas();
         quotas.apply(0, new Bed().settings());
         for (int i = 0; i < 100; i++) {
-            assertFalse(quotas.isExceeded(0, -1, 100, 10));
+            assertFalse(quotas.countAndCheckOverQuota(0, -1, 100, 10));
         }
     }
 
--- a/src/test/java/mintstair/decision/ClassStatisticsTest.java
+++ b/src/test/java/mintstair/decision/ClassStatisticsTest.java
@@ -18,12 +18,12 @@
     @Test
     void latencyIsAssumedFromTheObjectiveAndThenLearned() {
         ClassStatistics statistics = table().get(Bed.ANY);
-        assertEquals(50 * MS, statistics.mean());
+        assertEquals(50 * MS, statistics.meanLatency());
         for (int i = 0; i < 500; i++) {
             statistics.recordLatency(20 * MS);
         }
-        assertEquals(20 * MS, statistics.mean(), MS);
-        assertEquals(20 * MS, statistics.latencyAbove(2), MS);
+        assertEquals(20 * MS, statistics.meanLatency(), MS);
+        assertEquals(20 * MS, statistics.meanPlusDeviations(2), MS);
     }
 
     @Test
@@ -49,7 +49,7 @@
             classes.get(Bed.ANY).recordLatency(20 * MS);
         }
         classes.apply(new Bed().settings());
-        assertEquals(20 * MS, classes.get(Bed.ANY).mean(), MS);
+        assertEquals(20 * MS, classes.get(Bed.ANY).meanLatency(), MS);
     }
 
     @Test
--- a/src/test/java/mintstair/decision/EndpointChoiceTest.java
+++ b/src/test/java/mintstair/decision/EndpointChoiceTest.java
@@ -227,7 +227,7 @@
     @Test
     void readsThatFallBackInMassAreAdmittedInPart() {
         for (int i = 0; i < 100; i++) {
-            admission.recordRead(replicaSet(), true);
+            admission.recordReadDecision(replicaSet(), true);
         }
         assertNull(admission.admit(SECOND, replicaSet(), request(Bed.BOUNDED)));
         assertNotNull(admission.admit(SECOND, replicaSet(), request(Bed.UNSAFE_WRITE)));
--- a/src/test/java/mintstair/decision/FailureDetectorTest.java
+++ b/src/test/java/mintstair/decision/FailureDetectorTest.java
@@ -67,7 +67,7 @@
         endpoint.inFlight = inFlight;
         detector.accrue(0, endpoint);
         endpoint.inFlight = inFlight;
-        detector.checkForMissedAnswers(5 * SECOND, endpoint, classes.patience());
+        detector.checkForMissedAnswers(5 * SECOND, endpoint, classes.replyTimeout());
     }
 
     @Test
--- a/src/test/java/mintstair/decision/RetryPolicyTest.java
+++ b/src/test/java/mintstair/decision/RetryPolicyTest.java
@@ -34,39 +34,39 @@
         InFlightRequest request = request(classIndex);
         request.attemptStarted(0, endpoint);
         request.attemptEnded(0);
-        request.mayHaveRun(0);
+        request.markMayHaveRun(0);
         return request;
     }
 
     @Test
     void onlyIdempotentRequestsAreSentAgainAfterOneThatMayHaveRun() {
-        assertTrue(retries.maySend(MS, afterOneThatMayHaveRun(Bed.ANY)));
-        assertFalse(retries.maySend(MS, afterOneThatMayHaveRun(Bed.UNSAFE_WRITE)));
+        assertTrue(retries.canSend(MS, afterOneThatMayHaveRun(Bed.ANY)));
+        assertFalse(retries.canSend(MS, afterOneThatMayHaveRun(Bed.UNSAFE_WRITE)));
     }
 
     @Test
     void requestWithIdempotencyKeyIsSentAgainWithinItsDeduplicationWindow() {
         InFlightRequest request = afterOneThatMayHaveRun(Bed.KEYED_WRITE);
-        assertTrue(retries.maySend(884 * MS, request));
-        assertFalse(retries.maySend(885 * MS, request));
+        assertTrue(retries.canSend(884 * MS, request));
+        assertFalse(retries.canSend(885 * MS, request));
         assertEquals(885 * MS, RetryPolicy.beginBy(MS, request));
     }
 
     @Test
     void nothingIsSentRightBeforeTheDeadline() {
-        assertTrue(retries.maySend(TIMEOUT - 16 * MS, request(Bed.ANY)));
-        assertFalse(retries.maySend(TIMEOUT - 15 * MS, request(Bed.ANY)));
+        assertTrue(retries.canSend(TIMEOUT - 16 * MS, request(Bed.ANY)));
+        assertFalse(retries.canSend(TIMEOUT - 15 * MS, request(Bed.ANY)));
     }
 
     @Test
     void attemptsAreBounded() {
         InFlightRequest request = request(Bed.ANY);
         for (int attempt = 0; attempt < settings.limits().maxAttempts(); attempt++) {
-            assertTrue(retries.maySend(MS, request));
+            assertTrue(retries.canSend(MS, request));
             request.attemptStarted(0, endpoint);
             request.attemptEnded(attempt);
         }
-        assertFalse(retries.maySend(MS, request));
+        assertFalse(retries.canSend(MS, request));
     }
 
     @Test
@@ -80,10 +80,10 @@
 
     @Test
     void rejectionIsPromisedToBeHarmlessOnlyWhereItIs() {
-        assertTrue(RetryPolicy.isHarmlessToRepeat(request(Bed.UNSAFE_WRITE)));
-        assertFalse(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(Bed.UNSAFE_WRITE)));
-        assertFalse(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(Bed.KEYED_WRITE)));
-        assertTrue(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(Bed.ANY)));
+        assertTrue(RetryPolicy.isSafeToRepeat(request(Bed.UNSAFE_WRITE)));
+        assertFalse(RetryPolicy.isSafeToRepeat(afterOneThatMayHaveRun(Bed.UNSAFE_WRITE)));
+        assertFalse(RetryPolicy.isSafeToRepeat(afterOneThatMayHaveRun(Bed.KEYED_WRITE)));
+        assertTrue(RetryPolicy.isSafeToRepeat(afterOneThatMayHaveRun(Bed.ANY)));
     }
 
     @Test
@@ -95,10 +95,10 @@
     @Test
     void unsentRequestIsHeldForLessThanHalfOfItsTime() {
         InFlightRequest write = request(Bed.UNSAFE_WRITE);
-        assertEquals(900 * MS, QueueingPolicy.waitUntil(write, false));
+        assertEquals(900 * MS, QueueingPolicy.queueDeadline(write, false));
         write.attemptStarted(0, endpoint);
-        assertEquals(TIMEOUT - 15 * MS, QueueingPolicy.waitUntil(write, false));
-        assertEquals(800 * MS, QueueingPolicy.waitUntil(write, true));
+        assertEquals(TIMEOUT - 15 * MS, QueueingPolicy.queueDeadline(write, false));
+        assertEquals(800 * MS, QueueingPolicy.queueDeadline(write, true));
     }
 
     @Test
@@ -109,7 +109,7 @@
         replicaSet.pending.add(low);
         replicaSet.pending.add(firstHigh);
         replicaSet.pending.add(secondHigh);
-        assertEquals(List.of(firstHigh, secondHigh, low), QueueingPolicy.drain(replicaSet));
+        assertEquals(List.of(firstHigh, secondHigh, low), QueueingPolicy.takeAllByPriority(replicaSet));
         assertTrue(replicaSet.pending.isEmpty());
     }
 
@@ -128,11 +128,11 @@
         for (int i = 0; i < 20; i++) {
             loss.record(true);
         }
-        assertTrue(loss.isLosingAnswers());
+        assertTrue(loss.isLosingReplies());
         HedgingPolicy hedging = new HedgingPolicy(new RouterClock(0), loss);
         InFlightRequest request = request(Bed.ANY);
         request.attemptStarted(10 * MS, endpoint);
         assertEquals(175 * MS, hedging.stuckAt(request));
-        assertTrue(hedging.mayCancelAt(endpoint));
+        assertTrue(hedging.canCancelAt(endpoint));
     }
 }
--- a/src/test/java/mintstair/decision/RouterTimeTest.java
+++ b/src/test/java/mintstair/decision/RouterTimeTest.java
@@ -46,7 +46,7 @@
         assertFalse(ticks.isDue(20 * MS, "tick"));
         assertFalse(ticks.isDue(50 * MS, "subscribe"));
         assertTrue(ticks.isDue(50 * MS, "tick"));
-        assertEquals(50 * MS, ticks.start());
+        assertEquals(50 * MS, ticks.beginTick());
         assertFalse(ticks.isDue(50 * MS, "tick"));
     }
 
--- a/src/test/java/mintstair/decision/SlowStartPartsTest.java
+++ b/src/test/java/mintstair/decision/SlowStartPartsTest.java
@@ -39,15 +39,15 @@
     void throughputIsThatOfTheAnswersAndStaysWhileNoHostIsThere() {
         HostThroughput throughput = new HostThroughput();
         for (long at = 0; at <= 120 * SECOND; at += 100 * MS) {
-            throughput.answered(2);
+            throughput.recordServed(2);
             throughput.advance(at, 4, 4, 4);
         }
-        double known = throughput.perHostSecond(1, 0);
+        double known = throughput.workPerSecond(1, 0);
         assertEquals(5, known, 0.3);
         throughput.advance(180 * SECOND, 0, 0, 0);
-        assertEquals(known, throughput.perHostSecond(1, 0), 1e-9);
-        assertEquals(known / 2, throughput.perHostSecond(0.5, 0), 1e-9, "a host of half the mean size");
-        assertEquals(known, throughput.perHostSecond(3, 0), 1e-9, "no more than a mean one");
+        assertEquals(known, throughput.workPerSecond(1, 0), 1e-9);
+        assertEquals(known / 2, throughput.workPerSecond(0.5, 0), 1e-9, "a host of half the mean size");
+        assertEquals(known, throughput.workPerSecond(3, 0), 1e-9, "no more than a mean one");
     }
 
     @Test
@@ -55,7 +55,7 @@
         HostThroughput throughput = new HostThroughput();
         throughput.advance(0, 10, 10, 10);
         throughput.advance(MS, 10, 10, 10);
-        assertEquals(10, throughput.perHostSecond(1, 100), 0.2);
+        assertEquals(10, throughput.workPerSecond(1, 100), 0.2);
     }
 
     /** Clients may ask for any multiple of what hosts do: soon only what was answered counts. */
@@ -64,14 +64,14 @@
         HostThroughput throughput = new HostThroughput();
         throughput.advance(0, 10, 10, 10);
         for (long at = 100 * MS; at <= 3 * SECOND; at += 100 * MS) {
-            throughput.answered(10);
+            throughput.recordServed(10);
             throughput.advance(at, 10, 10, 10);
             if (at >= 500 * MS) {
-                double known = throughput.perHostSecond(1, 100_000);
+                double known = throughput.workPerSecond(1, 100_000);
                 assertTrue(known <= 10, "ten hosts answer 100 a second, at " + at + ": " + known);
             }
         }
-        assertEquals(10, throughput.perHostSecond(1, 100_000), 1);
+        assertEquals(10, throughput.workPerSecond(1, 100_000), 1);
     }
 
     @Test
