--- a/src/test/java/mintstair/decision/ClassStatisticsTest.java
+++ b/src/test/java/mintstair/decision/ClassStatisticsTest.java
@@ -18,12 +18,12 @@
     @Test
     void latencyIsAssumedFromTheObjectiveAndThenLearned() {
         ClassStatistics statistics = table().get(RouterFixture.EVENTUAL_READ);
-        assertEquals(50 * MS, statistics.mean());
+        assertEquals(50 * MS, statistics.meanLatency());
         for (int i = 0; i < 500; i++) {
             statistics.recordLatency(20 * MS);
         }
-        assertEquals(20 * MS, statistics.mean(), MS);
-        assertEquals(20 * MS, statistics.latencyAbove(2), MS);
+        assertEquals(20 * MS, statistics.meanLatency(), MS);
+        assertEquals(20 * MS, statistics.meanPlusDeviations(2), MS);
     }
 
     @Test
@@ -52,7 +52,7 @@
             classes.get(RouterFixture.EVENTUAL_READ).recordLatency(20 * MS);
         }
         classes.apply(new RouterFixture().settings());
-        assertEquals(20 * MS, classes.get(RouterFixture.EVENTUAL_READ).mean(), MS);
+        assertEquals(20 * MS, classes.get(RouterFixture.EVENTUAL_READ).meanLatency(), MS);
     }
 
     @Test
