--- a/src/main/java/mintstair/backend/ConnectionPools.java
+++ b/src/main/java/mintstair/backend/ConnectionPools.java
@@ -111,7 +111,7 @@
             pools.computeIfAbsent(entry.host(), host -> newPool()).update(entry);
         }
         minIdlePerHost = PreconnectPolicy.perHost(servingHosts(), maxOpen);
-        if (list.whole()) {
+        if (list.isSnapshot()) {
             removeAllBut(listedHosts);
         }
     }
--- a/src/main/java/mintstair/backend/HostConnectionPool.java
+++ b/src/main/java/mintstair/backend/HostConnectionPool.java
@@ -218,7 +218,7 @@
     void openFailed(HostConnection connection, ConnectionEnd end) {
         connecting--;
         counters.hostsNotUp++;
-        preconnectFromMicros = loop.now() + preconnectBackoff.next();
+        preconnectFromMicros = loop.now() + preconnectBackoff.nextDelayMicros();
         closed(connection);
         PendingAttempt first = waiting.pollFirst();
         if (first != null) {
--- a/src/main/java/mintstair/backend/mongo/MongoProtocol.java
+++ b/src/main/java/mintstair/backend/mongo/MongoProtocol.java
@@ -138,6 +138,6 @@
         if (body.isTimestamp("operationTime")) {
             return body.getTimestamp("operationTime").getTime() * MICROS_PER_SECOND;
         }
-        return HostReport.UNKNOWN;
+        return HostReport.UNKNOWN_POSITION;
     }
 }
--- a/src/main/java/mintstair/backend/pg/PgProtocol.java
+++ b/src/main/java/mintstair/backend/pg/PgProtocol.java
@@ -53,7 +53,7 @@
     @Override
     public HostReport report(byte[] body) {
         ReplicationRole role = ReplicationRole.UNKNOWN;
-        long positionMicros = HostReport.UNKNOWN;
+        long positionMicros = HostReport.UNKNOWN_POSITION;
         for (String part : column(body).split(",", -1)) {
             Matcher field = FIELD.matcher(part);
             if (!field.matches()) {
--- a/src/main/java/mintstair/backend/pg/PgReplyParser.java
+++ b/src/main/java/mintstair/backend/pg/PgReplyParser.java
@@ -49,7 +49,7 @@
     private ConnectionEnd end;
 
     private ReplicationRole role = ReplicationRole.UNKNOWN;
-    private long positionMicros = HostReport.UNKNOWN;
+    private long positionMicros = HostReport.UNKNOWN_POSITION;
 
     @Override
     public HostReply take(byte[] message) {
@@ -116,7 +116,7 @@
         greeting = false;
         end = null;
         role = ReplicationRole.UNKNOWN;
-        positionMicros = HostReport.UNKNOWN;
+        positionMicros = HostReport.UNKNOWN_POSITION;
     }
 
     @Override
--- a/src/main/java/mintstair/discovery/EndpointWatch.java
+++ b/src/main/java/mintstair/discovery/EndpointWatch.java
@@ -171,7 +171,7 @@
             return;
         }
         recordSuccess();
-        if (!list.whole() && list.revision() < revision) {
+        if (!list.isSnapshot() && list.revision() < revision) {
             // Another service, or one that was restarted: its delta does not apply to this list.
             revision = UNKNOWN_REVISION;
             sendCall(stream);
--- a/src/main/java/mintstair/discovery/pace/WatchPacing.java
+++ b/src/main/java/mintstair/discovery/pace/WatchPacing.java
@@ -145,9 +145,9 @@
      */
     public long retryDelayMicros(Failure failure) {
         return switch (failure) {
-            case CONNECTION_LOST -> afterLoss.next();
-            case REJECTED -> afterRejection.next();
-            case TIMED_OUT -> afterTimeout.next();
+            case CONNECTION_LOST -> afterLoss.nextDelayMicros();
+            case REJECTED -> afterRejection.nextDelayMicros();
+            case TIMED_OUT -> afterTimeout.nextDelayMicros();
         };
     }
 
--- a/src/main/java/mintstair/front/ClientSession.java
+++ b/src/main/java/mintstair/front/ClientSession.java
@@ -352,7 +352,7 @@
         }
 
         @Override
-        public void answer(Response response) {
+        public void onResponse(Response response) {
             answered = true;
             exchange = null;
             onResponse.accept(response);
@@ -360,17 +360,17 @@
         }
 
         @Override
-        public boolean isGone() {
+        public boolean isDisconnected() {
             return disconnected;
         }
 
         @Override
-        public void part(byte[] bytes, Runnable onForwarded) {
+        public void onResponsePart(byte[] bytes, Runnable onForwarded) {
             write(bytes, onForwarded);
         }
 
         @Override
-        public void cut() {
+        public void onResponseAborted() {
             exchange = null;
             // A reset in the middle of a message: no client takes what it has for the whole.
             abort(ClientCloseReason.ANSWER_BROKE_OFF);
--- a/src/main/java/mintstair/front/RequestRules.java
+++ b/src/main/java/mintstair/front/RequestRules.java
@@ -69,7 +69,7 @@
                 session,
                 "1".equals(values.get("r")),
                 dispatcher.mayHold(timeoutMicros),
-                after == null ? HostReport.UNKNOWN : number("after", after) * MICROS_PER_MILLI,
+                after == null ? HostReport.UNKNOWN_POSITION : number("after", after) * MICROS_PER_MILLI,
                 statement,
                 null);
     }
@@ -85,7 +85,7 @@
     }
 
     private void checkClass(String requestClass, boolean writes) {
-        if (!dispatcher.classes().knowsClass(requestClass)) {
+        if (!dispatcher.classes().contains(requestClass)) {
             throw new ProtocolException("unknown class " + requestClass);
         }
         if (writes && !dispatcher.classes().isWrite(requestClass)) {
--- a/src/main/java/mintstair/front/mongo/MongoSession.java
+++ b/src/main/java/mintstair/front/mongo/MongoSession.java
@@ -217,7 +217,7 @@
                 request.requestClass(),
                 request.cluster(),
                 request.session(),
-                request.clientRetry(),
+                request.isClientRetry(),
                 request.timeoutMicros(),
                 Math.max(request.minimumPositionMicros(), opened.minimumPositionMicros()),
                 statement,
--- a/src/main/java/mintstair/proxy/AttemptSender.java
+++ b/src/main/java/mintstair/proxy/AttemptSender.java
@@ -48,7 +48,7 @@
             reportNotSent(nowMicros, action, true);
             return;
         }
-        if (!request.exchange().isWanted()) {
+        if (!request.exchange().isClientWaiting()) {
             // The connection was closed, and the event that reports it still waits for this thread.
             completion.clientDisconnected(request.exchange());
         }
@@ -135,7 +135,7 @@
                 startStreaming(attempt);
             }
             if (request.isStreaming(attempt)) {
-                request.exchange().part(bytes, consumed);
+                request.exchange().sendPart(bytes, consumed);
             } else {
                 // Another attempt of the request was faster.
                 consumed.run();
--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -77,7 +77,7 @@
      */
     public Exchange submit(ProxyRequest read, long waitedMicros, ResponseListener client) {
         long nowMicros = loop.now();
-        ProxyRequest request = read.afterWaiting(waitedMicros);
+        ProxyRequest request = read.withReducedTimeout(waitedMicros);
         long number = ++lastRequestNumber;
         Exchange exchange = new Exchange(number, request, nowMicros, client);
         AcceptedRequest accepted = new AcceptedRequest(exchange);
--- a/src/main/java/mintstair/proxy/KnownEndpoints.java
+++ b/src/main/java/mintstair/proxy/KnownEndpoints.java
@@ -12,7 +12,7 @@
 
     /** Applies a snapshot or a delta of the list. */
     void update(EndpointList list) {
-        if (list.whole()) {
+        if (list.isSnapshot()) {
             listedHosts.clear();
             servingHosts.clear();
         }
--- a/src/main/java/mintstair/proxy/RequestCompletion.java
+++ b/src/main/java/mintstair/proxy/RequestCompletion.java
@@ -32,7 +32,7 @@
 
     /** Gives the final answer, unless there was one or the client has left; the request is over then. */
     void answer(AcceptedRequest request, Response response) {
-        if (request.exchange().answer(response)) {
+        if (request.exchange().respond(response)) {
             counters.answered(request.requestClass(), response);
             if (!request.isStreaming()) {
                 responseStarted(request);
@@ -78,7 +78,7 @@
     /** The reply that is streamed to the client broke off before its end. */
     void streamBroken(AcceptedRequest request) {
         counters.answered(request.requestClass(), new Response.Failed(STREAM_BROKEN, false));
-        request.exchange().cut();
+        request.exchange().abort();
     }
 
     private void reportDisconnected(Exchange exchange) {
--- a/src/main/java/mintstair/registry/view/EndpointTable.java
+++ b/src/main/java/mintstair/registry/view/EndpointTable.java
@@ -183,8 +183,8 @@
                 host.cluster(),
                 EndpointList.State.REMOVED,
                 host.primary(),
-                host.size(),
-                host.started());
+                host.capacity(),
+                host.startedAtMicros());
     }
 
     private boolean isFull(RegistryEntry entry) {
@@ -208,8 +208,8 @@
                 host.cluster(),
                 host.state().name(),
                 host.primary(),
-                host.size(),
-                host.started());
+                host.capacity(),
+                host.startedAtMicros());
         return hash * DIGEST_MULTIPLIER ^ hash;
     }
 
--- a/src/main/java/mintstair/registry/view/ReconnectPolicy.java
+++ b/src/main/java/mintstair/registry/view/ReconnectPolicy.java
@@ -49,7 +49,7 @@
         if (OWN_FAULT.contains(reason) && failedAttempts % servers.size() != 0) {
             return (long) (random.nextDouble() * timeouts.initialRetryDelayMicros());
         }
-        return backoff.next();
+        return backoff.nextDelayMicros();
     }
 
     /** The registry confirmed the view: the next failure counts as the first. */
--- a/src/main/java/mintstair/request/EndpointList.java
+++ b/src/main/java/mintstair/request/EndpointList.java
@@ -6,10 +6,10 @@
  * The hosts as service discovery lists them.
  *
  * @param revision increases with each change of the list at its source
- * @param whole whether this is a snapshot of all hosts; else a delta, which holds those that changed
+ * @param isSnapshot whether this is a snapshot of all hosts; else a delta, which holds those that changed
  * @param entries the hosts
  */
-public record EndpointList(long revision, boolean whole, List<Entry> entries) {
+public record EndpointList(long revision, boolean isSnapshot, List<Entry> entries) {
     /** The state of a host's process. */
     public enum State {
         /** It takes requests. */
@@ -29,8 +29,8 @@
      * @param cluster the replica set that it belongs to
      * @param state the state of its process
      * @param primary whether it is listed as the primary of its replica set
-     * @param size its capacity relative to other hosts; 1 is usual
-     * @param started when its process started, in Unix microseconds; 0 for long ago
+     * @param capacity its capacity relative to other hosts; 1 is usual
+     * @param startedAtMicros when its process started, in Unix microseconds; 0 for long ago
      */
     public record Entry(
             String host,
@@ -39,6 +39,6 @@
             int cluster,
             State state,
             boolean primary,
-            double size,
-            long started) {}
+            double capacity,
+            long startedAtMicros) {}
 }
--- a/src/main/java/mintstair/request/Exchange.java
+++ b/src/main/java/mintstair/request/Exchange.java
@@ -44,33 +44,33 @@
     }
 
     /** Whether its client still waits for the answer; false as soon as the client's connection is closed. */
-    public boolean isWanted() {
-        return !over && !client.isGone();
+    public boolean isClientWaiting() {
+        return !over && !client.isDisconnected();
     }
 
     /** Gives the final answer. Returns false, and does nothing, where the exchange is over. */
-    public boolean answer(Response response) {
+    public boolean respond(Response response) {
         if (over) {
             return false;
         }
         over = true;
-        client.answer(response);
+        client.onResponse(response);
         return true;
     }
 
     /**
      * Passes on a part of an answer that is streamed as it is too long to be buffered.
      *
-     * @param written is run when the part has been written to the client
+     * @param onWritten is run when the part has been written to the client
      */
-    public void part(byte[] bytes, Runnable written) {
-        client.part(bytes, written);
+    public void sendPart(byte[] bytes, Runnable onWritten) {
+        client.onResponsePart(bytes, onWritten);
     }
 
     /** Ends a streamed answer that cannot be completed. */
-    public void cut() {
+    public void abort() {
         over = true;
-        client.cut();
+        client.onResponseAborted();
     }
 
     /** Ends the exchange without an answer, as the client has left. */
--- a/src/main/java/mintstair/request/ProxyRequest.java
+++ b/src/main/java/mintstair/request/ProxyRequest.java
@@ -7,10 +7,10 @@
  * @param requestClass the name of its class in the settings
  * @param cluster the replica set that holds its data
  * @param session its session; null where its class has none
- * @param clientRetry whether the client marked it as a retry
+ * @param isClientRetry whether the client marked it as a retry
  * @param timeoutMicros how long the client waits from its arrival on
  * @param minimumPositionMicros the replication position that a read of a session must see, or
- *     {@link HostReport#UNKNOWN}
+ *     {@link HostReport#UNKNOWN_POSITION}
  * @param statement what to forward
  * @param stickyHost the only host that can serve it, as that holds the cursor which is read on; null for any
  */
@@ -19,7 +19,7 @@
         String requestClass,
         int cluster,
         String session,
-        boolean clientRetry,
+        boolean isClientRetry,
         long timeoutMicros,
         long minimumPositionMicros,
         Statement statement,
@@ -29,13 +29,13 @@
     /**
      * The same request after {@code elapsedMicros} of its timeout; one that has none left keeps the shortest possible.
      */
-    public ProxyRequest afterWaiting(long elapsedMicros) {
+    public ProxyRequest withReducedTimeout(long elapsedMicros) {
         return new ProxyRequest(
                 id,
                 requestClass,
                 cluster,
                 session,
-                clientRetry,
+                isClientRetry,
                 Math.max(SHORTEST_TIMEOUT_MICROS, timeoutMicros - elapsedMicros),
                 minimumPositionMicros,
                 statement,
--- a/src/main/java/mintstair/retry/Backoff.java
+++ b/src/main/java/mintstair/retry/Backoff.java
@@ -36,7 +36,7 @@
     }
 
     /** Records one more failure and returns the delay before the next attempt, in microseconds. */
-    public long next() {
+    public long nextDelayMicros() {
         int doublings = Math.min(consecutiveFailures++, MAX_DOUBLINGS);
         long rangeMicros = Math.min(maxDelayMicros, initialDelayMicros << doublings);
         return (long) (rangeMicros * (fixedFraction + random.nextDouble() * (1 - fixedFraction)));
--- a/src/main/java/mintstair/routing/DecisionMapper.java
+++ b/src/main/java/mintstair/routing/DecisionMapper.java
@@ -64,7 +64,7 @@
                 request.cluster(),
                 request.session(),
                 NO_TENANT,
-                request.clientRetry(),
+                request.isClientRetry(),
                 request.timeoutMicros(),
                 tokenAgeMicros(nowMicros, request.minimumPositionMicros()),
                 request.stickyHost());
@@ -72,7 +72,7 @@
 
     /** How long ago the commit was that a read must see, or {@link Positions#UNKNOWN} where it need see none. */
     private static long tokenAgeMicros(long nowMicros, long minimumPositionMicros) {
-        if (minimumPositionMicros == HostReport.UNKNOWN) {
+        if (minimumPositionMicros == HostReport.UNKNOWN_POSITION) {
             return Positions.UNKNOWN;
         }
         long ageMicros = nowMicros - minimumPositionMicros;
@@ -85,7 +85,7 @@
         if (cached) {
             return EndpointUpdateType.CACHED;
         }
-        return list.whole() ? EndpointUpdateType.SNAPSHOT : EndpointUpdateType.DELTA;
+        return list.isSnapshot() ? EndpointUpdateType.SNAPSHOT : EndpointUpdateType.DELTA;
     }
 
     static List<EndpointEntry> endpoints(EndpointList list) {
@@ -97,8 +97,8 @@
                     entry.zone(),
                     entry.cluster(),
                     state(entry.state()),
-                    entry.size(),
-                    entry.started()));
+                    entry.capacity(),
+                    entry.startedAtMicros()));
         }
         return endpoints;
     }
--- a/src/main/java/mintstair/routing/RequestClasses.java
+++ b/src/main/java/mintstair/routing/RequestClasses.java
@@ -19,7 +19,7 @@
     /**
      * Whether the settings have a class of this name. The other methods may be called with names of known classes only.
      */
-    public boolean knowsClass(String name) {
+    public boolean contains(String name) {
         return settings.classes.containsKey(name);
     }
 
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -85,7 +85,7 @@
         return AttemptRules.rule(new AttemptRules.Facts(
                 nowMicros,
                 exchange.isOver(),
-                !exchange.isWanted(),
+                !exchange.isClientWaiting(),
                 abandonAtMicros,
                 attempt.beginByMicros(),
                 drainingHosts.contains(attempt.host())));
@@ -182,7 +182,7 @@
         }
 
         private void updateDraining(long nowMicros, EndpointList list) {
-            if (list.whole()) {
+            if (list.isSnapshot()) {
                 drainingHosts.clear();
             }
             for (EndpointList.Entry entry : list.entries()) {
--- a/src/main/java/mintstair/serve/DiscoverySubscription.java
+++ b/src/main/java/mintstair/serve/DiscoverySubscription.java
@@ -89,7 +89,7 @@
             currentHasReported = true;
             endPrevious();
         }
-        if (list.whole()) {
+        if (list.isSnapshot()) {
             listSize = list.entries().size();
         }
         listener.accept(list);
--- a/src/test/java/mintstair/config/ListReaderTest.java
+++ b/src/test/java/mintstair/config/ListReaderTest.java
@@ -25,7 +25,7 @@
         EndpointList list = read(ENTRY);
 
         assertEquals(7, list.revision());
-        assertTrue(list.whole());
+        assertTrue(list.isSnapshot());
         EndpointList.Entry expected = new EndpointList.Entry(
                 "h1", "127.0.0.1:5432", "a", 2, EndpointList.State.SERVING, true, 1.5, 6_100_000);
         assertEquals(expected, list.entries().get(0));
--- a/src/test/java/mintstair/discovery/pace/JitteredBackoffTest.java
+++ b/src/test/java/mintstair/discovery/pace/JitteredBackoffTest.java
@@ -36,7 +36,7 @@
             if (serviceFreeAt - call.at <= QUEUE_TIMEOUT) {
                 sum -= END - serviceFreeAt;
             } else {
-                long delay = backoffs.get(call.proxy).next();
+                long delay = backoffs.get(call.proxy).nextDelayMicros();
                 calls.add(new Call(call.at + QUEUE_TIMEOUT + delay, call.proxy));
             }
         }
@@ -152,10 +152,10 @@
         for (int i = 0; i < 100; i++) {
             Backoff small =
                     new JitteredBackoff(3, 12, new Random(i)).upTo(WatchPacing.MAX_DELAY_AFTER_REJECTION_MICROS);
-            assertTrue(small.next() < 300_000, "few proxies with short lists hardly wait");
+            assertTrue(small.nextDelayMicros() < 300_000, "few proxies with short lists hardly wait");
             Backoff large = new JitteredBackoff(1000, 100_000, new Random(i)).upTo(2_000_000);
             for (int n = 0; n < 10; n++) {
-                long delay = large.next();
+                long delay = large.nextDelayMicros();
                 assertTrue(delay > 0 && delay <= 2_000_000, delay + "");
             }
         }
--- a/src/test/java/mintstair/proxy/DispatcherTest.java
+++ b/src/test/java/mintstair/proxy/DispatcherTest.java
@@ -83,23 +83,23 @@
         private boolean cut;
 
         @Override
-        public void answer(Response response) {
+        public void onResponse(Response response) {
             responses.add(response);
         }
 
         @Override
-        public void part(byte[] bytes, Runnable written) {
+        public void onResponsePart(byte[] bytes, Runnable written) {
             parts.add(bytes);
             written.run();
         }
 
         @Override
-        public boolean isGone() {
+        public boolean isDisconnected() {
             return gone;
         }
 
         @Override
-        public void cut() {
+        public void onResponseAborted() {
             cut = true;
         }
     }
@@ -141,8 +141,8 @@
     }
 
     private Exchange submitWrite() {
-        ProxyRequest request =
-                new ProxyRequest("id", "write", 1, null, false, TIMEOUT_MICROS, HostReport.UNKNOWN, STATEMENT, null);
+        ProxyRequest request = new ProxyRequest(
+                "id", "write", 1, null, false, TIMEOUT_MICROS, HostReport.UNKNOWN_POSITION, STATEMENT, null);
         return dispatcher.submit(request, 0, client);
     }
 
--- a/src/test/java/mintstair/proxy/RequestTableTest.java
+++ b/src/test/java/mintstair/proxy/RequestTableTest.java
@@ -26,7 +26,7 @@
 
     private AcceptedRequest add(long number, String id) {
         ProxyRequest request = new ProxyRequest(
-                id, "any", 1, null, false, 1_000_000, HostReport.UNKNOWN, timeout -> new byte[0], null);
+                id, "any", 1, null, false, 1_000_000, HostReport.UNKNOWN_POSITION, timeout -> new byte[0], null);
         AcceptedRequest accepted = new AcceptedRequest(new Exchange(number, request, 0, response -> {}));
         accepted.setDeadlineGuard(DeadlineGuard.start(loop, Long.MAX_VALUE / 2, () -> {}));
         table.add(accepted);
--- a/src/test/java/mintstair/registry/RecordingClient.java
+++ b/src/test/java/mintstair/registry/RecordingClient.java
@@ -63,7 +63,7 @@
     }
 
     private void apply(EndpointList list) {
-        if (list.whole()) {
+        if (list.isSnapshot()) {
             hosts.clear();
         }
         for (EndpointList.Entry entry : list.entries()) {
@@ -78,7 +78,7 @@
     /** The version of a host, as {@link RegistryFixtures#hostJson} wrote it; -1 for none. */
     int version(String uid) {
         EndpointList.Entry entry = hosts.get(uid);
-        return entry == null ? -1 : (int) (entry.started() / 1000);
+        return entry == null ? -1 : (int) (entry.startedAtMicros() / 1000);
     }
 
     void awaitVersion(String uid, int version) {
--- a/src/test/java/mintstair/registry/ViewDriver.java
+++ b/src/test/java/mintstair/registry/ViewDriver.java
@@ -114,7 +114,7 @@
 
     private static String describe(EndpointList.Entry entry) {
         boolean removed = entry.state() == EndpointList.State.REMOVED;
-        return entry.host() + (removed ? "-" : "=" + entry.started() / 1000);
+        return entry.host() + (removed ? "-" : "=" + entry.startedAtMicros() / 1000);
     }
 
     ViewMetrics metrics() {
--- a/src/test/java/mintstair/registry/ViewMirror.java
+++ b/src/test/java/mintstair/registry/ViewMirror.java
@@ -31,7 +31,7 @@
         if (!(update instanceof ViewUpdate.Endpoints endpoints)) {
             return;
         }
-        if (endpoints.list().whole()) {
+        if (endpoints.list().isSnapshot()) {
             hosts.clear();
             complete = true;
         }
@@ -62,7 +62,7 @@
             return true;
         }
         EndpointList.Entry host = hosts.get(uid);
-        return host != null && value.contains(":" + Math.round(host.started() / 1000.0) + "}");
+        return host != null && value.contains(":" + Math.round(host.startedAtMicros() / 1000.0) + "}");
     }
 
     /** How many of the entries have no host here, as their value has not been valid. */
@@ -80,7 +80,7 @@
     @Override
     public String toString() {
         Map<String, Long> versions = new TreeMap<>();
-        hosts.forEach((uid, host) -> versions.put(uid, host.started() / 1000));
+        hosts.forEach((uid, host) -> versions.put(uid, host.startedAtMicros() / 1000));
         return versions.toString();
     }
 
--- a/src/test/java/mintstair/request/ExchangeTest.java
+++ b/src/test/java/mintstair/request/ExchangeTest.java
@@ -17,12 +17,12 @@
         private boolean gone;
 
         @Override
-        public void answer(Response response) {
+        public void onResponse(Response response) {
             responses.add(response);
         }
 
         @Override
-        public boolean isGone() {
+        public boolean isDisconnected() {
             return gone;
         }
     }
@@ -32,7 +32,7 @@
 
     private static ProxyRequest request(long timeoutMicros) {
         return new ProxyRequest(
-                "id", "any", 1, null, false, timeoutMicros, HostReport.UNKNOWN, timeout -> new byte[0], null);
+                "id", "any", 1, null, false, timeoutMicros, HostReport.UNKNOWN_POSITION, timeout -> new byte[0], null);
     }
 
     @Test
@@ -42,9 +42,9 @@
 
     @Test
     void secondAnswerIsNotGiven() {
-        assertTrue(exchange.answer(REJECTED));
+        assertTrue(exchange.respond(REJECTED));
 
-        assertFalse(exchange.answer(LATE));
+        assertFalse(exchange.respond(LATE));
 
         assertEquals(List.of(REJECTED), client.responses);
         assertTrue(exchange.isOver());
@@ -54,23 +54,23 @@
     void abandonedExchangeIsNotAnswered() {
         exchange.abandon();
 
-        assertFalse(exchange.answer(REJECTED));
+        assertFalse(exchange.respond(REJECTED));
         assertEquals(List.of(), client.responses);
     }
 
     @Test
     void exchangeWhoseClientIsGoneIsNotWantedThoughNotOver() {
-        assertTrue(exchange.isWanted());
+        assertTrue(exchange.isClientWaiting());
 
         client.gone = true;
 
-        assertFalse(exchange.isWanted());
+        assertFalse(exchange.isClientWaiting());
         assertFalse(exchange.isOver());
     }
 
     @Test
     void waitingShortensTheTimeoutToOneMicrosecondAtLeast() {
-        assertEquals(500, request(900).afterWaiting(400).timeoutMicros());
-        assertEquals(1, request(900).afterWaiting(5_000).timeoutMicros());
+        assertEquals(500, request(900).withReducedTimeout(400).timeoutMicros());
+        assertEquals(1, request(900).withReducedTimeout(5_000).timeoutMicros());
     }
 }
--- a/src/test/java/mintstair/retry/BackoffTest.java
+++ b/src/test/java/mintstair/retry/BackoffTest.java
@@ -15,30 +15,30 @@
     @Test
     void delaysAreFromTheUpperHalfOfARangeThatDoublesUpToItsCap() {
         for (long range : new long[] {100, 200, 400, 800, 1_600, 1_600, 1_600}) {
-            long delay = backoff.next();
+            long delay = backoff.nextDelayMicros();
             assertTrue(delay >= range / 2 && delay <= range, delay + " of " + range);
         }
         for (int i = 0; i < 100; i++) {
-            assertTrue(backoff.next() <= MAX_DELAY);
+            assertTrue(backoff.nextDelayMicros() <= MAX_DELAY);
         }
     }
 
     @Test
     void delayAfterASuccessIsThatOfAFirstFailure() {
         for (int i = 0; i < 107; i++) {
-            backoff.next();
+            backoff.nextDelayMicros();
         }
 
         backoff.reset();
 
-        assertTrue(backoff.next() <= 100);
+        assertTrue(backoff.nextDelayMicros() <= 100);
     }
 
     /** Guards against a thundering herd of proxies that failed together. */
     @Test
     void delaysDifferFromProxyToProxy() {
         long distinctDelays = LongStream.range(0, 48)
-                .map(seed -> new Backoff(new Random(seed), 1_000_000, 2_000_000).next())
+                .map(seed -> new Backoff(new Random(seed), 1_000_000, 2_000_000).nextDelayMicros())
                 .distinct()
                 .count();
 
--- a/src/test/java/mintstair/routing/DecisionMapperTest.java
+++ b/src/test/java/mintstair/routing/DecisionMapperTest.java
@@ -49,7 +49,7 @@
 
     @Test
     void tokenAgeIsTheTimeSinceTheCommit() {
-        assertEquals(Positions.UNKNOWN, tokenAgeMicros(HostReport.UNKNOWN));
+        assertEquals(Positions.UNKNOWN, tokenAgeMicros(HostReport.UNKNOWN_POSITION));
         assertEquals(250, tokenAgeMicros(NOW_MICROS - 250));
     }
 
--- a/src/test/java/mintstair/routing/RequestRouterTest.java
+++ b/src/test/java/mintstair/routing/RequestRouterTest.java
@@ -19,7 +19,7 @@
     private static final long NUMBER = 1;
     private static final String PRIMARY = "p";
     private static final ProxyRequest WRITE = new ProxyRequest(
-            "id", "write", 1, null, false, TIMEOUT_MICROS, HostReport.UNKNOWN, timeout -> new byte[0], null);
+            "id", "write", 1, null, false, TIMEOUT_MICROS, HostReport.UNKNOWN_POSITION, timeout -> new byte[0], null);
 
     private final RequestRouter router = RouterFixtures.router(NOW_MICROS);
 
@@ -93,8 +93,8 @@
 
     @Test
     void classesAreThoseOfTheSettings() {
-        assertTrue(router.classes().knowsClass("write"));
-        assertFalse(router.classes().knowsClass("unknown"));
+        assertTrue(router.classes().contains("write"));
+        assertFalse(router.classes().contains("unknown"));
         assertTrue(router.classes().isWrite("write"));
         assertFalse(router.classes().isWrite("bounded"));
         assertEquals(TIMEOUT_MICROS, router.classes().deadlineMicros("write"));
--- a/src/test/java/mintstair/serve/EndpointUpdateQueueTest.java
+++ b/src/test/java/mintstair/serve/EndpointUpdateQueueTest.java
@@ -21,8 +21,8 @@
     private final EndpointUpdateQueue queue = new EndpointUpdateQueue(loop::add, this::apply);
 
     private void apply(ViewUpdate.Endpoints update) {
-        applied.add(
-                (update.list().whole() ? "snapshot " : "delta ") + update.list().revision());
+        applied.add((update.list().isSnapshot() ? "snapshot " : "delta ")
+                + update.list().revision());
     }
 
     private static ViewUpdate.Endpoints update(long revision, boolean whole, List<EndpointList.Entry> hosts) {
