--- a/src/test/java/mintstair/decision/RetryPolicyTest.java
+++ b/src/test/java/mintstair/decision/RetryPolicyTest.java
@@ -80,10 +80,10 @@
 
     @Test
     void rejectionIsPromisedToBeHarmlessOnlyWhereItIs() {
-        assertTrue(RetryPolicy.isHarmlessToRepeat(request(RouterFixture.NON_IDEMPOTENT_WRITE)));
-        assertFalse(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(RouterFixture.NON_IDEMPOTENT_WRITE)));
-        assertFalse(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(RouterFixture.IDEMPOTENCY_KEY_WRITE)));
-        assertTrue(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(RouterFixture.EVENTUAL_READ)));
+        assertTrue(RetryPolicy.isSafeToRepeat(request(RouterFixture.NON_IDEMPOTENT_WRITE)));
+        assertFalse(RetryPolicy.isSafeToRepeat(afterOneThatMayHaveRun(RouterFixture.NON_IDEMPOTENT_WRITE)));
+        assertFalse(RetryPolicy.isSafeToRepeat(afterOneThatMayHaveRun(RouterFixture.IDEMPOTENCY_KEY_WRITE)));
+        assertTrue(RetryPolicy.isSafeToRepeat(afterOneThatMayHaveRun(RouterFixture.EVENTUAL_READ)));
     }
 
     @Test
@@ -95,7 +95,7 @@
     @Test
     void unsentRequestIsHeldForLessThanHalfOfItsTime() {
         InFlightRequest write = request(RouterFixture.NON_IDEMPOTENT_WRITE);
-        assertEquals(900 * MS, QueueingPolicy.waitUntil(write, false));
+        assertEquals(900 * MS, QueueingPolicy.queueDeadline(write, false));
         write.attemptStarted(0, endpoint);
         assertEquals(TIMEOUT - 15 * MS, QueueingPolicy.queueDeadline(write, false));
         assertEquals(800 * MS, QueueingPolicy.queueDeadline(write, true));
