--- a/src/main/java/mintstair/decision/AttemptObserver.java
+++ b/src/main/java/mintstair/decision/AttemptObserver.java
@@ -55,10 +55,10 @@
         AttemptOutcome outcome = result.outcome();
         boolean answered = isAnswer(outcome);
         if (answered) {
-            failureDetector.answered(now, endpoint, true);
+            failureDetector.endpointReplied(now, endpoint, true);
         }
         if (outcome == AttemptOutcome.UNREACHABLE) {
-            failureDetector.unreachable(now, endpoint);
+            failureDetector.endpointUnreachable(now, endpoint);
         }
         if (outcome == AttemptOutcome.TIMEOUT) {
             endpoint.liveness.timeouts++;
@@ -94,9 +94,9 @@
 
     private void observeRole(long now, Endpoint endpoint, AttemptResult result) {
         if (result.role() == ReplicationRole.PRIMARY) {
-            primaries.claimedPrimary(endpoint, now);
+            primaries.primaryObserved(endpoint, now);
         } else if (result.role() == ReplicationRole.REPLICA) {
-            primaries.claimedReplica(endpoint, now);
+            primaries.replicaObserved(endpoint, now);
         }
     }
 
@@ -109,14 +109,14 @@
             return;
         }
         if (known) {
-            long lag = positions.present(now) - result.position();
-            replication.reported(now, endpoint, result.position(), lag);
+            long lag = positions.currentPosition(now) - result.position();
+            replication.positionReported(now, endpoint, result.position(), lag);
         } else if (result.outcome() == AttemptOutcome.SUCCESS
                 && settings.get().replicaReadCheck() != ReplicaReadCheck.NONE) {
             // A checked read that was served proves that its replica had come as far as was asked for.
             long required = freshness.requiredPosition(request.sentAt(result.attempt()), request);
             if (required < ReadRequirement.UNREACHABLE_POSITION) {
-                replication.reached(endpoint, required);
+                replication.positionReached(endpoint, required);
             }
         }
     }
@@ -125,7 +125,7 @@
         String session = request.request.session();
         if (session != null && settings.get().remembersSessionTokens()) {
             boolean known = result.position() != Positions.UNKNOWN;
-            tokens.written(now, session, known ? result.position() : positions.present(now));
+            tokens.writeAnswered(now, session, known ? result.position() : positions.currentPosition(now));
         }
     }
 
@@ -134,18 +134,18 @@
         HealthCheckState check = endpoint.healthCheck;
         check.inFlight = false;
         if (outcome == AttemptOutcome.SUCCESS && status != null) {
-            failureDetector.answered(now, endpoint, false);
+            failureDetector.endpointReplied(now, endpoint, false);
             observeStatus(now, endpoint, latency, status);
             return;
         }
         switch (outcome) {
-            case TIMEOUT, UNREACHABLE -> failureDetector.healthCheckLost(now, endpoint);
+            case TIMEOUT, UNREACHABLE -> failureDetector.healthCheckUnanswered(now, endpoint);
             // If the endpoint is lost the next check will not reach it either.
             case CONNECTION_RESET -> check.dueAt = Math.min(check.dueAt, now);
             case NOT_SENT -> {}
             default -> {
                 // An error is a sign of life, if of nothing else; it must not be asked for again at once.
-                failureDetector.alive(now, endpoint);
+                failureDetector.endpointAlive(now, endpoint);
                 check.dueAt = Math.max(check.dueAt, now + HealthChecker.INTERVAL_MICROS);
             }
         }
@@ -157,28 +157,28 @@
         if (status.role() == ReplicationRole.PRIMARY) {
             primaryReported(now, endpoint, status.position());
         }
-        long age = positions.present(now) - status.position();
-        long reportedAt = positions.ownTime(replicaSet.number, now, status.position());
+        long age = positions.currentPosition(now) - status.position();
+        long reportedAt = positions.localTimeOf(replicaSet.number, now, status.position());
         if (status.role() == ReplicationRole.PRIMARY) {
             // A primary is always up to date, so its position is the time of its report.
             endpoint.replication.reportedAt = now;
             if (known) {
                 replicaSet.recordReportAge(age);
             }
-            primaries.claimedPrimary(endpoint, reportedAt);
+            primaries.primaryObserved(endpoint, reportedAt);
         } else if (status.role() == ReplicationRole.REPLICA && known) {
             long sentAt = now - latency - replicaSet.reportAge();
-            primaries.claimedReplica(endpoint, Math.max(reportedAt, sentAt));
-            replication.reported(now, endpoint, status.position(), age);
+            primaries.replicaObserved(endpoint, Math.max(reportedAt, sentAt));
+            replication.positionReported(now, endpoint, status.position(), age);
         }
     }
 
     /** A primary reported its position: where that shows the own clock wrong, start times are judged anew. */
     private void primaryReported(long now, Endpoint endpoint, long position) {
-        if (position == Positions.UNKNOWN || !positions.heardPrimary(endpoint.replicaSet.number, now, position)) {
+        if (position == Positions.UNKNOWN || !positions.primaryReported(endpoint.replicaSet.number, now, position)) {
             return;
         }
-        long millis = positions.wrongBy() / MICROS_PER_MILLI;
+        long millis = positions.clockError() / MICROS_PER_MILLI;
         actions.log("clock: hosts' positions are " + millis + " ms ahead of this machine's clock");
         directory.hostClockChanged(now);
     }
--- a/src/main/java/mintstair/decision/Endpoint.java
+++ b/src/main/java/mintstair/decision/Endpoint.java
@@ -29,9 +29,9 @@
     /** When it last rejected an attempt for want of capacity. */
     long overloadedAt = NEVER;
     /** Its size by the endpoint list, beside those of others. */
-    double size = 1;
+    double capacityHint = 1;
     /** Its start by the endpoint list, on the hosts' clock; 0 where it started long ago. */
-    long listedStart;
+    long listedStartTime;
 
     private boolean serving;
     private boolean draining;
@@ -79,7 +79,7 @@
     }
 
     /** Whether the list has removed it, and it is used all the same as the removal is advisory. */
-    boolean isRemovalDoubted() {
+    boolean isRemovalIgnored() {
         return removalDoubted;
     }
 
@@ -89,7 +89,7 @@
     }
 
     /** Whether it was removed long ago and nothing of this router is in flight there. */
-    boolean isForgettable(long now) {
+    boolean isExpired(long now) {
         return removedAt != 0 && now - removedAt >= REMEMBERED_MICROS && inFlight == 0;
     }
 
--- a/src/main/java/mintstair/decision/EndpointDirectory.java
+++ b/src/main/java/mintstair/decision/EndpointDirectory.java
@@ -70,7 +70,7 @@
 
     private void update(long now, EndpointEntry entry) {
         Endpoint endpoint = endpoints.get(entry.host());
-        ReplicaSet replicaSet = replicaSet(entry.group());
+        ReplicaSet replicaSet = replicaSet(entry.replicaSet());
         if (endpoint != null && endpoint.replicaSet != replicaSet) {
             // Nothing known of it holds in another replica set, and the old one must not use it.
             endpoint.stopServing();
@@ -81,14 +81,14 @@
             endpoint = add(now, entry.host(), replicaSet);
         }
         endpoint.listed(now, entry.state(), isRemovalAdvisory());
-        endpoint.size = entry.size();
-        if (entry.lastStart() > endpoint.listedStart) {
-            endpoint.listedStart = entry.lastStart();
+        endpoint.capacityHint = entry.capacityHint();
+        if (entry.startTimeMicros() > endpoint.listedStartTime) {
+            endpoint.listedStartTime = entry.startTimeMicros();
             slowStarts.judgeListedStart(now, endpoint);
         }
         // The list's role is late: it only fills in where nothing better is known.
         if (settings.get().listReportsRole() && entry.primary() && replicaSet.primary == null) {
-            primaries.claimedPrimary(endpoint, 0);
+            primaries.primaryObserved(endpoint, 0);
         }
     }
 
@@ -104,7 +104,7 @@
 
     /** Endpoints come and go under new names all day long: one that stays away is forgotten. */
     private static boolean forget(long now, Endpoint endpoint) {
-        if (!endpoint.isForgettable(now)) {
+        if (!endpoint.isExpired(now)) {
             return false;
         }
         endpoint.replicaSet.remove(endpoint);
@@ -124,7 +124,7 @@
         for (Endpoint endpoint : endpoints.values()) {
             endpoint.primaryLimit.shareAmong(fleetSize);
             slowStarts.settingsChanged(now, endpoint);
-            if (endpoint.isRemovalDoubted()) {
+            if (endpoint.isRemovalIgnored()) {
                 endpoint.removed(now, isRemovalAdvisory());
             }
         }
@@ -133,7 +133,7 @@
     /** What is known of the hosts' clock has changed: starts by the endpoint list are judged anew. */
     void hostClockChanged(long now) {
         for (Endpoint endpoint : endpoints.values()) {
-            if (endpoint.listedStart > 0) {
+            if (endpoint.listedStartTime > 0) {
                 slowStarts.judgeListedStart(now, endpoint);
             }
         }
@@ -161,7 +161,7 @@
     }
 
     /** Tells how many endpoints are there to serve, and what share of their capacity they have. */
-    void observe(long now, HostThroughput throughput) {
+    void updateThroughput(long now, HostThroughput throughput) {
         ProtectionSettings protection = settings.get().protection();
         int count = 0;
         double warm = 0;
@@ -170,7 +170,7 @@
             if (endpoint.isServing() && !endpoint.liveness.isUnresponsive()) {
                 count++;
                 warm += endpoint.capacityShare(now, protection);
-                sizes += endpoint.size;
+                sizes += endpoint.capacityHint;
             }
         }
         throughput.advance(now, count, warm, sizes);
--- a/src/main/java/mintstair/decision/EndpointEntry.java
+++ b/src/main/java/mintstair/decision/EndpointEntry.java
@@ -5,8 +5,8 @@
         String host,
         boolean primary,
         String zone,
-        int group,
+        int replicaSet,
         EndpointState state,
-        double size,
+        double capacityHint,
         // 0 where it started long ago
-        long lastStart) {}
+        long startTimeMicros) {}
--- a/src/main/java/mintstair/decision/EndpointSelector.java
+++ b/src/main/java/mintstair/decision/EndpointSelector.java
@@ -47,14 +47,14 @@
 
     /** The endpoint for the next attempt, or null where there is none now. */
     Endpoint choose(long now, InFlightRequest request) {
-        ReplicaSet replicaSet = directory.replicaSet(request.request.group());
+        ReplicaSet replicaSet = directory.replicaSet(request.request.replicaSet());
         if (request.isSticky()) {
             request.heldBackBy = GiveUpReason.STICKY_HOST;
             return chooseSticky(now, replicaSet, request);
         }
         if (request.needsPrimary()) {
             request.heldBackBy = GiveUpReason.NO_PRIMARY;
-            return primaries.isConfirmed(now, replicaSet) ? primaryAdmission.admit(now, replicaSet, request) : null;
+            return primaries.confirmPrimary(now, replicaSet) ? primaryAdmission.admit(now, replicaSet, request) : null;
         }
         return chooseForRead(now, replicaSet, request);
     }
@@ -90,7 +90,7 @@
         Endpoint primary = replica == null && isPollTooCostly(now, read, replicaSet)
                 ? primaryAdmission.admit(now, replicaSet, read)
                 : null;
-        boolean mayImprove = primary == null && (replica == null || ReplicaSelector.isCrowded(replica));
+        boolean mayImprove = primary == null && (replica == null || ReplicaSelector.hasExcessLoad(replica));
         if (mayImprove && healthChecker.checkOnDemand(now, replicaSet, read, required)) {
             return null;
         }
@@ -125,7 +125,7 @@
             long now, ReplicaSet replicaSet, InFlightRequest read, Endpoint admitted, long required) {
         if (!replicaSet.hasUsablePrimary()) {
             // The next primary is looked for at once: writes, which look for it too, may come too rarely.
-            primaries.isConfirmed(now, replicaSet);
+            primaries.confirmPrimary(now, replicaSet);
         }
         Endpoint primary = admitted != null ? admitted : primaryAdmission.admit(now, replicaSet, read);
         if (primary != null || settings.get().replicaReadCheck() == ReplicaReadCheck.NONE) {
--- a/src/main/java/mintstair/decision/FailureDetector.java
+++ b/src/main/java/mintstair/decision/FailureDetector.java
@@ -52,28 +52,28 @@
     }
 
     /** Sums up the answers that the endpoint should have given since the last call; due before its load changes. */
-    void accrue(long now, Endpoint endpoint) {
+    void accrueMissedReplies(long now, Endpoint endpoint) {
         Liveness liveness = endpoint.liveness;
         long from = Math.max(liveness.accruedAt, clock.runningSince());
         double expectedLatency = classes.meanLatency() * Math.max(1, endpoint.outliers.slowdown());
-        liveness.missedAnswers += endpoint.inFlight * Math.max(0, now - from) / expectedLatency;
+        liveness.missedReplies += endpoint.inFlight * Math.max(0, now - from) / expectedLatency;
         liveness.accruedAt = now;
         if (endpoint.inFlight + liveness.timeouts == 0) {
-            liveness.settle(now);
+            liveness.clearMissedReplies(now);
         }
     }
 
     /** Looks whether an endpoint with requests in flight has been silent for too long. */
-    void checkForMissedAnswers(long now, Endpoint endpoint, double patience) {
-        accrue(now, endpoint);
+    void checkForMissedReplies(long now, Endpoint endpoint, double patience) {
+        accrueMissedReplies(now, endpoint);
         Liveness liveness = endpoint.liveness;
         ReplicaSet replicaSet = endpoint.replicaSet;
         // A primary whose replicas still advance is slow, not lost.
         boolean replicates = endpoint.isPrimary()
-                && positions.ownTime(replicaSet.number, now, replicaSet.newestPosition) > now - patience;
+                && positions.localTimeOf(replicaSet.number, now, replicaSet.newestPosition) > now - patience;
         boolean severalUnanswered = endpoint.inFlight + liveness.timeouts >= MIN_UNANSWERED;
         long since = Math.max(liveness.answeredAt, clock.runningSince());
-        boolean overdue = liveness.missedAnswers > MAX_MISSED_ANSWERS && now - since > patience;
+        boolean overdue = liveness.missedReplies > MAX_MISSED_ANSWERS && now - since > patience;
         if (!liveness.isUnresponsive() && overdue && severalUnanswered && !replicates) {
             markUnresponsive(now, endpoint, "requests in flight and no answers");
         }
@@ -86,10 +86,10 @@
      *     unresponsiveness only after
      *     a while
      */
-    void answered(long now, Endpoint endpoint, boolean served) {
+    void endpointReplied(long now, Endpoint endpoint, boolean served) {
         Liveness liveness = endpoint.liveness;
-        liveness.heardAt = now;
-        boolean wasUnreachable = liveness.unreachableInARow > 0;
+        liveness.lastReplyAt = now;
+        boolean wasUnreachable = liveness.consecutiveUnreachable > 0;
         if (liveness.isUnresponsive() && wasUnreachable) {
             slowStarts.found(endpoint, now);
         }
@@ -99,33 +99,33 @@
                 actions.log("responsive " + endpoint.name);
             }
             liveness.markResponsive();
-            liveness.settle(now);
+            liveness.clearMissedReplies(now);
         }
-        liveness.unreachableInARow = 0;
+        liveness.consecutiveUnreachable = 0;
     }
 
     /** The endpoint gave a sign of life that says nothing of its state. */
-    void alive(long now, Endpoint endpoint) {
-        endpoint.liveness.heardAt = now;
-        endpoint.liveness.unreachableInARow = 0;
+    void endpointAlive(long now, Endpoint endpoint) {
+        endpoint.liveness.lastReplyAt = now;
+        endpoint.liveness.consecutiveUnreachable = 0;
     }
 
     /** An attempt or a health check did not reach the endpoint: a zone may be lost, so it is checked at once. */
-    void unreachable(long now, Endpoint endpoint) {
+    void endpointUnreachable(long now, Endpoint endpoint) {
         lastUnreachableAt = now;
         endpoint.healthCheck.dueAt = Math.min(endpoint.healthCheck.dueAt, now);
         endpoint.replication.reportedAt = 0;
-        endpoint.liveness.unreachableInARow++;
-        if (endpoint.liveness.unreachableInARow >= MAX_UNREACHABLE && !endpoint.liveness.isUnresponsive()) {
+        endpoint.liveness.consecutiveUnreachable++;
+        if (endpoint.liveness.consecutiveUnreachable >= MAX_UNREACHABLE && !endpoint.liveness.isUnresponsive()) {
             markUnresponsive(now, endpoint, "unreachable");
         }
     }
 
     /** A health check did not reach the endpoint; it proves nothing against one that answered since it was sent. */
-    void healthCheckLost(long now, Endpoint endpoint) {
+    void healthCheckUnanswered(long now, Endpoint endpoint) {
         long lastSign = Math.max(endpoint.liveness.answeredAt, clock.runningSince());
         if (lastSign < endpoint.healthCheck.sentAt) {
-            unreachable(now, endpoint);
+            endpointUnreachable(now, endpoint);
         }
     }
 
@@ -136,8 +136,8 @@
     boolean isTrusted(long now, Endpoint endpoint) {
         boolean unreachableLately =
                 settings.get().limits().healthChecks() && now - lastUnreachableAt < SUSPICION_MICROS;
-        boolean suspicious = endpoint.isRemovalDoubted() || unreachableLately;
-        return !suspicious || now - endpoint.liveness.heardAt < SUSPICION_MICROS;
+        boolean suspicious = endpoint.isRemovalIgnored() || unreachableLately;
+        return !suspicious || now - endpoint.liveness.lastReplyAt < SUSPICION_MICROS;
     }
 
     private void markUnresponsive(long now, Endpoint endpoint, String reason) {
--- a/src/main/java/mintstair/decision/HealthChecker.java
+++ b/src/main/java/mintstair/decision/HealthChecker.java
@@ -72,7 +72,7 @@
     }
 
     /** Sends a health check. */
-    void check(long now, Endpoint endpoint) {
+    void sendCheck(long now, Endpoint endpoint) {
         endpoint.healthCheck.inFlight = true;
         endpoint.healthCheck.sentAt = now;
         actions.checkHealth(endpoint.name);
@@ -91,7 +91,7 @@
     }
 
     /** Whether endpoints are polled by the timer at this interval. */
-    static boolean isTimed(long interval) {
+    static boolean isPeriodic(long interval) {
         return interval < MAX_INTERVAL_MICROS;
     }
 
@@ -104,14 +104,14 @@
             return;
         }
         state.dueAt = now + (long) (interval * (MIN_JITTER + JITTER_SPAN * random.nextDouble()));
-        check(now, endpoint);
+        sendCheck(now, endpoint);
     }
 
     /** Polls the only endpoint that can serve a request, unless that was done just now. */
     void checkSticky(long now, Endpoint endpoint) {
         boolean due = now - endpoint.healthCheck.sentAt >= ON_DEMAND_WAIT_MICROS;
         if (settings.get().limits().healthChecks() && !endpoint.healthCheck.inFlight && due) {
-            check(now, endpoint);
+            sendCheck(now, endpoint);
         }
     }
 
@@ -128,7 +128,8 @@
         List<Endpoint> candidates = new ArrayList<>();
         for (Endpoint member : replicaSet.members) {
             inFlight |= member.healthCheck.inFlight && isCheckedLately(now, member);
-            if (freshness.isProven(now, member, read, requiredPosition) && !ReplicaSelector.isCrowded(member)) {
+            if (freshness.isProvenRecent(now, member, read, requiredPosition)
+                    && !ReplicaSelector.hasExcessLoad(member)) {
                 return false;
             }
             if (mayProve(now, member, read, requiredPosition)) {
@@ -151,16 +152,16 @@
         boolean sent = onDemand.hasToken();
         int count = Math.min(candidates.size(), POLLS_AT_ONCE);
         for (int i = 0; i < count && onDemand.tryAcquire(); i++) {
-            check(now, candidates.remove(random.nextInt(candidates.size())));
+            sendCheck(now, candidates.remove(random.nextInt(candidates.size())));
         }
         return sent;
     }
 
     /** Whether a poll could show the replica recent enough: not just polled, and not shown to be far behind. */
     private boolean mayProve(long now, Endpoint endpoint, InFlightRequest read, long requiredPosition) {
-        boolean lost = endpoint.liveness.isUnresponsive() && endpoint.liveness.unreachableInARow > 0;
+        boolean lost = endpoint.liveness.isUnresponsive() && endpoint.liveness.consecutiveUnreachable > 0;
         boolean busy = endpoint.healthCheck.inFlight || isCheckedLately(now, endpoint);
-        return !lost && !busy && freshness.mayBecomeProven(now, endpoint, read, requiredPosition);
+        return !lost && !busy && freshness.canBeProvenRecent(now, endpoint, read, requiredPosition);
     }
 
     private static boolean isCheckedLately(long now, Endpoint endpoint) {
--- a/src/main/java/mintstair/decision/InvariantMonitor.java
+++ b/src/main/java/mintstair/decision/InvariantMonitor.java
@@ -91,12 +91,12 @@
     private final Map<String, Long> drainingSince = new HashMap<>();
 
     /** A request was taken in. */
-    public void taken(long request, RequestClass requestClass, long deadline) {
+    public void requestAccepted(long request, RequestClass requestClass, long deadline) {
         requests.put(request, new Watched(requestClass, deadline));
     }
 
     /** A host was listed, as draining or not. */
-    public void listed(long now, String host, boolean draining) {
+    public void hostListed(long now, String host, boolean draining) {
         if (draining) {
             drainingSince.putIfAbsent(host, now);
         } else {
@@ -105,7 +105,7 @@
     }
 
     /** The first byte of an attempt is about to be written, whose host is to work for {@code wait} at most. */
-    public List<Finding> begun(long now, long request, int attempt, String host, long wait, long drainGrace) {
+    public List<Finding> attemptStarted(long now, long request, int attempt, String host, long wait, long drainGrace) {
         Watched watched = requests.get(request);
         List<Violation> found = new ArrayList<>();
         if (watched == null || watched.over) {
@@ -139,7 +139,7 @@
     }
 
     /** An attempt ended; {@code mayHaveRun} unless it is certain that its host did nothing for it. */
-    public void ended(long request, int attempt, boolean mayHaveRun) {
+    public void attemptEnded(long request, int attempt, boolean mayHaveRun) {
         Watched watched = requests.get(request);
         if (watched == null) {
             return;
@@ -152,7 +152,7 @@
     }
 
     /** A client was given its final answer. */
-    public List<Finding> answered(long now, long request) {
+    public List<Finding> requestAnswered(long now, long request) {
         Watched watched = requests.get(request);
         if (watched == null) {
             return List.of();
@@ -165,14 +165,14 @@
             found.add(Violation.ANSWERED_LATE);
         }
         watched.answered = true;
-        over(request);
+        requestClosed(request);
         return found.stream()
                 .map(violation -> new Finding(violation, request, ""))
                 .toList();
     }
 
     /** No answer is due any more: it was given, or the client has disconnected. */
-    public void over(long request) {
+    public void requestClosed(long request) {
         Watched watched = requests.get(request);
         if (watched != null) {
             watched.over = true;
@@ -187,7 +187,7 @@
     }
 
     /** How many requests are watched. */
-    public int watched() {
+    public int openRequests() {
         return requests.size();
     }
 }
--- a/src/main/java/mintstair/decision/ListSubscription.java
+++ b/src/main/java/mintstair/decision/ListSubscription.java
@@ -24,7 +24,7 @@
 
     /** Asks for the list, where these settings have the router do so. */
     void start(RouterSettings settings) {
-        if (settings.subscribe()) {
+        if (settings.subscribesToEndpoints()) {
             actions.subscribe();
         }
     }
--- a/src/main/java/mintstair/decision/Liveness.java
+++ b/src/main/java/mintstair/decision/Liveness.java
@@ -6,17 +6,17 @@
  */
 final class Liveness {
     /** When it last answered anything, health checks included. */
-    long heardAt = Endpoint.NEVER;
+    long lastReplyAt = Endpoint.NEVER;
     /** When it last answered a request, or had none to answer. */
     long answeredAt;
-    /** Until when {@link #missedAnswers} is summed up. */
+    /** Until when {@link #missedReplies} is summed up. */
     long accruedAt;
     /** Answers that it should have given since {@link #answeredAt}, by the mean latency. */
-    double missedAnswers;
+    double missedReplies;
     /** Attempts that timed out since {@link #answeredAt}. */
     int timeouts;
     /** Attempts and health checks in a row that did not reach it. */
-    int unreachableInARow;
+    int consecutiveUnreachable;
 
     private boolean unresponsive;
     private long unresponsiveSince = Endpoint.NEVER;
@@ -41,8 +41,8 @@
     }
 
     /** It answered a request, or has none to answer: nothing is missed. */
-    void settle(long now) {
-        missedAnswers = 0;
+    void clearMissedReplies(long now) {
+        missedReplies = 0;
         timeouts = 0;
         answeredAt = now;
     }
--- a/src/main/java/mintstair/decision/LoadFeedback.java
+++ b/src/main/java/mintstair/decision/LoadFeedback.java
@@ -87,7 +87,7 @@
         } else if (!endpoint.liveness.isUnresponsive()) {
             ReplicaSurvey survey = replicas.survey(now, replicaSet);
             replicaSet.replicaLimit.sample(
-                    now, bounded, answered, rejected, survey.inFlightPerReplica(), survey.perAttempt());
+                    now, bounded, answered, rejected, survey.inFlightPerReplica(), survey.increasePerAttempt());
         }
     }
 }
--- a/src/main/java/mintstair/decision/PositionClock.java
+++ b/src/main/java/mintstair/decision/PositionClock.java
@@ -35,7 +35,7 @@
     private long startOffset;
 
     /** A primary reported its position; returns whether start times are to be judged anew. */
-    boolean heardPrimary(int group, long now, long position) {
+    boolean primaryReported(int group, long now, long position) {
         Long before = evidence.get(group);
         // A former primary reports its past: once a group has shown a right clock, or a newer time, that stands.
         boolean stands = before != null && before <= TOLERANCE;
@@ -74,7 +74,7 @@
     }
 
     /** The present by the clock of positions, or later. */
-    long present(long now) {
+    long currentPosition(long now) {
         return now + offset;
     }
 
@@ -82,23 +82,23 @@
      * Whether what is recent enough is known for this group: by its own primary, where the own clock can't be relied
      * on.
      */
-    boolean isKnown(int group) {
+    boolean hasTimeReference(int group) {
         return offset == 0 || evidence.containsKey(group);
     }
 
     /** The own time at which a position of this group was the present; never in the future. */
-    long ownTime(int group, long now, long position) {
+    long localTimeOf(int group, long now, long position) {
         boolean wrong = offset != 0 || groupsOld == evidence.size();
         return Math.min(now, wrong ? position - evidence.getOrDefault(group, 0L) : position);
     }
 
     /** How long ago a host with this start time started; nothing starts in the future. */
-    long startedAgo(long now, long start) {
+    long timeSinceStart(long now, long start) {
         return Math.max(0, now + startOffset - start);
     }
 
     /** What the clock of positions is ahead of the own one by, as far as it is taken to be wrong; 0 otherwise. */
-    long wrongBy() {
+    long clockError() {
         return offset != 0 ? offset : startOffset;
     }
 }
--- a/src/main/java/mintstair/decision/PrimaryTracker.java
+++ b/src/main/java/mintstair/decision/PrimaryTracker.java
@@ -39,23 +39,23 @@
     }
 
     /** There is evidence that the endpoint was primary at this time; the newest counts, whatever order it comes in. */
-    void claimedPrimary(Endpoint endpoint, long evidenceAt) {
+    void primaryObserved(Endpoint endpoint, long evidenceAt) {
         ReplicaSet replicaSet = endpoint.replicaSet;
-        if (evidenceAt < endpoint.replication.replicaSince || evidenceAt < replicaSet.primarySince) {
+        if (evidenceAt < endpoint.replication.replicaEvidenceAt || evidenceAt < replicaSet.primaryEvidenceAt) {
             return;
         }
         if (replicaSet.primary != endpoint) {
             actions.log("replica set " + replicaSet.number + ": primary is " + endpoint.name);
         }
         replicaSet.primary = endpoint;
-        replicaSet.primarySince = evidenceAt;
+        replicaSet.primaryEvidenceAt = evidenceAt;
     }
 
     /** There is evidence that the endpoint was a replica at this time. */
-    void claimedReplica(Endpoint endpoint, long evidenceAt) {
+    void replicaObserved(Endpoint endpoint, long evidenceAt) {
         ReplicaSet replicaSet = endpoint.replicaSet;
-        endpoint.replication.replicaSince = Math.max(endpoint.replication.replicaSince, evidenceAt);
-        if (replicaSet.primary != endpoint || evidenceAt < replicaSet.primarySince) {
+        endpoint.replication.replicaEvidenceAt = Math.max(endpoint.replication.replicaEvidenceAt, evidenceAt);
+        if (replicaSet.primary != endpoint || evidenceAt < replicaSet.primaryEvidenceAt) {
             return;
         }
         replicaSet.primary = null;
@@ -66,13 +66,13 @@
      * Whether the primary is known to be alive, so that a write may be risked on it; if not, health checks are sent
      * to find out. Replicas that advance show that their primary lives.
      */
-    boolean isConfirmed(long now, ReplicaSet replicaSet) {
+    boolean confirmPrimary(long now, ReplicaSet replicaSet) {
         if (!settings.get().limits().healthChecks()) {
             return true;
         }
         boolean confirmed = replicaSet.hasUsablePrimary() && isHeardOf(now, replicaSet);
         if (confirmed) {
-            replicaSet.primarySearches = 0;
+            replicaSet.consecutivePrimarySearches = 0;
         } else {
             search(now, replicaSet);
         }
@@ -80,28 +80,28 @@
     }
 
     private boolean isHeardOf(long now, ReplicaSet replicaSet) {
-        long heardAt = replicaSet.primary.liveness.heardAt;
-        return Math.max(heardAt, positions.ownTime(replicaSet.number, now, replicaSet.newestPosition))
+        long lastReplyAt = replicaSet.primary.liveness.lastReplyAt;
+        return Math.max(lastReplyAt, positions.localTimeOf(replicaSet.number, now, replicaSet.newestPosition))
                 > now - CONFIRMATION_MICROS;
     }
 
     private void search(long now, ReplicaSet replicaSet) {
-        if (now - replicaSet.primarySoughtAt < searchInterval(replicaSet)) {
+        if (now - replicaSet.lastPrimarySearchAt < searchInterval(replicaSet)) {
             return;
         }
-        replicaSet.primarySoughtAt = now;
-        replicaSet.primarySearches++;
+        replicaSet.lastPrimarySearchAt = now;
+        replicaSet.consecutivePrimarySearches++;
         boolean everywhere = isPrimaryDoubtful(now, replicaSet);
         for (Endpoint member : replicaSet.members) {
             if (member.isServing() && !member.healthCheck.inFlight && (everywhere || member.isPrimary())) {
-                healthChecker.check(now, member);
+                healthChecker.sendCheck(now, member);
             }
         }
     }
 
     /** In the end all routers together check an endpoint no oftener than one alone does at first. */
     private double searchInterval(ReplicaSet replicaSet) {
-        int doubled = 1 << Math.min(MAX_DOUBLINGS, replicaSet.primarySearches);
+        int doubled = 1 << Math.min(MAX_DOUBLINGS, replicaSet.consecutivePrimarySearches);
         double longest = Math.max(MAX_INTERVAL_FACTOR, fleetShare.effectiveFleetSize());
         return SEARCH_INTERVAL_MICROS * Math.min(doubled, longest);
     }
@@ -113,6 +113,6 @@
         }
         Endpoint primary = replicaSet.primary;
         boolean checkedLately = now - primary.healthCheck.sentAt < 2 * SEARCH_INTERVAL_MICROS;
-        return primary.liveness.unreachableInARow > 0 || checkedLately;
+        return primary.liveness.consecutiveUnreachable > 0 || checkedLately;
     }
 }
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -180,7 +180,7 @@
 
     private void observeThroughput(long now) {
         if (throughput.isDue(now)) {
-            directory.observe(now, throughput);
+            directory.updateThroughput(now, throughput);
         }
     }
 
@@ -203,12 +203,12 @@
     }
 
     private ReplicaSet replicaSetOf(InFlightRequest request) {
-        return directory.replicaSet(request.request.group());
+        return directory.replicaSet(request.request.replicaSet());
     }
 
     private void send(long now, InFlightRequest request, Endpoint endpoint) {
         request.attemptStarted(now, endpoint);
-        failureDetector.accrue(now, endpoint);
+        failureDetector.accrueMissedReplies(now, endpoint);
         endpoint.inFlight++;
         slowStartBudget.attemptSent(now, endpoint, request);
         actions.send(
@@ -225,7 +225,7 @@
         long now = clock.advance(at);
         Endpoint endpoint = request.endpointOf(result.attempt());
         request.attemptEnded(result.attempt());
-        failureDetector.accrue(now, endpoint);
+        failureDetector.accrueMissedReplies(now, endpoint);
         endpoint.inFlight--;
         observer.attemptEnded(now, endpoint, request, result);
         if (!request.isFinished()) {
@@ -347,7 +347,7 @@
 
     private void sendTimedChecks(long now) {
         long interval = healthChecker.interval(now, directory.endpoints().size());
-        if (HealthChecker.isTimed(interval)) {
+        if (HealthChecker.isPeriodic(interval)) {
             for (Endpoint endpoint : directory.endpoints()) {
                 healthChecker.checkIfDue(now, endpoint, interval);
             }
@@ -357,7 +357,7 @@
 
     private void checkNewestAttempt(long now, InFlightRequest request, double patience) {
         Endpoint endpoint = request.lastEndpoint();
-        failureDetector.checkForMissedAnswers(now, endpoint, patience);
+        failureDetector.checkForMissedReplies(now, endpoint, patience);
         load.attemptOutstanding(now, request);
         boolean stuck = now >= hedging.stuckAt(request) && request.outstanding() == 1;
         if (stuck && retries.canAfford()) {
--- a/src/main/java/mintstair/decision/ReplicaFreshness.java
+++ b/src/main/java/mintstair/decision/ReplicaFreshness.java
@@ -27,19 +27,19 @@
         if (read.requestClass().consistency() != Consistency.BOUNDED_STALENESS) {
             return read.sessionPosition;
         }
-        if (!positions.isKnown(read.request.group())) {
+        if (!positions.hasTimeReference(read.request.replicaSet())) {
             return ReadRequirement.UNREACHABLE_POSITION;
         }
-        return positions.present(sentAt) - read.requestClass().maxStalenessMicros();
+        return positions.currentPosition(sentAt) - read.requestClass().maxStalenessMicros();
     }
 
     /** Whether the replica may take the read: it has proven to be recent enough, and is trusted to be alive. */
-    boolean isProven(long now, Endpoint endpoint, InFlightRequest read, long requiredPosition) {
-        return isRecent(now, endpoint, read, new ReadRequirement(requiredPosition, 0, true));
+    boolean isProvenRecent(long now, Endpoint endpoint, InFlightRequest read, long requiredPosition) {
+        return isRecentEnough(now, endpoint, read, new ReadRequirement(requiredPosition, 0, true));
     }
 
     /** Whether the replica may take the read, by this requirement. */
-    boolean isRecent(long now, Endpoint endpoint, InFlightRequest read, ReadRequirement requirement) {
+    boolean isRecentEnough(long now, Endpoint endpoint, InFlightRequest read, ReadRequirement requirement) {
         if (!endpoint.isServing() || endpoint.isPrimary()) {
             return false;
         }
@@ -56,20 +56,20 @@
         if (requirement.tolerance() <= 0 || now - state.misdirectedAt <= AFTER_MISDIRECTED_MICROS) {
             return false;
         }
-        long allowedLag = positions.present(now) - requirement.position() + requirement.tolerance();
+        long allowedLag = positions.currentPosition(now) - requirement.position() + requirement.tolerance();
         return state.lag <= allowedLag || now - state.reportedAt > LAG_VALID_MICROS;
     }
 
     /** Whether a report of the replica could prove it recent enough. */
-    boolean mayBecomeProven(long now, Endpoint endpoint, InFlightRequest read, long requiredPosition) {
+    boolean canBeProvenRecent(long now, Endpoint endpoint, InFlightRequest read, long requiredPosition) {
         if (!endpoint.isServing() || endpoint.isPrimary() || isExcluded(endpoint, read)) {
             return false;
         }
-        long present = positions.present(now);
+        long present = positions.currentPosition(now);
         ReplicationState state = endpoint.replication;
         long allowedLag = present - requiredPosition + endpoint.replicaSet.reportAge();
         boolean behind = now - state.reportedAt < LAG_VALID_MICROS && state.lag > allowedLag;
-        return requiredPosition <= present - replication.youngestReport() && !behind;
+        return requiredPosition <= present - replication.minReportedLag() && !behind;
     }
 
     private static boolean isExcluded(Endpoint endpoint, InFlightRequest read) {
--- a/src/main/java/mintstair/decision/ReplicaSelector.java
+++ b/src/main/java/mintstair/decision/ReplicaSelector.java
@@ -55,7 +55,7 @@
         for (int i = 0; i < weights.length; i++) {
             Endpoint member = members.get(i);
             serving += member.isServing() && !member.isPrimary() ? 1 : 0;
-            if (freshness.isRecent(now, member, read, requirement)
+            if (freshness.isRecentEnough(now, member, read, requirement)
                     && member.inFlight <= mostInFlight
                     && hasCapacity(now, member, read, use)) {
                 weights[i] = healthWeight(member, survey) * capacityShare(now, member);
@@ -122,7 +122,7 @@
         double inFlight = 0;
         int peers = 0;
         for (Endpoint member : replicaSet.members) {
-            if (freshness.isRecent(now, member, read, requirement) && !member.liveness.isUnresponsive()) {
+            if (freshness.isRecentEnough(now, member, read, requirement) && !member.liveness.isUnresponsive()) {
                 inFlight += member.inFlight;
                 peers++;
             }
@@ -131,7 +131,7 @@
     }
 
     /** Whether one replica gets nearly all that this router sends to its replica set. */
-    static boolean isCrowded(Endpoint endpoint) {
+    static boolean hasExcessLoad(Endpoint endpoint) {
         double inFlight = endpoint.replicaSet.inFlight();
         int members = endpoint.replicaSet.members.size();
         return endpoint.inFlight > CROWDED_FACTOR * inFlight / members + CROWDED_MARGIN;
--- a/src/main/java/mintstair/decision/ReplicaSet.java
+++ b/src/main/java/mintstair/decision/ReplicaSet.java
@@ -24,13 +24,13 @@
     /** The believed primary; null where none is known. */
     Endpoint primary;
     /** The time of the newest evidence for the primary. */
-    long primarySince = Positions.UNKNOWN;
+    long primaryEvidenceAt = Positions.UNKNOWN;
     /** The newest position known of any member. */
     long newestPosition;
     /** When the primary was last looked for, and how often in a row. */
-    long primarySoughtAt = Endpoint.NEVER;
+    long lastPrimarySearchAt = Endpoint.NEVER;
 
-    int primarySearches;
+    int consecutivePrimarySearches;
     /** How old reports are when they arrive, in microseconds. */
     private long reportAge = INITIAL_REPORT_AGE;
     /** Part of its reads for which no replica was recent enough. */
--- a/src/main/java/mintstair/decision/ReplicaSurvey.java
+++ b/src/main/java/mintstair/decision/ReplicaSurvey.java
@@ -17,7 +17,7 @@
     }
 
     /** What one more attempt adds to {@link #inFlightPerReplica}. */
-    double perAttempt() {
+    double increasePerAttempt() {
         return 1 / trustedCapacity;
     }
 }
--- a/src/main/java/mintstair/decision/ReplicationMonitor.java
+++ b/src/main/java/mintstair/decision/ReplicationMonitor.java
@@ -11,21 +11,21 @@
     private long youngestReport = INITIAL_YOUNGEST_REPORT;
 
     /** A replica reported its position, {@code lag} behind the present. */
-    void reported(long now, Endpoint endpoint, long position, long lag) {
+    void positionReported(long now, Endpoint endpoint, long position, long lag) {
         endpoint.replication.lag = lag;
         endpoint.replication.reportedAt = now;
         youngestReport = Math.min(lag, youngestReport);
-        reached(endpoint, position);
+        positionReached(endpoint, position);
     }
 
     /** The endpoint has proven to have reached this position. */
-    void reached(Endpoint endpoint, long position) {
+    void positionReached(Endpoint endpoint, long position) {
         endpoint.replication.position = Math.max(endpoint.replication.position, position);
         endpoint.replicaSet.newestPosition = Math.max(endpoint.replicaSet.newestPosition, position);
     }
 
     /** The smallest lag that any report has shown: a health check can't prove a replica more recent than that. */
-    long youngestReport() {
+    long minReportedLag() {
         return youngestReport;
     }
 }
--- a/src/main/java/mintstair/decision/ReplicationState.java
+++ b/src/main/java/mintstair/decision/ReplicationState.java
@@ -9,7 +9,7 @@
     /** When it last reported its position; 0 where that report no longer counts. */
     long reportedAt;
     /** The time of the newest evidence that it is a replica. */
-    long replicaSince;
+    long replicaEvidenceAt;
     /** When it last rejected a read as it was too far behind. */
     long misdirectedAt = Endpoint.NEVER;
 }
--- a/src/main/java/mintstair/decision/RouterSettings.java
+++ b/src/main/java/mintstair/decision/RouterSettings.java
@@ -14,7 +14,7 @@
         ReplicaReadCheck replicaReadCheck,
         boolean positionsInResponses,
         boolean listReportsRole,
-        boolean subscribe,
+        boolean subscribesToEndpoints,
         boolean clientsMarkRetries,
         double healthCheckCost,
         double crossZoneCost,
--- a/src/main/java/mintstair/decision/RoutingRequest.java
+++ b/src/main/java/mintstair/decision/RoutingRequest.java
@@ -7,7 +7,7 @@
 public record RoutingRequest(
         long id,
         int classIndex,
-        int group,
+        int replicaSet,
         String session,
         int tenant,
         boolean clientRetry,
@@ -18,12 +18,12 @@
     public RoutingRequest(
             long id,
             int classIndex,
-            int group,
+            int replicaSet,
             String session,
             int tenant,
             boolean clientRetry,
             long timeoutMicros,
             long tokenAgeMicros) {
-        this(id, classIndex, group, session, tenant, clientRetry, timeoutMicros, tokenAgeMicros, null);
+        this(id, classIndex, replicaSet, session, tenant, clientRetry, timeoutMicros, tokenAgeMicros, null);
     }
 }
--- a/src/main/java/mintstair/decision/SessionTokens.java
+++ b/src/main/java/mintstair/decision/SessionTokens.java
@@ -17,7 +17,7 @@
     private final LinkedHashMap<String, Token> tokens = new LinkedHashMap<>();
 
     /** A write of the session was answered; forgets sessions that have not written for long. */
-    void written(long now, String session, long position) {
+    void writeAnswered(long now, String session, long position) {
         Token before = tokens.remove(session);
         tokens.put(session, new Token(before == null ? position : Math.max(position, before.position()), now));
         Iterator<Token> oldestFirst = tokens.values().iterator();
--- a/src/main/java/mintstair/decision/SlowStartBudget.java
+++ b/src/main/java/mintstair/decision/SlowStartBudget.java
@@ -117,7 +117,7 @@
         ProtectionSettings protection = settings.get().protection();
         double perSecond = protection.overloadMultiple()
                 * endpoint.capacityShare(now, protection)
-                * throughput.perHostSecond(endpoint.size, demand.perSecond(now));
+                * throughput.perHostSecond(endpoint.capacityHint, demand.perSecond(now));
         double leastPerSpan = LEAST_OF_ALL * demand.meanWork() / fleetShare.effectiveFleetSize();
         return Math.max(perSecond, leastPerSpan * MICROS_PER_SECOND / protection.overloadSpanMicros());
     }
--- a/src/main/java/mintstair/decision/SlowStartController.java
+++ b/src/main/java/mintstair/decision/SlowStartController.java
@@ -32,7 +32,7 @@
 
     /** Judges the start by the endpoint list; due when that, or what is known of the hosts' clock, has changed. */
     void judgeListedStart(long now, Endpoint endpoint) {
-        long age = positions.startedAgo(now, endpoint.listedStart);
+        long age = positions.timeSinceStart(now, endpoint.listedStartTime);
         if (age < settings.get().protection().slowStartMicros()) {
             endpoint.slowStart.listed(now - age);
             begun(endpoint);
@@ -43,7 +43,7 @@
 
     /** Other settings hold: they may ask for a longer slow start than the one that is over. */
     void settingsChanged(long now, Endpoint endpoint) {
-        long listed = endpoint.listedStart > 0 ? now - positions.startedAgo(now, endpoint.listedStart) : 0;
+        long listed = endpoint.listedStartTime > 0 ? now - positions.timeSinceStart(now, endpoint.listedStartTime) : 0;
         long start = Math.max(endpoint.slowStart.since(), listed);
         boolean warming = start > 0 && now - start < settings.get().protection().slowStartMicros();
         if (warming && !endpoint.slowStart.isActive()) {
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -75,7 +75,7 @@
         timers.advanceTo(nowMicros);
         attempts.requestAccepted(number);
         String requestClass = request.requestClass();
-        monitor.taken(number, classes.byName(requestClass), nowMicros + request.timeoutMicros());
+        monitor.requestAccepted(number, classes.byName(requestClass), nowMicros + request.timeoutMicros());
         router.onRequest(nowMicros, DecisionMapper.request(nowMicros, number, classes.indexOf(requestClass), request));
         return actions.take();
     }
@@ -96,14 +96,14 @@
      * take.
      */
     public List<RouterAction> attemptStarted(long nowMicros, RouterAction.Send attempt, long timeoutMicros) {
-        actions.invariantsViolated(monitor.begun(
+        actions.invariantsViolated(monitor.attemptStarted(
                 nowMicros, attempt.request(), attempt.attempt(), attempt.host(), timeoutMicros, drainGraceMicros));
         return actions.take();
     }
 
     /** A client was given its final answer, or the first part of it. */
     public List<RouterAction> responseStarted(long nowMicros, long request) {
-        actions.invariantsViolated(monitor.answered(nowMicros, request));
+        actions.invariantsViolated(monitor.requestAnswered(nowMicros, request));
         return actions.take();
     }
 
@@ -143,7 +143,7 @@
                 return;
             }
             AttemptOutcome outcome = DecisionMapper.outcome(event.end());
-            monitor.ended(event.request(), event.attempt(), !outcome.hadNoEffect());
+            monitor.attemptEnded(event.request(), event.attempt(), !outcome.hadNoEffect());
             router.onAttemptEnded(nowMicros, DecisionMapper.result(event, outcome));
             attempts.removeIfDone(event.request());
         }
@@ -160,7 +160,7 @@
 
         @Override
         public void clientDisconnected(long nowMicros, RouterEvent.ClientDisconnected event) {
-            monitor.over(event.request());
+            monitor.requestClosed(event.request());
             if (attempts.requestOver(event.request())) {
                 router.onClientDisconnected(nowMicros, event.request());
                 attempts.removeIfDone(event.request());
@@ -187,7 +187,7 @@
             }
             for (EndpointList.Entry entry : list.entries()) {
                 boolean draining = entry.state() == EndpointList.State.DRAINING;
-                monitor.listed(nowMicros, entry.host(), draining);
+                monitor.hostListed(nowMicros, entry.host(), draining);
                 if (draining) {
                     drainingHosts.add(entry.host());
                 } else {
--- a/src/test/java/mintstair/decision/EndpointChoiceTest.java
+++ b/src/test/java/mintstair/decision/EndpointChoiceTest.java
@@ -49,7 +49,7 @@
         classes.apply(settings);
         fleetShare.apply(settings);
         directory.update(0, EndpointUpdateType.SNAPSHOT, List.of(Bed.ready("p"), Bed.ready("r1"), Bed.ready("r2")));
-        primaries.claimedPrimary(directory.endpoint("p"), 0);
+        primaries.primaryObserved(directory.endpoint("p"), 0);
     }
 
     private ReplicaSet replicaSet() {
@@ -101,21 +101,21 @@
     @Test
     void readIsSentOnlyToAReplicaProvenToBeRecentEnough() {
         assertNull(select(SECOND, Bed.BOUNDED));
-        replication.reported(SECOND, directory.endpoint("r2"), 900 * MS, 100 * MS);
+        replication.positionReported(SECOND, directory.endpoint("r2"), 900 * MS, 100 * MS);
         assertEquals("r2", select(SECOND, Bed.BOUNDED).name);
         assertNull(select(2 * SECOND, Bed.BOUNDED));
     }
 
     @Test
     void toleranceAdmitsReplicasThatAreLikelyRecentEnough() {
-        replication.reported(SECOND, directory.endpoint("r1"), 900 * MS, 100 * MS);
+        replication.positionReported(SECOND, directory.endpoint("r1"), 900 * MS, 100 * MS);
         InFlightRequest read = request(Bed.BOUNDED);
         long now = 2 * SECOND;
         long required = freshness.requiredPosition(now, read);
         ReadRequirement tolerant = new ReadRequirement(required, 300 * MS, true);
-        assertTrue(freshness.isRecent(now, directory.endpoint("r1"), read, tolerant));
+        assertTrue(freshness.isRecentEnough(now, directory.endpoint("r1"), read, tolerant));
         directory.endpoint("r1").replication.misdirectedAt = now;
-        assertFalse(freshness.isRecent(now, directory.endpoint("r1"), read, tolerant));
+        assertFalse(freshness.isRecentEnough(now, directory.endpoint("r1"), read, tolerant));
     }
 
     @Test
@@ -146,8 +146,8 @@
         for (int i = 0; i < 50; i++) {
             assertEquals("r2", select(0, Bed.ANY).name);
         }
-        assertTrue(ReplicaSelector.isCrowded(directory.endpoint("r1")));
-        assertFalse(ReplicaSelector.isCrowded(directory.endpoint("r2")));
+        assertTrue(ReplicaSelector.hasExcessLoad(directory.endpoint("r1")));
+        assertFalse(ReplicaSelector.hasExcessLoad(directory.endpoint("r2")));
     }
 
     // ---- health checks ----
@@ -180,29 +180,29 @@
         assertTrue(healthChecker.interval(now, 3) < 100 * MS);
         long many = healthChecker.interval(now, 3_000);
         assertTrue(many > SECOND, "interval " + many);
-        assertFalse(HealthChecker.isTimed(many));
+        assertFalse(HealthChecker.isPeriodic(many));
     }
 
     // ---- primary ----
 
     @Test
     void newestEvidenceOfThePrimaryCounts() {
-        primaries.claimedPrimary(directory.endpoint("r1"), 3 * SECOND);
-        primaries.claimedPrimary(directory.endpoint("p"), 2 * SECOND);
+        primaries.primaryObserved(directory.endpoint("r1"), 3 * SECOND);
+        primaries.primaryObserved(directory.endpoint("p"), 2 * SECOND);
         assertEquals("r1", replicaSet().primary.name);
-        primaries.claimedReplica(directory.endpoint("r1"), 2 * SECOND);
+        primaries.replicaObserved(directory.endpoint("r1"), 2 * SECOND);
         assertEquals("r1", replicaSet().primary.name);
-        primaries.claimedReplica(directory.endpoint("r1"), 4 * SECOND);
+        primaries.replicaObserved(directory.endpoint("r1"), 4 * SECOND);
         assertNull(replicaSet().primary);
     }
 
     @Test
     void primaryUnheardOfIsCheckedBeforeItIsUsed() {
         Endpoint primary = directory.endpoint("p");
-        detector.answered(SECOND, primary, true);
-        assertTrue(primaries.isConfirmed(SECOND + 900 * MS, replicaSet()));
+        detector.endpointReplied(SECOND, primary, true);
+        assertTrue(primaries.confirmPrimary(SECOND + 900 * MS, replicaSet()));
         assertTrue(bed.probes.isEmpty());
-        assertFalse(primaries.isConfirmed(3 * SECOND, replicaSet()));
+        assertFalse(primaries.confirmPrimary(3 * SECOND, replicaSet()));
         assertEquals(List.of("p"), bed.probes);
     }
 
@@ -210,7 +210,7 @@
     void searchForAPrimaryBacksOff() {
         replicaSet().primary = null;
         for (long now = SECOND; now < 11 * SECOND; now += 10 * MS) {
-            primaries.isConfirmed(now, replicaSet());
+            primaries.confirmPrimary(now, replicaSet());
             directory.endpoints().forEach(endpoint -> endpoint.healthCheck.inFlight = false);
         }
         assertEquals(3 * 15, bed.probes.size(), 6);
--- a/src/test/java/mintstair/decision/EndpointTest.java
+++ b/src/test/java/mintstair/decision/EndpointTest.java
@@ -36,9 +36,9 @@
         endpoint.listed(0, EndpointState.SERVING, true);
         endpoint.removed(SECOND, true);
         assertTrue(endpoint.isServing());
-        assertTrue(endpoint.isRemovalDoubted());
+        assertTrue(endpoint.isRemovalIgnored());
         endpoint.listed(2 * SECOND, EndpointState.SERVING, true);
-        assertFalse(endpoint.isRemovalDoubted());
+        assertFalse(endpoint.isRemovalIgnored());
     }
 
     @Test
@@ -46,11 +46,11 @@
         Endpoint endpoint = member("a");
         endpoint.listed(0, EndpointState.REMOVED, false);
         endpoint.removed(SECOND, false);
-        assertFalse(endpoint.isForgettable(5 * SECOND));
+        assertFalse(endpoint.isExpired(5 * SECOND));
         endpoint.inFlight = 1;
-        assertFalse(endpoint.isForgettable(12 * SECOND));
+        assertFalse(endpoint.isExpired(12 * SECOND));
         endpoint.inFlight = 0;
-        assertTrue(endpoint.isForgettable(12 * SECOND));
+        assertTrue(endpoint.isExpired(12 * SECOND));
     }
 
     @Test
--- a/src/test/java/mintstair/decision/FailureDetectorTest.java
+++ b/src/test/java/mintstair/decision/FailureDetectorTest.java
@@ -39,35 +39,35 @@
 
     @Test
     void endpointThatIsUnreachableTwiceInARowIsUnresponsive() {
-        detector.unreachable(SECOND, endpoint);
+        detector.endpointUnreachable(SECOND, endpoint);
         assertFalse(endpoint.liveness.isUnresponsive());
-        detector.unreachable(SECOND, endpoint);
+        detector.endpointUnreachable(SECOND, endpoint);
         assertTrue(endpoint.liveness.isUnresponsive());
         assertEquals(List.of("a"), unresponsive);
     }
 
     @Test
     void answerBetweenTwoFailuresKeepsTheEndpointInUse() {
-        detector.unreachable(SECOND, endpoint);
-        detector.answered(SECOND, endpoint, false);
-        detector.unreachable(SECOND, endpoint);
+        detector.endpointUnreachable(SECOND, endpoint);
+        detector.endpointReplied(SECOND, endpoint, false);
+        detector.endpointUnreachable(SECOND, endpoint);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
     @Test
     void unreachableEndpointComesBackInSlowStart() {
-        detector.unreachable(SECOND, endpoint);
-        detector.unreachable(SECOND, endpoint);
-        detector.answered(2 * SECOND, endpoint, false);
+        detector.endpointUnreachable(SECOND, endpoint);
+        detector.endpointUnreachable(SECOND, endpoint);
+        detector.endpointReplied(2 * SECOND, endpoint, false);
         assertFalse(endpoint.liveness.isUnresponsive());
         assertTrue(endpoint.slowStart.isActive());
     }
 
     private void missAnswers(int inFlight) {
         endpoint.inFlight = inFlight;
-        detector.accrue(0, endpoint);
+        detector.accrueMissedReplies(0, endpoint);
         endpoint.inFlight = inFlight;
-        detector.checkForMissedAnswers(5 * SECOND, endpoint, classes.patience());
+        detector.checkForMissedReplies(5 * SECOND, endpoint, classes.patience());
     }
 
     @Test
@@ -100,29 +100,29 @@
     @Test
     void hungEndpointThatAnswersHealthChecksStaysOutForAWhile() {
         missAnswers(3);
-        detector.answered(6 * SECOND, endpoint, false);
+        detector.endpointReplied(6 * SECOND, endpoint, false);
         assertTrue(endpoint.liveness.isUnresponsive());
-        detector.answered(11 * SECOND, endpoint, false);
+        detector.endpointReplied(11 * SECOND, endpoint, false);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
     @Test
     void afterSignsOfLossOnlyEndpointsHeardOfLatelyAreTrusted() {
         assertTrue(detector.isTrusted(SECOND, endpoint));
-        detector.unreachable(SECOND, endpoint);
+        detector.endpointUnreachable(SECOND, endpoint);
         assertFalse(detector.isTrusted(SECOND, endpoint));
-        detector.answered(2 * SECOND, endpoint, false);
+        detector.endpointReplied(2 * SECOND, endpoint, false);
         assertTrue(detector.isTrusted(2 * SECOND, endpoint));
     }
 
     @Test
     void lostHealthCheckProvesNothingAgainstAnEndpointThatAnsweredSince() {
         endpoint.healthCheck.sentAt = SECOND;
-        endpoint.liveness.settle(SECOND);
-        detector.healthCheckLost(2 * SECOND, endpoint);
-        assertEquals(0, endpoint.liveness.unreachableInARow);
+        endpoint.liveness.clearMissedReplies(SECOND);
+        detector.healthCheckUnanswered(2 * SECOND, endpoint);
+        assertEquals(0, endpoint.liveness.consecutiveUnreachable);
         endpoint.healthCheck.sentAt = SECOND + 1;
-        detector.healthCheckLost(2 * SECOND, endpoint);
-        assertEquals(1, endpoint.liveness.unreachableInARow);
+        detector.healthCheckUnanswered(2 * SECOND, endpoint);
+        assertEquals(1, endpoint.liveness.consecutiveUnreachable);
     }
 }
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -298,7 +298,7 @@
                 s.replicaReadCheck(),
                 s.positionsInResponses(),
                 s.listReportsRole(),
-                s.subscribe(),
+                s.subscribesToEndpoints(),
                 s.clientsMarkRetries(),
                 s.healthCheckCost(),
                 s.crossZoneCost(),
--- a/src/test/java/mintstair/decision/InvariantMonitorTest.java
+++ b/src/test/java/mintstair/decision/InvariantMonitorTest.java
@@ -19,7 +19,7 @@
     private final InvariantMonitor monitor = new InvariantMonitor();
 
     private void taken(Idempotency idempotency) {
-        monitor.taken(
+        monitor.requestAccepted(
                 REQUEST,
                 new RequestClass(
                         "c",
@@ -40,7 +40,7 @@
     }
 
     private List<Violation> begun(long now, int attempt, long wait) {
-        return monitor.begun(now, REQUEST, attempt, HOST, wait, GRACE).stream()
+        return monitor.attemptStarted(now, REQUEST, attempt, HOST, wait, GRACE).stream()
                 .map(Finding::violation)
                 .toList();
     }
@@ -50,8 +50,8 @@
         taken(Idempotency.NOT_IDEMPOTENT);
         assertEquals(List.of(), begun(0, 0));
         assertEquals(List.of(Violation.SENT_TWICE), begun(MS, 1));
-        monitor.ended(REQUEST, 0, false);
-        monitor.ended(REQUEST, 1, true);
+        monitor.attemptEnded(REQUEST, 0, false);
+        monitor.attemptEnded(REQUEST, 1, true);
         assertEquals(List.of(Violation.SENT_TWICE), begun(2 * MS, 2));
     }
 
@@ -59,7 +59,7 @@
     void unsafeRequestThatNeverRanMayBeginAgain() {
         taken(Idempotency.NOT_IDEMPOTENT);
         begun(0, 0);
-        monitor.ended(REQUEST, 0, false);
+        monitor.attemptEnded(REQUEST, 0, false);
         assertEquals(List.of(), begun(MS, 1));
     }
 
@@ -67,7 +67,7 @@
     void keyedRequestMayBeginAgainWithinItsWindow() {
         taken(Idempotency.IDEMPOTENCY_KEY);
         begun(0, 0);
-        monitor.ended(REQUEST, 0, true);
+        monitor.attemptEnded(REQUEST, 0, true);
         assertEquals(List.of(), begun(WINDOW, 1));
         assertEquals(List.of(Violation.SENT_TWICE), begun(WINDOW + 250 * MS, 2));
     }
@@ -83,7 +83,7 @@
     void nothingBeginsOnceTheRequestIsOver() {
         taken(Idempotency.IDEMPOTENT);
         begun(0, 0);
-        monitor.over(REQUEST);
+        monitor.requestClosed(REQUEST);
         assertEquals(List.of(Violation.SENT_AFTER_END), begun(MS, 1));
     }
 
@@ -97,11 +97,11 @@
     @Test
     void nothingBeginsAtADrainingHostAfterItsGrace() {
         taken(Idempotency.IDEMPOTENT);
-        monitor.listed(0, HOST, true);
+        monitor.hostListed(0, HOST, true);
         assertEquals(List.of(), begun(GRACE, 0, MS));
-        monitor.listed(GRACE, HOST, true);
+        monitor.hostListed(GRACE, HOST, true);
         assertEquals(List.of(Violation.SENT_TO_DRAINING), begun(GRACE + 201 * MS, 1, MS));
-        monitor.listed(GRACE + 202 * MS, HOST, false);
+        monitor.hostListed(GRACE + 202 * MS, HOST, false);
         assertEquals(List.of(), begun(GRACE + 203 * MS, 2, MS));
     }
 
@@ -111,17 +111,17 @@
         begun(0, 0);
         assertEquals(
                 List.of(new Finding(Violation.ANSWERED_LATE, REQUEST, "")),
-                monitor.answered(2 * SECOND + 501 * MS, REQUEST));
-        assertEquals(2, monitor.answered(2 * SECOND + 502 * MS, REQUEST).size());
+                monitor.requestAnswered(2 * SECOND + 501 * MS, REQUEST));
+        assertEquals(2, monitor.requestAnswered(2 * SECOND + 502 * MS, REQUEST).size());
     }
 
     @Test
     void requestsAreForgottenOnceTheyAndTheirAttemptsAreOver() {
         taken(Idempotency.IDEMPOTENT);
         begun(0, 0);
-        monitor.answered(MS, REQUEST);
-        assertEquals(1, monitor.watched());
-        monitor.ended(REQUEST, 0, true);
-        assertEquals(0, monitor.watched());
+        monitor.requestAnswered(MS, REQUEST);
+        assertEquals(1, monitor.openRequests());
+        monitor.attemptEnded(REQUEST, 0, true);
+        assertEquals(0, monitor.openRequests());
     }
 }
--- a/src/test/java/mintstair/decision/OtherSettingsTest.java
+++ b/src/test/java/mintstair/decision/OtherSettingsTest.java
@@ -31,7 +31,7 @@
                 s.replicaReadCheck(),
                 s.positionsInResponses(),
                 s.listReportsRole(),
-                s.subscribe(),
+                s.subscribesToEndpoints(),
                 s.clientsMarkRetries(),
                 s.healthCheckCost(),
                 s.crossZoneCost(),
--- a/src/test/java/mintstair/decision/SimulatedDeployment.java
+++ b/src/test/java/mintstair/decision/SimulatedDeployment.java
@@ -387,7 +387,7 @@
                 settings.replicaReadCheck(),
                 settings.positionsInResponses(),
                 settings.listReportsRole(),
-                settings.subscribe(),
+                settings.subscribesToEndpoints(),
                 settings.clientsMarkRetries(),
                 settings.healthCheckCost(),
                 settings.crossZoneCost(),
