--- a/src/main/java/mintstair/adapter/ActionWriter.java
+++ b/src/main/java/mintstair/adapter/ActionWriter.java
@@ -5,10 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import mintstair.decision.RouterActions;
 
-/**
- * Writes the actions of one instance to the reply, which the instances of a batch share. Not safe for use by several
- * threads.
- */
+/** Writes the actions of one instance to the reply, which all instances share. Not thread-safe. */
 final class ActionWriter implements RouterActions {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -21,71 +18,71 @@
     }
 
     @Override
-    public void send(long id, String host, long abandonAt, long beginBy) {
-        begin("handOff").append(',').append(id);
-        text(host);
-        if (abandonAt > 0) {
-            seconds(abandonAt);
+    public void send(long request, String host, long abandonAtMicros, long beginByMicros) {
+        beginMessage("handOff").append(',').append(request);
+        appendString(host);
+        if (abandonAtMicros > 0) {
+            appendSeconds(abandonAtMicros);
         }
-        end();
+        endMessage();
     }
 
     @Override
-    public void cancel(long id, int attempt) {
-        begin("retract").append(',').append(id).append(',').append(attempt);
-        end();
+    public void cancel(long request, int attempt) {
+        beginMessage("retract").append(',').append(request).append(',').append(attempt);
+        endMessage();
     }
 
     @Override
-    public void reject(long id, long retryAfterMicros) {
-        begin("busy").append(',').append(id);
-        seconds(retryAfterMicros);
-        end();
+    public void reject(long request, long retryAfterMicros) {
+        beginMessage("busy").append(',').append(request);
+        appendSeconds(retryAfterMicros);
+        endMessage();
     }
 
     @Override
-    public void fail(long id) {
-        begin("endFailed").append(',').append(id);
-        end();
+    public void fail(long request) {
+        beginMessage("endFailed").append(',').append(request);
+        endMessage();
     }
 
     @Override
     public void checkHealth(String host) {
-        begin("askLoad");
-        text(host);
-        end();
+        beginMessage("askLoad");
+        appendString(host);
+        endMessage();
     }
 
     @Override
     public void startTimer(String name, long delayMicros) {
-        begin("sleep");
-        text(name);
-        seconds(delayMicros);
-        end();
+        beginMessage("sleep");
+        appendString(name);
+        appendSeconds(delayMicros);
+        endMessage();
     }
 
     @Override
     public void subscribe() {
-        begin("keepInformed").append(",true");
-        end();
+        beginMessage("keepInformed").append(",true");
+        endMessage();
     }
 
     @Override
     public void broadcast(String message) {
-        begin("broadcastTo");
-        text("*");
-        text(message);
-        end();
+        beginMessage("broadcastTo");
+        appendString("*");
+        appendString(message);
+        endMessage();
     }
 
     @Override
     public void log(String line) {
-        begin("journalLine");
-        text(line);
-        end();
+        beginMessage("journalLine");
+        appendString(line);
+        endMessage();
     }
 
-    /** Ends the reply of a batch, writes it, and leaves it empty for the next. */
+    /** Completes the reply to a batch, writes it to {@code out} and clears it for the next batch. */
     static void flush(StringBuilder reply, OutputStream out) throws IOException {
         reply.append("[\"next\"]\n");
         out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
@@ -93,16 +90,16 @@
         reply.setLength(0);
     }
 
-    private StringBuilder begin(String name) {
+    private StringBuilder beginMessage(String name) {
         return reply.append("[\"").append(name).append("\",").append(instance);
     }
 
-    private void end() {
+    private void endMessage() {
         reply.append("]\n");
     }
 
-    /** A number of seconds with six digits after the point, without the rounding of a double. */
-    private void seconds(long micros) {
+    /** Appends a time in seconds with six decimal places, computed in integers to avoid rounding errors. */
+    private void appendSeconds(long micros) {
         reply.append(',').append(micros / MICROS_PER_SECOND).append('.');
         long fraction = micros % MICROS_PER_SECOND;
         for (long digit = MICROS_PER_SECOND / 10; digit > 0; digit /= 10) {
@@ -110,7 +107,7 @@
         }
     }
 
-    private void text(String value) {
+    private void appendString(String value) {
         reply.append(",\"");
         for (int i = 0; i < value.length(); i++) {
             char character = value.charAt(i);
--- a/src/main/java/mintstair/adapter/MessageReader.java
+++ b/src/main/java/mintstair/adapter/MessageReader.java
@@ -1,6 +1,6 @@
 package mintstair.adapter;
 
-import static mintstair.adapter.WireException.require;
+import static mintstair.adapter.SimulatorProtocolException.require;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -11,78 +11,76 @@
 import mintstair.config.Json;
 
 /**
- * Reads the messages of the simulator, which are JSON arrays, value by value. Values at the end of an array may be
- * absent, and later versions of the wire may add some. Not safe for use by several threads.
+ * Reads the simulator's messages, which are JSON arrays, value by value. Values may be missing at the end of an array,
+ * and unknown values there are skipped, as later versions of the protocol may add some. Not thread-safe.
  */
 final class MessageReader {
-    private static final String UNEXPECTED_END = "the input ended inside a message";
-
     private final JsonParser parser;
 
     MessageReader(InputStream in) throws IOException {
         parser = new JsonFactory().createParser(in);
     }
 
-    /** Begins the next message; false at the end of the input. */
+    /** Begins the next message; returns false at the end of the input. */
     boolean beginMessage() throws IOException {
         JsonToken token = parser.nextToken();
         if (token == null) {
             return false;
         }
-        require(token == JsonToken.START_ARRAY, "a message must be an array");
+        require(token == JsonToken.START_ARRAY, "a message must be a JSON array");
         return true;
     }
 
-    /** Begins the array that is the next value; false where the next value is none. */
+    /** Reads the next token; returns whether it begins an array. */
     boolean beginArray() throws IOException {
         return parser.nextToken() == JsonToken.START_ARRAY;
     }
 
-    /** Skips what is left of the arrays that are open, until only {@code depth} are. */
+    /** Skips the remaining values of the open arrays until only {@code depth} arrays are open. */
     void finishArray(int depth) throws IOException {
         while (parser.getParsingContext().getNestingDepth() > depth) {
-            require(parser.nextToken() != null, UNEXPECTED_END);
+            require(parser.nextToken() != null, "unexpected end of input inside a message");
         }
     }
 
-    /** The next token as it is. */
+    /** Reads the next token; returns null at the end of the input. */
     JsonToken nextToken() throws IOException {
         return parser.nextToken();
     }
 
-    /** The number that is the current token. */
+    /** Returns the current token, which must be a number. */
     double currentNumber() throws IOException {
         return parser.getDoubleValue();
     }
 
-    /** The next value of any kind, as {@link Json} reads it. */
-    Object value() throws IOException {
+    /** Reads a value of any type, in the form that {@link Json} returns. */
+    Object readValue() throws IOException {
         parser.nextToken();
         return Json.value(parser);
     }
 
-    /** The next value, a number of seconds that must be there, in microseconds. */
-    long micros() throws IOException {
-        require(parser.nextToken().isNumeric(), "a time must be a number");
+    /** Reads a required number of seconds; returns it in microseconds. */
+    long readMicros() throws IOException {
+        require(parser.nextToken().isNumeric(), "expected a time as a number of seconds");
         return InstanceSettings.toMicros(parser.getDoubleValue());
     }
 
-    /** The next value, a number of seconds, in microseconds; 0 where it is null or absent. */
-    long microsOrZero() throws IOException {
-        return InstanceSettings.toMicros(number(0));
+    /** Reads a number of seconds; returns it in microseconds, or 0 if it is null or missing. */
+    long readMicrosOrZero() throws IOException {
+        return InstanceSettings.toMicros(readNumber(0));
     }
 
-    /** The next value, a whole number that must be there; the lowest 64 bits of a larger one. */
-    long whole() throws IOException {
+    /** Reads a required integer; returns its lowest 64 bits. */
+    long readInteger() throws IOException {
         JsonToken token = parser.nextToken();
-        require(token == JsonToken.VALUE_NUMBER_INT, "expected a whole number");
+        require(token == JsonToken.VALUE_NUMBER_INT, "expected an integer");
         return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                 ? parser.getBigIntegerValue().longValue()
                 : parser.getLongValue();
     }
 
-    /** The next value, a number; the default where it is null or absent. */
-    double number(double defaultValue) throws IOException {
+    /** Reads a number; returns {@code defaultValue} if it is null or missing. */
+    double readNumber(double defaultValue) throws IOException {
         if (parser.currentToken() == JsonToken.END_ARRAY) {
             return defaultValue;
         }
@@ -90,34 +88,34 @@
         if (token == JsonToken.VALUE_NULL || token == JsonToken.END_ARRAY) {
             return defaultValue;
         }
-        require(token != null && token.isNumeric(), "expected a number");
+        require(token != null && token.isNumeric(), "expected a number, null or the end of the array");
         return parser.getDoubleValue();
     }
 
-    /** The next value, a text; null where it is null or a number. */
-    String textOrNull() throws IOException {
+    /** Reads a string; returns null if the value is null or a number. */
+    String readStringOrNull() throws IOException {
         JsonToken token = parser.nextToken();
         if (token == JsonToken.VALUE_NULL || (token != null && token.isNumeric())) {
             return null;
         }
-        require(token == JsonToken.VALUE_STRING, "expected a text");
+        require(token == JsonToken.VALUE_STRING, "expected a string, a number or null");
         return parser.getText();
     }
 
-    /** The next value, a text that must be there. */
-    String text() throws IOException {
-        String text = textOrNull();
-        require(text != null, "expected a text");
+    /** Reads a required string. */
+    String readString() throws IOException {
+        String text = readStringOrNull();
+        require(text != null, "expected a string");
         return text;
     }
 
-    /** Skips the next value, which is a text, a number or null. */
-    void skipTextOrNumber() throws IOException {
-        textOrNull();
+    /** Skips the next value, which must be a string, a number or null. */
+    void skipStringOrNumber() throws IOException {
+        readStringOrNull();
     }
 
-    /** Skips the next value, which is a number, null or absent. */
+    /** Skips the next value, which must be a number, null or missing. */
     void skipNumber() throws IOException {
-        number(0);
+        readNumber(0);
     }
 }
--- a/src/main/java/mintstair/adapter/SimulatorSession.java
+++ b/src/main/java/mintstair/adapter/SimulatorSession.java
@@ -1,6 +1,6 @@
 package mintstair.adapter;
 
-import static mintstair.adapter.WireException.require;
+import static mintstair.adapter.SimulatorProtocolException.require;
 
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.BufferedOutputStream;
@@ -26,66 +26,69 @@
 import mintstair.request.ReplicationRole;
 
 /**
- * One run of the simulator: reads batches of events, hands each event to its instance of the decision module, and
- * writes one reply for each batch. Used by one thread.
+ * Serves one run of the simulator. It reads batches of events, passes each event to the instance of the decision module
+ * that it is addressed to, and writes one reply with the resulting actions for each batch. Not thread-safe.
  */
 final class SimulatorSession {
-    /** How many endpoint lists the simulator may keep here, to name them by their slot. */
+    /** The number of endpoint lists that the simulator can store, each in a numbered slot. */
     private static final int LIST_SLOTS = 16;
 
     private static final int MICROS_PER_MILLI = 1_000;
-    /** The depth of the arrays around a row of a list: the message and the list. */
-    private static final int ROW_PARENTS = 2;
+    /** The number of arrays that enclose a row of an endpoint list: the message and the list. */
+    private static final int ROW_DEPTH = 2;
 
     private static final int NO_TENANT = -1;
-    /** The flag of a request that is a client's own retry. */
-    private static final int RETRY_FLAG = 2;
-    /** A host's mark: the lower two bits are its role, the others its position in milliseconds, 0 for unknown. */
+    /** The bit of a request's flags that marks it as a retry by the client. */
+    private static final int CLIENT_RETRY_FLAG = 2;
+    /**
+     * The role bits of a replication mark, with which a host reports its state in a reply. The other bits are its
+     * replication position in milliseconds, or 0 if that is unknown.
+     */
     private static final int MARK_ROLE_MASK = 3;
 
     private static final int MARK_POSITION_SHIFT = 2;
     private static final int MARK_PRIMARY = 1;
     private static final int MARK_REPLICA = 2;
 
-    /** One instance and the settings that translate for it; instances share nothing. */
+    /** An instance of the decision module, and the settings that are needed to decode the messages to it. */
     private record Instance(Router router, InstanceSettings settings) {}
 
     private final MessageReader in;
     private final OutputStream out;
     private final StringBuilder reply = new StringBuilder();
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<EndpointEntry>> lists = new ArrayList<>();
-    /** The time of the current batch. */
+    private final List<List<EndpointEntry>> endpointLists = new ArrayList<>();
+    /** The simulated time of the current batch. */
     private long nowMicros;
 
     SimulatorSession(InputStream in, OutputStream out) throws IOException {
         this.in = new MessageReader(in);
         this.out = new BufferedOutputStream(out);
         for (int i = 0; i < LIST_SLOTS; i++) {
-            lists.add(null);
+            endpointLists.add(null);
         }
     }
 
     /**
-     * Runs until the input ends.
+     * Processes messages until the input ends.
      *
-     * @throws WireException where the input does not follow the wire
+     * @throws SimulatorProtocolException if the input violates the protocol
      */
     void run() throws IOException {
         boolean inBatch = false;
         while (in.beginMessage()) {
-            String name = in.textOrNull();
-            require(name != null, "a message must begin with its name");
+            String name = in.readStringOrNull();
+            require(name != null, "the first value of a message must be its name");
             if (name.equals("turn")) {
-                require(!inBatch, "a batch began inside a batch");
+                require(!inBatch, "batch started before the previous batch ended");
                 inBatch = true;
-                nowMicros = in.micros();
+                nowMicros = in.readMicros();
             } else {
-                require(inBatch, "message " + name + " outside a batch");
+                require(inBatch, "message " + name + " received outside a batch");
                 if (name.equals("end")) {
                     inBatch = false;
                 } else {
-                    onEvent(name);
+                    handleEvent(name);
                 }
             }
             in.finishArray(0);
@@ -93,54 +96,56 @@
                 ActionWriter.flush(reply, out);
             }
         }
-        require(!inBatch, "the input ended inside a batch");
+        require(!inBatch, "unexpected end of input inside a batch");
     }
 
-    private void onEvent(String name) throws IOException {
+    private void handleEvent(String name) throws IOException {
         switch (name) {
-            case "pool" -> readList();
-            case "provision" -> startInstance();
+            case "pool" -> readEndpointList();
+            case "provision" -> createInstance();
             case "announce" -> updateEndpoints();
-            case "order" -> submitRequest();
-            case "result" -> endAttempt();
-            case "hangup" -> instance().router.onClientDisconnected(nowMicros, in.whole());
-            case "wakeup" -> instance().router.onTimer(nowMicros, in.text());
-            case "pingResult" -> endHealthCheck();
-            case "memo" -> instance().router.onPeerMessage(nowMicros, (int) in.whole(), in.text());
-            case "headReceived" -> instance();
-            case "crashNow" -> instances.remove((int) in.whole());
-            default -> throw new WireException("unknown event " + name);
+            case "order" -> routeRequest();
+            case "result" -> handleAttemptEnd();
+            case "hangup" -> readInstance().router.onClientDisconnected(nowMicros, in.readInteger());
+            case "wakeup" -> readInstance().router.onTimer(nowMicros, in.readString());
+            case "pingResult" -> handleHealthCheckEnd();
+            case "memo" -> readInstance().router.onPeerMessage(nowMicros, (int) in.readInteger(), in.readString());
+            case "headReceived" -> readInstance();
+            case "crashNow" -> instances.remove((int) in.readInteger());
+            default -> throw new SimulatorProtocolException("unknown event " + name);
         }
     }
 
-    private void readList() throws IOException {
-        int slot = (int) in.whole();
-        require(slot >= 0 && slot < LIST_SLOTS, "no such list number: " + slot);
-        require(in.beginArray(), "a pool needs its rows");
+    private void readEndpointList() throws IOException {
+        int slot = (int) in.readInteger();
+        require(
+                slot >= 0 && slot < LIST_SLOTS,
+                "endpoint list slot out of range 0 to " + (LIST_SLOTS - 1) + ": " + slot);
+        require(in.beginArray(), "message pool has no array of endpoints");
         List<EndpointEntry> entries = new ArrayList<>();
         while (in.beginArray()) {
-            entries.add(readEntry());
-            in.finishArray(ROW_PARENTS);
+            entries.add(readEndpoint());
+            in.finishArray(ROW_DEPTH);
         }
-        lists.set(slot, entries);
+        endpointLists.set(slot, entries);
     }
 
-    private EndpointEntry readEntry() throws IOException {
-        String host = in.text();
-        boolean primary = in.number(0) == 1;
-        String zone = in.textOrNull();
-        in.skipTextOrNumber();
-        int group = (int) in.number(0);
-        EndpointState state = endpointState(in.text());
-        double capacity = in.number(1);
-        return new EndpointEntry(host, primary, zone, group, state, capacity, in.microsOrZero());
+    private EndpointEntry readEndpoint() throws IOException {
+        String host = in.readString();
+        boolean primary = in.readNumber(0) == 1;
+        String zone = in.readStringOrNull();
+        in.skipStringOrNumber();
+        int group = (int) in.readNumber(0);
+        EndpointState state = endpointState(in.readString());
+        double capacity = in.readNumber(1);
+        return new EndpointEntry(host, primary, zone, group, state, capacity, in.readMicrosOrZero());
     }
 
-    private void startInstance() throws IOException {
-        int number = (int) in.whole();
-        long seed = in.whole();
-        if (!(in.value() instanceof Map<?, ?> json)) {
-            throw new WireException("provision needs its env");
+    private void createInstance() throws IOException {
+        int number = (int) in.readInteger();
+        long seed = in.readInteger();
+        if (!(in.readValue() instanceof Map<?, ?> json)) {
+            throw new SimulatorProtocolException("message provision has no settings object");
         }
         InstanceSettings settings = settings(json);
         ActionWriter actions = new ActionWriter(reply, number);
@@ -152,37 +157,37 @@
         try {
             return new InstanceSettings(json);
         } catch (ConfigException e) {
-            throw new WireException(e.getMessage(), e);
+            throw new SimulatorProtocolException(e.getMessage(), e);
         }
     }
 
     private void updateEndpoints() throws IOException {
-        Instance target = instance();
-        String form = in.text();
+        Instance target = readInstance();
+        String word = in.readString();
         in.skipNumber();
-        int slot = (int) in.number(0);
-        EndpointUpdateType type = updateType(form);
-        target.router.onEndpoints(nowMicros, type, type == EndpointUpdateType.FAILED ? List.of() : list(slot));
+        int slot = (int) in.readNumber(0);
+        EndpointUpdateType type = updateType(word);
+        target.router.onEndpoints(nowMicros, type, type == EndpointUpdateType.FAILED ? List.of() : endpointList(slot));
     }
 
-    private List<EndpointEntry> list(int slot) {
-        require(slot >= 0 && slot < LIST_SLOTS && lists.get(slot) != null, "no such list: " + slot);
-        return lists.get(slot);
+    private List<EndpointEntry> endpointList(int slot) {
+        require(slot >= 0 && slot < LIST_SLOTS && endpointLists.get(slot) != null, "no endpoint list in slot " + slot);
+        return endpointLists.get(slot);
     }
 
-    private void submitRequest() throws IOException {
-        Instance target = instance();
-        long id = in.whole();
-        long flags = in.whole();
-        String className = in.text();
+    private void routeRequest() throws IOException {
+        Instance target = readInstance();
+        long id = in.readInteger();
+        long flags = in.readInteger();
+        String className = in.readString();
         Integer requestClass = target.settings.classes.get(className);
-        require(requestClass != null, "unknown class " + className);
-        String session = in.textOrNull();
-        int group = (int) in.number(0);
+        require(requestClass != null, "unknown request class " + className);
+        String session = in.readStringOrNull();
+        int group = (int) in.readNumber(0);
         in.skipNumber();
-        String tenantName = in.textOrNull();
-        long timeoutMicros = in.microsOrZero();
-        double tokenMillis = in.number(0);
+        String tenantName = in.readStringOrNull();
+        long timeoutMicros = in.readMicrosOrZero();
+        double tokenMillis = in.readNumber(0);
         Integer tenant = tenantName == null ? null : target.settings.tenants.get(tenantName);
         target.router.onRequest(
                 nowMicros,
@@ -192,20 +197,20 @@
                         group,
                         session,
                         tenant == null ? NO_TENANT : tenant,
-                        (flags & RETRY_FLAG) != 0,
+                        (flags & CLIENT_RETRY_FLAG) != 0,
                         timeoutMicros,
                         tokenMillis > 0 ? Math.round(tokenMillis * MICROS_PER_MILLI) : Positions.UNKNOWN));
     }
 
-    private void endAttempt() throws IOException {
-        Instance target = instance();
-        long id = in.whole();
-        int attempt = (int) in.whole();
-        String host = in.text();
-        AttemptOutcome outcome = outcome(in.text());
-        long latencyMicros = in.microsOrZero();
-        boolean finished = in.nextToken() == JsonToken.VALUE_TRUE;
-        long mark = (long) in.number(0);
+    private void handleAttemptEnd() throws IOException {
+        Instance target = readInstance();
+        long id = in.readInteger();
+        int attempt = (int) in.readInteger();
+        String host = in.readString();
+        AttemptOutcome outcome = outcome(in.readString());
+        long latencyMicros = in.readMicrosOrZero();
+        boolean requestOver = in.nextToken() == JsonToken.VALUE_TRUE;
+        long mark = (long) in.readNumber(0);
         target.router.onAttemptEnded(
                 nowMicros,
                 new AttemptResult(
@@ -214,7 +219,7 @@
                         host,
                         outcome,
                         latencyMicros,
-                        finished,
+                        requestOver,
                         roleOfMark(mark),
                         positionOfMark(mark, target.settings)));
     }
@@ -232,19 +237,22 @@
         return millis == 0 ? Positions.UNKNOWN : settings.positionZeroMicros + millis * MICROS_PER_MILLI;
     }
 
-    private void endHealthCheck() throws IOException {
-        Instance target = instance();
-        AttemptOutcome outcome = outcome(in.text());
-        long latencyMicros = in.microsOrZero();
-        String host = in.text();
+    private void handleHealthCheckEnd() throws IOException {
+        Instance target = readInstance();
+        AttemptOutcome outcome = outcome(in.readString());
+        long latencyMicros = in.readMicrosOrZero();
+        String host = in.readString();
         target.router.onHealthCheckEnded(nowMicros, host, outcome, latencyMicros, readReport(target.settings));
     }
 
-    /** A host's report: values in the order of the fields that the settings name, or null. */
+    /**
+     * Reads a host report, which is null or an array of the fields that the settings name, in that order. Field
+     * {@code x0} is the replication position in seconds, and {@code x1} is 1 for a primary. Returns null for null.
+     */
     private ReplicationStatus readReport(InstanceSettings settings) throws IOException {
         JsonToken token = in.nextToken();
         if (token != JsonToken.START_ARRAY) {
-            require(token == JsonToken.VALUE_NULL, "a report must be an array or null");
+            require(token == JsonToken.VALUE_NULL, "a host report must be an array or null");
             return null;
         }
         long position = Positions.UNKNOWN;
@@ -268,7 +276,7 @@
             case "whole" -> EndpointUpdateType.SNAPSHOT;
             case "stale_copy" -> EndpointUpdateType.CACHED;
             case "broken" -> EndpointUpdateType.FAILED;
-            default -> throw new WireException("unknown form of list " + word);
+            default -> throw new SimulatorProtocolException("unknown type of endpoint update " + word);
         };
     }
 
@@ -283,7 +291,7 @@
             case "undone" -> AttemptOutcome.CANCELLED;
             case "stale_send" -> AttemptOutcome.NOT_SENT;
             case "none_here" -> AttemptOutcome.MISDIRECTED;
-            default -> throw new WireException("unknown ending " + word);
+            default -> throw new SimulatorProtocolException("unknown attempt outcome " + word);
         };
     }
 
@@ -292,12 +300,12 @@
             case "ready" -> EndpointState.SERVING;
             case "draining" -> EndpointState.DRAINING;
             case "gone" -> EndpointState.REMOVED;
-            default -> throw new WireException("unknown phase " + word);
+            default -> throw new SimulatorProtocolException("unknown endpoint state " + word);
         };
     }
 
-    private Instance instance() throws IOException {
-        int number = (int) in.whole();
+    private Instance readInstance() throws IOException {
+        int number = (int) in.readInteger();
         Instance found = instances.get(number);
         require(found != null, "event for unknown instance " + number);
         return found;
--- a/src/main/java/mintstair/adapter/package-info.java
+++ b/src/main/java/mintstair/adapter/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The {@code adapter} command: hosts many instances of the decision module on the simulator's wire, JSON arrays on
- * standard input and output. The words of the wire are turned into the terms of the code here.
+ * The {@code adapter} command, which runs many instances of the decision module for a simulator. The simulator sends
+ * and receives JSON arrays on standard input and output; this package converts them to and from the types of the
+ * decision module.
  */
 package mintstair.adapter;
--- a/src/main/java/mintstair/request/AttemptVerdict.java
+++ b/src/main/java/mintstair/request/AttemptVerdict.java
@@ -1,22 +1,23 @@
 package mintstair.request;
 
 /**
- * Whether an attempt may begin at a host at this moment, and if not, why. {@code AttemptRules} of the decision package
- * decides it. The names of the constants are part of metric names.
+ * States whether an attempt may be written to its host at this moment and, if not, why. {@code AttemptRules} in the
+ * decision package computes it. The names of the constants are part of metric names.
  */
 public enum AttemptVerdict {
-    /** It may be written. */
+    /** The attempt may be written. */
     MAY_BEGIN,
-    /** Its request has had its final answer, or was abandoned. */
+    /** The request has already received its final response, or was abandoned. */
     REQUEST_OVER,
-    /** Its client has closed its connection. */
+    /** The client has closed its connection. */
     CLIENT_GONE,
-    /** The deadline of its client has passed, or the time that the decision allowed for the attempt. */
+    /** The client's deadline has passed, or the time limit that the router set for the attempt. */
     DEADLINE_PASSED,
     /**
-     * The decision is too old: the replica's position, or the deduplication window that it relied on, no longer holds.
+     * The routing decision has expired: the replication position or the deduplication window that it relied on is no
+     * longer valid.
      */
     DECISION_EXPIRED,
-    /** Its host is listed as draining. */
+    /** The host is listed as draining. */
     HOST_DRAINING
 }
--- a/src/main/java/mintstair/request/ConnectionEnd.java
+++ b/src/main/java/mintstair/request/ConnectionEnd.java
@@ -1,43 +1,40 @@
 package mintstair.request;
 
 /**
- * Every way in which what was sent on a connection can end. Network code reports one of these and nothing else; the
- * routing package maps, in one place, each to what it means to the decisions. The names of the constants are part of
- * metric names.
+ * The ways in which an attempt or a health check can end. Network code reports every end as one of these; the routing
+ * package alone maps them to their meaning for routing decisions. The names of the constants are part of metric names.
  */
 public enum ConnectionEnd {
-    /** The host replied with its value. */
+    /** The host replied with a result. */
     SERVED,
-    /**
-     * The host replied with its value and sent more than belongs to it: the reply counts, the connection was closed.
-     */
+    /** The host replied with a result, followed by surplus bytes: the reply is valid, and the connection was closed. */
     SERVED_AND_MORE,
-    /** A write met a host that is no primary, or a read one that is too far behind: nothing ran. */
+    /** A write reached a host that is not the primary, or a read one that lags too far behind: nothing was executed. */
     MISS,
-    /** The host replied with an error: it may have run. */
+    /** The host replied with an error: the request may have been executed. */
     HOST_ERROR,
-    /** The host rejected it before running any of it. */
+    /** The host rejected the request before executing any of it. */
     TURNED_AWAY,
-    /** The connection was refused, or broke before it was ready. */
+    /** The connection was refused, or was lost before it was ready for requests. */
     CONNECT_FAILED,
-    /** The connection was not ready in time. */
+    /** The connection was not ready for requests in time. */
     CONNECT_TIMEOUT,
-    /** The connection broke before the last byte of the request was written. */
+    /** The connection was lost before the last byte of the request was written. */
     BROKEN_BEFORE_WRITTEN,
-    /** The connection broke, or ended, after the last byte of the request was written. */
+    /** The connection was lost or closed after the last byte of the request was written. */
     BROKEN_AFTER_WRITTEN,
-    /** The host sent bytes that are no reply, or one larger than the limit; the connection was closed. */
+    /** The host sent a malformed reply, or one that exceeds the size limit; the connection was closed. */
     GARBLED,
     /** The host replied to a health check with a report that cannot be parsed; the connection was closed. */
     REPORT_UNREADABLE,
-    /** No reply came before the proxy stopped waiting. */
+    /** No reply arrived before the proxy stopped waiting. */
     TIMED_OUT,
-    /** The proxy cancelled it after it was written. */
+    /** The proxy cancelled the request after it was written. */
     CALLED_OFF,
-    /** It never left the proxy. */
+    /** The request was not sent. */
     NEVER_SENT;
 
-    /** Whether the host replied with a value, which can be the request's answer. */
+    /** Returns whether the host replied with a result, which can be used as the response to the request. */
     public boolean isServed() {
         return this == SERVED || this == SERVED_AND_MORE;
     }
--- a/src/main/java/mintstair/request/Exchange.java
+++ b/src/main/java/mintstair/request/Exchange.java
@@ -1,8 +1,9 @@
 package mintstair.request;
 
 /**
- * A request that was accepted, and the guarantee that its client gets at most one final answer. All methods but the
- * getters of final values are to be called on the event loop.
+ * An accepted request together with its state. It guarantees that the client receives at most one final response.
+ * {@link #number}, {@link #request} and {@link #deadlineMicros} may be called on any thread, all other methods only on
+ * the event loop.
  */
 public final class Exchange {
     private final ProxyRequest request;
@@ -12,9 +13,11 @@
     private boolean over;
 
     /**
-     * @param number this proxy's own number for it, never reused
-     * @param arrivedAtMicros when its timeout began
-     * @param client gets the answer
+     * Creates the exchange of an accepted request.
+     *
+     * @param number the number that this proxy assigned to the request; it is never reused
+     * @param arrivedAtMicros the time from which the timeout of the request counts
+     * @param client receives the response
      */
     public Exchange(long number, ProxyRequest request, long arrivedAtMicros, ResponseListener client) {
         this.number = number;
@@ -23,32 +26,32 @@
         this.client = client;
     }
 
-    /** This proxy's own number for it, never reused. */
+    /** Returns the number that this proxy assigned to the request; it is never reused. */
     public long number() {
         return number;
     }
 
-    /** The request as the front accepted it. */
+    /** Returns the request as the front accepted it. */
     public ProxyRequest request() {
         return request;
     }
 
-    /** When the client stops waiting. */
+    /** Returns the time at which the client stops waiting for the response. */
     public long deadlineMicros() {
         return arrivedAtMicros + request.timeoutMicros();
     }
 
-    /** Whether it has had its final answer, or was abandoned. */
+    /** Returns whether the final response was sent or the exchange was aborted or abandoned. */
     public boolean isOver() {
         return over;
     }
 
-    /** Whether its client still waits for the answer; false as soon as the client's connection is closed. */
+    /** Returns whether the client is still connected and waits for the response. */
     public boolean isClientWaiting() {
         return !over && !client.isDisconnected();
     }
 
-    /** Gives the final answer. Returns false, and does nothing, where the exchange is over. */
+    /** Sends the final response. Does nothing and returns false if the exchange is already over. */
     public boolean respond(Response response) {
         if (over) {
             return false;
@@ -59,7 +62,7 @@
     }
 
     /**
-     * Passes on a part of an answer that is streamed as it is too long to be buffered.
+     * Sends a part of a response that is streamed because it is too long to be buffered.
      *
      * @param onWritten is run when the part has been written to the client
      */
@@ -67,13 +70,13 @@
         client.onResponsePart(bytes, onWritten);
     }
 
-    /** Ends a streamed answer that cannot be completed. */
+    /** Ends a streamed response that cannot be completed. */
     public void abort() {
         over = true;
         client.onResponseAborted();
     }
 
-    /** Ends the exchange without an answer, as the client has left. */
+    /** Ends the exchange without a response because the client has disconnected. */
     public void abandon() {
         over = true;
     }
--- a/src/main/java/mintstair/request/GiveUpReason.java
+++ b/src/main/java/mintstair/request/GiveUpReason.java
@@ -1,23 +1,26 @@
 package mintstair.request;
 
-/** Why a request gets its final answer from the router and not from a host. */
+/**
+ * Why the router gives up on a request and responds to it without a host's reply. The names of the constants are part
+ * of metric names.
+ */
 public enum GiveUpReason {
-    /** Its client has no time left for an answer, or one that came now would have no value. */
+    /** The client's timeout has expired, or a response sent now would arrive too late to be of use. */
     OUT_OF_TIME,
-    /** An attempt may have run, and the class permits no further one now. */
+    /** An attempt may have been executed, and the request class does not permit another one at this time. */
     NOT_REPEATABLE,
-    /** As many attempts were sent as the settings permit. */
+    /** The maximum number of attempts in the settings has been sent. */
     ATTEMPTS_EXHAUSTED,
     /** The retry budget is empty. */
     RETRY_BUDGET,
-    /** No primary is known that is there and alive. */
+    /** No primary is known that is listed and responsive. */
     NO_PRIMARY,
-    /** The primary's concurrency limit leaves no room, or it rejected an attempt just now. */
+    /** The primary's concurrency limit is reached, or the primary has just rejected an attempt. */
     PRIMARY_LIMIT,
-    /** The only host that could take it is in slow start, and its budget is spent. */
+    /** The only eligible host is in slow start, and the slow-start budget is spent. */
     SLOW_START,
-    /** The one host that holds its cursor can't take it. */
+    /** The request is sticky, and the host that holds its cursor cannot accept it. */
     STICKY_HOST,
-    /** The process shuts down. */
+    /** The process is shutting down. */
     SHUTDOWN
 }
--- a/src/main/java/mintstair/request/ProxyRequest.java
+++ b/src/main/java/mintstair/request/ProxyRequest.java
@@ -1,18 +1,18 @@
 package mintstair.request;
 
 /**
- * One request as a front accepts it.
+ * A request as a front accepts it. Immutable.
  *
- * @param id the client's own id, by which people find it in logs
- * @param requestClass the name of its class in the settings
- * @param cluster the replica set that holds its data
- * @param session its session; null where its class has none
- * @param isClientRetry whether the client marked it as a retry
- * @param timeoutMicros how long the client waits from its arrival on
- * @param minimumPositionMicros the replication position that a read of a session must see, or
- *     {@link HostReport#UNKNOWN_POSITION}
- * @param statement what to forward
- * @param stickyHost the only host that can serve it, as that holds the cursor which is read on; null for any
+ * @param id the client's own identifier for the request, for use in logs
+ * @param requestClass the name of the request class in the settings
+ * @param cluster the number of the replica set that holds the data
+ * @param session the client session; null if there is none
+ * @param isClientRetry whether the client marked the request as a retry
+ * @param timeoutMicros how long the client waits for the response, counted from the arrival of the request
+ * @param minimumPositionMicros the replication position that a host must have reached to serve a read of the session,
+ *     or {@link HostReport#UNKNOWN_POSITION} if any position is sufficient
+ * @param statement the operation to forward
+ * @param stickyHost the only host that can serve the request, because it holds the cursor to read from; null for any
  */
 public record ProxyRequest(
         String id,
@@ -24,11 +24,9 @@
         long minimumPositionMicros,
         Statement statement,
         String stickyHost) {
-    private static final long SHORTEST_TIMEOUT_MICROS = 1;
+    private static final long MIN_TIMEOUT_MICROS = 1;
 
-    /**
-     * The same request after {@code elapsedMicros} of its timeout; one that has none left keeps the shortest possible.
-     */
+    /** Returns this request with its timeout reduced by {@code elapsedMicros}, but to no less than one microsecond. */
     public ProxyRequest withReducedTimeout(long elapsedMicros) {
         return new ProxyRequest(
                 id,
@@ -36,7 +34,7 @@
                 cluster,
                 session,
                 isClientRetry,
-                Math.max(SHORTEST_TIMEOUT_MICROS, timeoutMicros - elapsedMicros),
+                Math.max(MIN_TIMEOUT_MICROS, timeoutMicros - elapsedMicros),
                 minimumPositionMicros,
                 statement,
                 stickyHost);
--- a/src/main/java/mintstair/request/ReplicationRole.java
+++ b/src/main/java/mintstair/request/ReplicationRole.java
@@ -1,11 +1,11 @@
 package mintstair.request;
 
-/** The role that a host reports of itself. */
+/** The role in its replica set that a host reports for itself. */
 public enum ReplicationRole {
-    /** It reported none. */
+    /** The host did not report a role. */
     UNKNOWN,
-    /** It takes writes. */
+    /** The host accepts writes. */
     PRIMARY,
-    /** It applies the commits of a primary and serves reads only. */
+    /** The host applies the commits of a primary and serves only reads. */
     REPLICA
 }
--- a/src/main/java/mintstair/request/Response.java
+++ b/src/main/java/mintstair/request/Response.java
@@ -1,25 +1,25 @@
 package mintstair.request;
 
-/** The final answer to a request, before a front encodes it for its protocol. Immutable. */
+/** The final response to a request, before a front encodes it for its protocol. Immutable. */
 public sealed interface Response {
-    /** The three ways in which a request can be answered. */
+    /** The kinds of response. */
     enum Kind {
-        /** With the reply of a host. */
+        /** The response is a host's reply. */
         SERVED,
-        /** Rejected: a retry by the client is harmless. */
+        /** The request was rejected: the client can safely retry it. */
         REJECTED,
-        /** Failed: the request may have had its effect, or not. */
+        /** The request failed: it may or may not have taken effect. */
         FAILED
     }
 
-    /** Which of the answers this is. */
+    /** Returns the kind of this response. */
     Kind kind();
 
     /**
-     * The reply of a host.
+     * A host's reply.
      *
      * @param host the name of the host
-     * @param body in the words of its protocol; after parts, the rest
+     * @param body the reply, encoded in the host's protocol; if parts of it have been streamed, the remainder
      */
     record Served(String host, byte[] body) implements Response {
         @Override
@@ -28,7 +28,11 @@
         }
     }
 
-    /** Rejected: a retry is harmless, best after {@code retryAfterMillis}; 0 for no advice. */
+    /**
+     * The rejection of a request that the client can safely retry.
+     *
+     * @param retryAfterMillis the recommended delay before a retry; 0 for no recommendation
+     */
     record Rejected(long retryAfterMillis) implements Response {
         @Override
         public Kind kind() {
@@ -37,10 +41,10 @@
     }
 
     /**
-     * Failed: the request may have had its effect, or not.
+     * The failure of a request that may or may not have taken effect.
      *
-     * @param reason in words for the client
-     * @param late whether its deadline has passed
+     * @param reason the error message for the client
+     * @param late whether the request's deadline has passed
      */
     record Failed(String reason, boolean late) implements Response {
         @Override
--- a/src/main/java/mintstair/request/ResponseListener.java
+++ b/src/main/java/mintstair/request/ResponseListener.java
@@ -1,27 +1,28 @@
 package mintstair.request;
 
-/** Takes the answer to one request, for its client. Called on the event loop unless said otherwise. */
+/** Receives the response to one request on behalf of its client. Called on the event loop unless stated otherwise. */
 public interface ResponseListener {
-    /** Takes the final answer; after parts, the rest of it. */
+    /** Receives the final response; if parts of it have been streamed, the remainder. */
     void onResponse(Response response);
 
     /**
-     * Takes a part of an answer that is streamed; parts come in order.
+     * Receives the next part of a streamed response.
      *
      * @param onWritten to be run when the part has been written to the client
-     * @throws UnsupportedOperationException where this client takes whole answers only
+     * @throws UnsupportedOperationException if this listener accepts only complete responses
      */
     default void onResponsePart(byte[] bytes, Runnable onWritten) {
-        throw new UnsupportedOperationException("long answers");
+        throw new UnsupportedOperationException("this listener does not accept streamed responses");
     }
 
     /**
-     * Whether the client has closed its connection, so that no attempt may begin for it. May be called on any thread.
+     * Returns whether the client has closed its connection, so that no further attempt is sent for it. May be called on
+     * any thread.
      */
     default boolean isDisconnected() {
         return false;
     }
 
-    /** The streamed answer cannot be completed; the client must be able to tell that it is not whole. */
+    /** Handles a streamed response that cannot be completed. The client must be able to detect the truncation. */
     default void onResponseAborted() {}
 }
--- a/src/main/java/mintstair/request/Statement.java
+++ b/src/main/java/mintstair/request/Statement.java
@@ -1,7 +1,7 @@
 package mintstair.request;
 
-/** What a client asked for, in the words of its own protocol; only a backend of that protocol can read it. */
+/** The operation that a client requested, in the client's protocol. Only a backend of that protocol can decode it. */
 public interface Statement {
-    /** Encodes it for a host, with {@code timeoutMillis} as the time that the host may take. */
+    /** Encodes the statement for a host, with {@code timeoutMillis} as the host's execution time limit. */
     byte[] encode(long timeoutMillis);
 }
--- a/src/main/java/mintstair/request/package-info.java
+++ b/src/main/java/mintstair/request/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What fronts, router and backends say to each other about requests, hosts and answers, in terms of no protocol. Mostly
- * immutable values; the one object with state is {@link mintstair.request.Exchange}, which belongs to the event loop.
+ * The protocol-independent model of requests, hosts and responses that fronts, the router and backends exchange. Most
+ * types are immutable; the exception is {@link mintstair.request.Exchange}, whose state belongs to the event loop.
  *
- * <p>Times are microseconds: points in time on the event loop's clock, in Unix time, spans as such.
+ * <p>All times are microseconds. Points in time are Unix time, as read from the event loop's clock.
  */
 package mintstair.request;
--- a/src/main/java/mintstair/retry/Backoff.java
+++ b/src/main/java/mintstair/retry/Backoff.java
@@ -3,46 +3,49 @@
 import java.util.Random;
 
 /**
- * Exponential backoff with jitter: each delay is drawn at random from a range that doubles with every consecutive
- * failure, up to a cap. The jitter keeps clients that failed at the same moment from retrying at the same moment. All
- * delays are microseconds. Not thread-safe.
+ * Computes exponential backoff delays with jitter. Each delay is a random value between a fixed fraction of its upper
+ * bound and that bound, which doubles with every consecutive failure up to a maximum. The jitter prevents clients that
+ * failed at the same time from retrying at the same time. All delays are microseconds. Not thread-safe.
  */
 public final class Backoff {
-    private static final double DEFAULT_FIXED_FRACTION = 0.5;
-    /** Bounds the shift, so that doubling cannot overflow after many failures. */
+    private static final double DEFAULT_MIN_DELAY_FRACTION = 0.5;
+    /** Limits the shift, so that the delay does not overflow after many failures. */
     private static final int MAX_DOUBLINGS = 20;
 
     private final Random random;
     private final long initialDelayMicros;
     private final long maxDelayMicros;
-    private final double fixedFraction;
+    private final double minDelayFraction;
     private int consecutiveFailures;
 
-    /** Draws each delay from the upper half of its range, which grows from the initial to the maximum delay. */
+    /** Creates a backoff whose delays are at least half of their upper bound. */
     public Backoff(Random random, long initialDelayMicros, long maxDelayMicros) {
-        this(random, initialDelayMicros, maxDelayMicros, DEFAULT_FIXED_FRACTION);
+        this(random, initialDelayMicros, maxDelayMicros, DEFAULT_MIN_DELAY_FRACTION);
     }
 
     /**
-     * Draws each delay from a range that grows from the initial to the maximum delay.
+     * Creates a backoff whose delays are at least a given fraction of their upper bound.
      *
-     * @param fixedFraction the part of the range, from 0 to 1, that every delay has at least; the rest is jitter
+     * @param random the source of the jitter
+     * @param initialDelayMicros the upper bound of the delay after the first failure
+     * @param maxDelayMicros the upper bound of all delays
+     * @param minDelayFraction the lower bound of each delay, as a fraction of its upper bound from 0 to 1
      */
-    public Backoff(Random random, long initialDelayMicros, long maxDelayMicros, double fixedFraction) {
+    public Backoff(Random random, long initialDelayMicros, long maxDelayMicros, double minDelayFraction) {
         this.random = random;
         this.initialDelayMicros = initialDelayMicros;
         this.maxDelayMicros = maxDelayMicros;
-        this.fixedFraction = fixedFraction;
+        this.minDelayFraction = minDelayFraction;
     }
 
-    /** Records one more failure and returns the delay before the next attempt, in microseconds. */
+    /** Records a failure and returns the delay before the next attempt, in microseconds. */
     public long nextDelayMicros() {
         int doublings = Math.min(consecutiveFailures++, MAX_DOUBLINGS);
-        long rangeMicros = Math.min(maxDelayMicros, initialDelayMicros << doublings);
-        return (long) (rangeMicros * (fixedFraction + random.nextDouble() * (1 - fixedFraction)));
+        long upperBoundMicros = Math.min(maxDelayMicros, initialDelayMicros << doublings);
+        return (long) (upperBoundMicros * (minDelayFraction + random.nextDouble() * (1 - minDelayFraction)));
     }
 
-    /** Records a success: the next failure counts as the first. */
+    /** Records a success, after which the next failure counts as the first. */
     public void reset() {
         consecutiveFailures = 0;
     }
--- a/src/main/java/mintstair/retry/package-info.java
+++ b/src/main/java/mintstair/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Delays between retries, shared by all clients of this process. No I/O, no clock, no threads. */
+/** Computes the delays between retries for all clients in this process. Does no I/O and uses no clocks or threads. */
 package mintstair.retry;
--- a/src/main/java/mintstair/routing/ActionRecorder.java
+++ b/src/main/java/mintstair/routing/ActionRecorder.java
@@ -8,8 +8,8 @@
 import mintstair.request.GiveUpReason;
 
 /**
- * Collects what the decision module calls for during one call to it, so that the call can return it as a list. Not safe
- * for use by several threads.
+ * Records the actions that the decision module requests during a call, so that they can be returned as a list. Not
+ * thread-safe.
  */
 final class ActionRecorder implements RouterActions {
     private final AttemptNumbers attempts;
@@ -21,15 +21,15 @@
         this.timers = timers;
     }
 
-    /** Returns all actions since the last call, in order. The list belongs to the caller. */
+    /** Returns the actions recorded since the last call, in order. The caller owns the list. */
     List<RouterAction> take() {
         List<RouterAction> actions = recorded;
         recorded = new ArrayList<>();
         return actions;
     }
 
-    /** Records each violated invariant by the name that metrics and log lines carry. */
-    void invariantsViolated(List<InvariantMonitor.Finding> findings) {
+    /** Records each violation under the name that the invariant has in metrics and log lines. */
+    void recordViolations(List<InvariantMonitor.Finding> findings) {
         for (InvariantMonitor.Finding finding : findings) {
             String rule = finding.violation().name().toLowerCase(Locale.ROOT);
             recorded.add(new RouterAction.InvariantViolated(rule, finding.request(), finding.host()));
@@ -79,11 +79,11 @@
         timers.start(name, delayMicros);
     }
 
-    /** Does nothing: the watch on discovery subscribes by itself, whatever the settings say. */
+    /** Does nothing, because the endpoint watch subscribes by itself regardless of the settings. */
     @Override
     public void subscribe() {}
 
-    /** Does nothing: proxies exchange no messages of the decision module. */
+    /** Does nothing, because proxies do not exchange messages of the decision module. */
     @Override
     public void broadcast(String text) {}
 
--- a/src/main/java/mintstair/routing/AttemptNumbers.java
+++ b/src/main/java/mintstair/routing/AttemptNumbers.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Numbers the attempts of each request, as the decision module refers to them by number but does not pass the number
- * when it sends one. A request is kept until it is over and its last attempt has ended. Not safe for use by several
- * threads.
+ * Assigns a number to each attempt of a request. The decision module refers to attempts by number, but does not pass
+ * the number when it starts one. A request is kept until it is over and all of its attempts have ended. Not
+ * thread-safe.
  */
 final class AttemptNumbers {
     private static final class Attempts {
@@ -17,19 +17,19 @@
 
     private final Map<Long, Attempts> byRequest = new HashMap<>();
 
-    /** Adds a request that has no attempt yet. */
+    /** Adds a request that has no attempts yet. */
     void requestAccepted(long request) {
         byRequest.put(request, new Attempts());
     }
 
-    /** Counts a new attempt of a known request; returns its number, from 0. */
+    /** Records the start of an attempt of a known request and returns its number, counted from 0. */
     int attemptStarted(long request) {
         Attempts attempts = byRequest.get(request);
         attempts.outstanding++;
         return attempts.nextNumber++;
     }
 
-    /** Counts the end of an attempt; false where the request is not known. */
+    /** Records the end of an attempt; returns false if the request is unknown. */
     boolean attemptEnded(long request, boolean requestOver) {
         Attempts attempts = byRequest.get(request);
         if (attempts == null) {
@@ -40,7 +40,7 @@
         return true;
     }
 
-    /** Marks a request as over: no further attempt of it will start. False where the request is not known. */
+    /** Marks a request as over, after which no further attempt starts; returns false if the request is unknown. */
     boolean requestOver(long request) {
         Attempts attempts = byRequest.get(request);
         if (attempts == null) {
@@ -50,7 +50,7 @@
         return true;
     }
 
-    /** Forgets a request that is over and has no attempt out; does nothing for any other. */
+    /** Removes the request if it is over and has no outstanding attempts. */
     void removeIfDone(long request) {
         Attempts attempts = byRequest.get(request);
         if (attempts != null && attempts.requestOver && attempts.outstanding <= 0) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** How many requests are kept. */
+    /** Returns the number of requests that are kept. */
     int size() {
         return byRequest.size();
     }
--- a/src/main/java/mintstair/routing/DecisionMapper.java
+++ b/src/main/java/mintstair/routing/DecisionMapper.java
@@ -16,13 +16,13 @@
 import mintstair.request.ProxyRequest;
 import mintstair.request.ReplicationRole;
 
-/** The one place that translates from the terms of the network side into those of the decision module. */
+/** Converts the types of the network side to those of the decision module. All such conversions are made here. */
 final class DecisionMapper {
     private static final int NO_TENANT = -1;
 
     private DecisionMapper() {}
 
-    /** What each end of a connection means to the decisions. */
+    /** Returns what the end of an attempt or a health check means for routing decisions. */
     static AttemptOutcome outcome(ConnectionEnd end) {
         return switch (end) {
             case SERVED, SERVED_AND_MORE -> AttemptOutcome.SUCCESS;
@@ -49,7 +49,7 @@
                 event.report().position());
     }
 
-    /** The status that a host reported; null where it reported no role. */
+    /** Returns the replication status that a host reported, or null if it reported no role. */
     static ReplicationStatus status(HostReport report) {
         if (report.role() == ReplicationRole.UNKNOWN) {
             return null;
@@ -70,14 +70,17 @@
                 request.stickyHost());
     }
 
-    /** How long ago the commit was that a read must see, or {@link Positions#UNKNOWN} where it need see none. */
+    /**
+     * Returns the age of the commit that a read must observe, or {@link Positions#UNKNOWN} if there is no such commit.
+     */
     private static long tokenAgeMicros(long nowMicros, long minimumPositionMicros) {
         if (minimumPositionMicros == HostReport.UNKNOWN_POSITION) {
             return Positions.UNKNOWN;
         }
         long ageMicros = nowMicros - minimumPositionMicros;
-        // A clock that is ahead can give a commit just the negative age that stands for "no token"; it is a token all
-        // the same.
+        // If the clock of the host that reported the commit is ahead of this one, the age can be negative. Moving it
+        // off
+        // the value that stands for "no token" keeps the token.
         return ageMicros == Positions.UNKNOWN ? ageMicros - 1 : ageMicros;
     }
 
--- a/src/main/java/mintstair/routing/RequestClasses.java
+++ b/src/main/java/mintstair/routing/RequestClasses.java
@@ -4,7 +4,10 @@
 import mintstair.decision.Consistency;
 import mintstair.decision.RequestClass;
 
-/** The request classes of the current settings, by name. Not safe for use by several threads. */
+/**
+ * The request classes of the current settings, by name. All methods except {@link #contains} require the name of a
+ * class that exists. Not thread-safe.
+ */
 public final class RequestClasses {
     private InstanceSettings settings;
 
@@ -12,33 +15,31 @@
         this.settings = settings;
     }
 
-    void apply(InstanceSettings changed) {
-        settings = changed;
+    void apply(InstanceSettings newSettings) {
+        settings = newSettings;
     }
 
-    /**
-     * Whether the settings have a class of this name. The other methods may be called with names of known classes only.
-     */
+    /** Returns whether the settings define a request class of this name. */
     public boolean contains(String name) {
         return settings.classes.containsKey(name);
     }
 
-    /** Whether requests of this class are writes. */
+    /** Returns whether requests of this class are writes. */
     public boolean isWrite(String name) {
-        return byName(name).consistency() == Consistency.WRITE;
+        return get(name).consistency() == Consistency.WRITE;
     }
 
-    /** How long clients wait for an answer of this class where they do not say, in microseconds. */
+    /** Returns the timeout of requests of this class that do not specify one, in microseconds. */
     public long deadlineMicros(String name) {
-        return byName(name).deadlineMicros();
+        return get(name).deadlineMicros();
     }
 
-    /** The position of the class among the classes of the settings, by which the decision module knows it. */
+    /** Returns the index of the class in the settings, by which the decision module refers to it. */
     int indexOf(String name) {
         return settings.classes.get(name);
     }
 
-    RequestClass byName(String name) {
+    RequestClass get(String name) {
         return settings.settings.classes().get(indexOf(name));
     }
 }
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -16,11 +16,10 @@
 import mintstair.request.ProxyRequest;
 
 /**
- * The decision module as a function: each call reports what happened and returns the actions that follow, in the order
- * in which they are to be executed.
+ * Routes requests by passing requests, events and timers to the decision module. Each call returns the resulting
+ * actions, in the order in which they must be executed.
  *
- * <p>All times are microseconds on the event loop's clock, in Unix time. Not safe for use by several threads; calls
- * must not overlap.
+ * <p>All times are Unix microseconds on the event loop's clock. Not thread-safe; calls must not overlap.
  */
 public final class RequestRouter {
     private final AttemptNumbers attempts = new AttemptNumbers();
@@ -34,10 +33,10 @@
     private long drainGraceMicros;
 
     /**
-     * Starts a router that knows no endpoint yet.
+     * Creates a router that has no endpoints yet.
      *
-     * @param seed of its random draws
-     * @throws mintstair.decision.InvalidSettingsException where the settings make no sense
+     * @param seed the seed of its random number generator
+     * @throws mintstair.decision.InvalidSettingsException if the settings are invalid
      */
     public RequestRouter(long nowMicros, long seed, InstanceSettings settings) {
         timers = new TimerQueue(nowMicros);
@@ -48,39 +47,39 @@
     }
 
     /**
-     * Switches to other settings; requests that are in flight keep the class that they were accepted with.
+     * Applies new settings. In-flight requests keep the request class that they were accepted with.
      *
-     * @throws mintstair.decision.InvalidSettingsException where the settings make no sense
+     * @throws mintstair.decision.InvalidSettingsException if the settings are invalid
      */
-    public List<RouterAction> applySettings(long nowMicros, InstanceSettings changed) {
+    public List<RouterAction> applySettings(long nowMicros, InstanceSettings newSettings) {
         timers.advanceTo(nowMicros);
-        classes.apply(changed);
-        drainGraceMicros = changed.drainGraceMicros;
-        router.onSettings(nowMicros, changed.settings);
+        classes.apply(newSettings);
+        drainGraceMicros = newSettings.drainGraceMicros;
+        router.onSettings(nowMicros, newSettings.settings);
         return actions.take();
     }
 
-    /** The request classes of the current settings. */
+    /** Returns the request classes of the current settings. */
     public RequestClasses classes() {
         return classes;
     }
 
-    /** How many of the listed hosts get no requests, or trial requests at most, at this time. */
+    /** Returns the number of listed hosts that currently receive no requests, or only trial requests. */
     public int unavailableEndpoints(long nowMicros) {
         return router.unavailableEndpoints(nowMicros);
     }
 
-    /** Decides on a new request; {@code number} stands for it in all later calls, events and actions. */
+    /** Routes a new request. Later calls, events and actions refer to it by {@code number}. */
     public List<RouterAction> route(long nowMicros, long number, ProxyRequest request) {
         timers.advanceTo(nowMicros);
         attempts.requestAccepted(number);
         String requestClass = request.requestClass();
-        monitor.taken(number, classes.byName(requestClass), nowMicros + request.timeoutMicros());
+        monitor.taken(number, classes.get(requestClass), nowMicros + request.timeoutMicros());
         router.onRequest(nowMicros, DecisionMapper.request(nowMicros, number, classes.indexOf(requestClass), request));
         return actions.take();
     }
 
-    /** Decides whether an attempt that is given up at {@code abandonAtMicros} may begin now. */
+    /** Returns whether an attempt that is abandoned at {@code abandonAtMicros} may be written now, and if not, why. */
     public AttemptVerdict mayBegin(long nowMicros, RouterAction.Send attempt, Exchange exchange, long abandonAtMicros) {
         return AttemptRules.rule(new AttemptRules.Facts(
                 nowMicros,
@@ -92,29 +91,30 @@
     }
 
     /**
-     * The first byte of an attempt is about to be written, with {@code timeoutMicros} as the time that its host may
-     * take.
+     * Records that the first byte of an attempt is about to be written. Must be called before the write.
+     *
+     * @param timeoutMicros the execution time limit that is sent to the host
      */
     public List<RouterAction> attemptStarted(long nowMicros, RouterAction.Send attempt, long timeoutMicros) {
-        actions.invariantsViolated(monitor.begun(
+        actions.recordViolations(monitor.begun(
                 nowMicros, attempt.request(), attempt.attempt(), attempt.host(), timeoutMicros, drainGraceMicros));
         return actions.take();
     }
 
-    /** A client was given its final answer, or the first part of it. */
+    /** Records that the client is sent the final response to its request, or the first part of it. */
     public List<RouterAction> responseStarted(long nowMicros, long request) {
-        actions.invariantsViolated(monitor.answered(nowMicros, request));
+        actions.recordViolations(monitor.answered(nowMicros, request));
         return actions.take();
     }
 
-    /** Handles one event. */
+    /** Handles an event. */
     public List<RouterAction> handle(long nowMicros, RouterEvent event) {
         timers.advanceTo(nowMicros);
         event.accept(nowMicros, eventHandler);
         return actions.take();
     }
 
-    /** Fires the timers that are due. */
+    /** Runs the timers that are due. */
     public List<RouterAction> fireTimers(long nowMicros) {
         timers.advanceTo(nowMicros);
         for (String timer = timers.pollDue(); timer != null; timer = timers.pollDue()) {
@@ -123,19 +123,19 @@
         return actions.take();
     }
 
-    /** When {@link #fireTimers} is next to be called; {@link Long#MAX_VALUE} while no timer runs. */
+    /** Returns the time at which {@link #fireTimers} is due, or {@link Long#MAX_VALUE} if no timer is running. */
     public long nextTimerMicros() {
         return timers.nextDueMicros();
     }
 
-    /** Gives up all requests that are in flight: each gets its final answer now, whatever time it has left. */
+    /** Gives up all in-flight requests: each receives its final response now, regardless of its remaining time. */
     public List<RouterAction> shutDown(long nowMicros) {
         timers.advanceTo(nowMicros);
         router.onShutdown(nowMicros);
         return actions.take();
     }
 
-    /** Hands each event to the decision module and to the invariant checks, in their terms. */
+    /** Passes events to the decision module and to the invariant checks. */
     private final class EventHandler implements RouterEvent.Visitor {
         @Override
         public void attemptEnded(long nowMicros, RouterEvent.AttemptEnded event) {
@@ -174,14 +174,14 @@
 
         @Override
         public void endpointsUpdated(long nowMicros, RouterEvent.EndpointsUpdated event) {
-            updateDraining(nowMicros, event.list());
+            updateDrainingHosts(nowMicros, event.list());
             router.onEndpoints(
                     nowMicros,
                     DecisionMapper.updateType(event.list(), event.cached()),
                     DecisionMapper.endpoints(event.list()));
         }
 
-        private void updateDraining(long nowMicros, EndpointList list) {
+        private void updateDrainingHosts(long nowMicros, EndpointList list) {
             if (list.isSnapshot()) {
                 drainingHosts.clear();
             }
--- a/src/main/java/mintstair/routing/RouterAction.java
+++ b/src/main/java/mintstair/routing/RouterAction.java
@@ -3,34 +3,34 @@
 import mintstair.request.GiveUpReason;
 
 /**
- * One thing that the network side has to do now, as decided by the router. Actions are immutable and are to be executed
- * in the order in which {@link RequestRouter} returns them.
+ * An action that the router instructs the network side to take. Actions are immutable and must be executed in the order
+ * in which {@link RequestRouter} returns them.
  */
 public sealed interface RouterAction {
     /** Calls the method of {@code visitor} for the type of this action. */
     void accept(Visitor visitor);
 
-    /** Executes actions: one method for each type. */
+    /** Executes actions, with one method for each type. */
     interface Visitor {
         /** Starts an attempt. */
         void send(Send action);
 
-        /** Cancels an attempt that is out. */
+        /** Cancels an attempt that has not ended. */
         void cancel(Cancel action);
 
-        /** Gives a request its final answer: rejected. */
+        /** Sends the final response to a request: rejected. */
         void reject(Reject action);
 
-        /** Gives a request its final answer: failed. */
+        /** Sends the final response to a request: failed. */
         void fail(Fail action);
 
-        /** Counts why a request is given up. */
+        /** Counts the reason for giving up on a request. */
         void gaveUp(GaveUp action);
 
         /** Starts a health check. */
         void checkHealth(CheckHealth action);
 
-        /** Counts and logs a violated invariant. */
+        /** Counts and logs the violation of an invariant. */
         void invariantViolated(InvariantViolated action);
 
         /** Logs a line. */
@@ -38,14 +38,14 @@
     }
 
     /**
-     * Start an attempt.
+     * Starts an attempt.
      *
      * @param request the number of the request
      * @param attempt the number of the attempt within its request, from 0
      * @param host the name of the host to send it to
-     * @param abandonAtMicros when to stop waiting for it; 0 for the deadline of the client
-     * @param beginByMicros the latest time at which it may be written; one that is not written by then is not sent at
-     *     all
+     * @param abandonAtMicros when to stop waiting for the reply; 0 for the client's deadline
+     * @param beginByMicros the latest time at which the attempt may be written; if it is not written by then, it is not
+     *     sent
      */
     record Send(long request, int attempt, String host, long abandonAtMicros, long beginByMicros)
             implements RouterAction {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Stop waiting for one attempt. */
+    /** Cancels an attempt. */
     record Cancel(long request, int attempt) implements RouterAction {
         @Override
         public void accept(Visitor visitor) {
@@ -63,7 +63,12 @@
         }
     }
 
-    /** Final answer: rejected, best retried after {@code retryAfterMicros}; 0 for no advice. */
+    /**
+     * Rejects a request, as its final response.
+     *
+     * @param request the number of the request
+     * @param retryAfterMicros the recommended delay before a retry by the client; 0 for no recommendation
+     */
     record Reject(long request, long retryAfterMicros) implements RouterAction {
         @Override
         public void accept(Visitor visitor) {
@@ -71,7 +76,7 @@
         }
     }
 
-    /** Final answer: failed. */
+    /** Fails a request, as its final response. */
     record Fail(long request) implements RouterAction {
         @Override
         public void accept(Visitor visitor) {
@@ -79,7 +84,7 @@
         }
     }
 
-    /** Count why a request gets no answer of a host; its final answer is the next action. */
+    /** Counts why the router gives up on a request. The next action is the request's final response. */
     record GaveUp(long request, GiveUpReason reason) implements RouterAction {
         @Override
         public void accept(Visitor visitor) {
@@ -87,7 +92,7 @@
         }
     }
 
-    /** Ask a host for its report. */
+    /** Polls a host for its report. */
     record CheckHealth(String host) implements RouterAction {
         @Override
         public void accept(Visitor visitor) {
@@ -95,7 +100,13 @@
         }
     }
 
-    /** Count and log a violated invariant; {@code host} is empty where the invariant concerns none. */
+    /**
+     * Counts and logs the violation of an invariant.
+     *
+     * @param rule the name of the invariant in metrics and log lines
+     * @param request the number of the request
+     * @param host the name of the host; empty if the invariant does not concern a host
+     */
     record InvariantViolated(String rule, long request, String host) implements RouterAction {
         @Override
         public void accept(Visitor visitor) {
@@ -103,7 +114,7 @@
         }
     }
 
-    /** Write a line to the log. */
+    /** Writes a line to the log. */
     record Log(String text) implements RouterAction {
         @Override
         public void accept(Visitor visitor) {
--- a/src/main/java/mintstair/routing/RouterEvent.java
+++ b/src/main/java/mintstair/routing/RouterEvent.java
@@ -4,39 +4,39 @@
 import mintstair.request.EndpointList;
 import mintstair.request.HostReport;
 
-/** One thing that the network side reports to the router. Events are immutable. */
+/** An event that the network side reports to the router. Events are immutable. */
 public sealed interface RouterEvent {
-    /** Calls the method of {@code visitor} for the type of this event; {@code nowMicros} is passed on to it. */
+    /** Calls the method of {@code visitor} for the type of this event, passing on {@code nowMicros}. */
     void accept(long nowMicros, Visitor visitor);
 
-    /** Handles events: one method for each type. Times are microseconds on the event loop's clock. */
+    /** Handles events, with one method for each type. Times are microseconds on the event loop's clock. */
     interface Visitor {
-        /** An attempt ended. */
+        /** Handles the end of an attempt. */
         void attemptEnded(long nowMicros, AttemptEnded event);
 
-        /** A health check ended. */
+        /** Handles the end of a health check. */
         void healthCheckEnded(long nowMicros, HealthCheckEnded event);
 
-        /** A client left before its answer. */
+        /** Handles a request whose client no longer waits for the response. */
         void clientDisconnected(long nowMicros, ClientDisconnected event);
 
-        /** The estimate of the fleet size changed. */
+        /** Handles a change of the fleet size estimate. */
         void fleetSizeChanged(long nowMicros, FleetSizeChanged event);
 
-        /** The endpoint list changed. */
+        /** Handles a change of the endpoint list. */
         void endpointsUpdated(long nowMicros, EndpointsUpdated event);
     }
 
     /**
-     * One attempt ended.
+     * Reports that an attempt ended.
      *
      * @param request the number of the request
-     * @param attempt the number of the attempt within its request
-     * @param host the name of the host that it was meant for
-     * @param end how it ended
-     * @param latencyMicros how long it took
-     * @param requestOver whether the request has, or by this gets, its final answer
-     * @param report what the host reported about itself with it
+     * @param attempt the number of the attempt within its request, from 0
+     * @param host the name of the host that the attempt was routed to
+     * @param end how the attempt ended
+     * @param latencyMicros the time from sending the attempt to its end
+     * @param requestOver whether the request already has its final response, or receives it from this attempt
+     * @param report what the host reported about itself in its reply
      */
     record AttemptEnded(
             long request,
@@ -53,7 +53,14 @@
         }
     }
 
-    /** One health check ended, {@code latencyMicros} after it was sent. */
+    /**
+     * Reports that a health check ended.
+     *
+     * @param host the name of the host
+     * @param end how the health check ended
+     * @param latencyMicros the time from sending the health check to its end
+     * @param report what the host reported about itself
+     */
     record HealthCheckEnded(String host, ConnectionEnd end, long latencyMicros, HostReport report)
             implements RouterEvent {
         @Override
@@ -62,7 +69,7 @@
         }
     }
 
-    /** The client left before its answer, or its answer can no longer come in time. */
+    /** Reports that the client disconnected before its response, or that the deadline of its request has passed. */
     record ClientDisconnected(long request) implements RouterEvent {
         @Override
         public void accept(long nowMicros, Visitor visitor) {
@@ -71,11 +78,11 @@
     }
 
     /**
-     * The estimate of the number of proxies changed.
+     * Reports a change of the estimated number of proxies.
      *
-     * @param largest the largest number that may be true
-     * @param counted the number that this proxy counts
-     * @param settled whether all proxies that are settled count each other
+     * @param largest the upper bound of the estimate
+     * @param counted the number of proxies that this proxy counts
+     * @param settled whether all proxies that have settled count each other
      */
     record FleetSizeChanged(int largest, int counted, boolean settled) implements RouterEvent {
         @Override
@@ -84,7 +91,12 @@
         }
     }
 
-    /** The endpoint list, or changes to it; {@code cached} where it was read from a copy of an earlier run. */
+    /**
+     * Reports a snapshot or a delta of the endpoint list.
+     *
+     * @param list the snapshot or delta
+     * @param cached whether the list was read from the copy that an earlier run stored
+     */
     record EndpointsUpdated(EndpointList list, boolean cached) implements RouterEvent {
         @Override
         public void accept(long nowMicros, Visitor visitor) {
--- a/src/main/java/mintstair/routing/TimerQueue.java
+++ b/src/main/java/mintstair/routing/TimerQueue.java
@@ -3,15 +3,15 @@
 import java.util.PriorityQueue;
 
 /**
- * The timers that the decision module has started, by the time at which they are due. It runs no thread: whoever owns
- * it asks for {@link #nextDueMicros} and polls then. Times are microseconds. Not safe for use by several threads.
+ * The timers that the decision module has started, ordered by due time. The queue has no thread of its own: its owner
+ * polls it at the time that {@link #nextDueMicros} returns. Times are microseconds. Not thread-safe.
  */
 final class TimerQueue {
-    /** Stands for the due time of an empty queue. */
+    /** The due time of an empty queue. */
     static final long NEVER = Long.MAX_VALUE;
 
     private record Timer(long dueMicros, long sequence, String name) implements Comparable<Timer> {
-        /** Timers that are due at the same time fire in the order in which they were started. */
+        /** Orders timers by due time, and those with the same due time by the order in which they were started. */
         @Override
         public int compareTo(Timer other) {
             return dueMicros != other.dueMicros
@@ -28,17 +28,17 @@
         this.nowMicros = nowMicros;
     }
 
-    /** Sets the time from which the delays of timers count. */
+    /** Sets the current time, from which the delays of new timers count. */
     void advanceTo(long nowMicros) {
         this.nowMicros = nowMicros;
     }
 
-    /** Adds a timer that is due in {@code delayMicros}; one of the same name that runs already stays. */
+    /** Adds a timer that is due after {@code delayMicros}. It does not replace other timers of the same name. */
     void start(String name, long delayMicros) {
         timers.add(new Timer(nowMicros + delayMicros, nextSequence++, name));
     }
 
-    /** Removes the first timer that is due by now and returns its name; null where none is due. */
+    /** Removes the first timer that is due and returns its name, or null if none is due. */
     String pollDue() {
         Timer first = timers.peek();
         if (first == null || first.dueMicros > nowMicros) {
@@ -47,7 +47,7 @@
         return timers.poll().name;
     }
 
-    /** When the first timer is due, or {@link #NEVER}. */
+    /** Returns the time at which the first timer is due, or {@link #NEVER} if there are no timers. */
     long nextDueMicros() {
         Timer first = timers.peek();
         return first == null ? NEVER : first.dueMicros;
--- a/src/main/java/mintstair/time/MonotonicClock.java
+++ b/src/main/java/mintstair/time/MonotonicClock.java
@@ -3,41 +3,42 @@
 import java.util.function.LongSupplier;
 
 /**
- * A clock that starts at Unix time and then counts by the system's monotonic clock: setting the wall clock does not
- * move it. All spans of time are measured by it. Safe for use by several threads.
+ * A clock that starts at the current Unix time and then advances with the system's monotonic clock, so that it is not
+ * affected when the wall clock is set. All durations are measured with it. Thread-safe.
  */
 public final class MonotonicClock implements LongSupplier {
     private static final long NANOS_PER_MICRO = 1_000;
-    /** A longer gap between two readings of the monotonic clock means that this thread was suspended between them. */
+    /** A larger gap between two consecutive readings indicates that the thread was suspended between them. */
     private static final long MAX_GAP_NANOS = 100_000;
 
-    private static final int MAX_ATTEMPTS = 20;
+    private static final int MAX_READINGS = 20;
 
     private final LongSupplier nanos;
     private final long startMicros;
     private final long startNanos;
 
-    /** Starts now, by the system's clocks. */
+    /** Creates a clock that starts now and uses the system's clocks. */
     public MonotonicClock() {
         this(WallClock::micros, System::nanoTime);
     }
 
     /**
-     * Starts now, by these clocks.
+     * Creates a clock that starts now and uses the given clocks.
      *
-     * <p>The wall clock is read between two readings of the monotonic clock. A thread that is suspended there would
-     * start a clock that is late for good, so the reading with the smallest gap of some counts. The start is the
-     * first reading of its pair, so that the error that is left makes the clock early.
+     * <p>The wall clock is read between two readings of the monotonic clock. If the thread were suspended in between,
+     * the clock would have that error for its whole lifetime. Therefore the readings are repeated until the gap between
+     * the two is small enough, up to a maximum number of times, and those with the smallest gap are used. The clock
+     * starts at the first of the two, so that the remaining error puts it ahead of Unix time, never behind.
      *
-     * @param wallMicros gives Unix time in microseconds
-     * @param nanos gives the nanoseconds of a clock that is never set
+     * @param wallMicros returns Unix time in microseconds
+     * @param nanos returns the time of a monotonic clock in nanoseconds
      */
     public MonotonicClock(LongSupplier wallMicros, LongSupplier nanos) {
         this.nanos = nanos;
         long bestGap = Long.MAX_VALUE;
         long bestNanos = 0;
         long bestMicros = 0;
-        for (int i = 0; i < MAX_ATTEMPTS && bestGap > MAX_GAP_NANOS; i++) {
+        for (int i = 0; i < MAX_READINGS && bestGap > MAX_GAP_NANOS; i++) {
             long before = nanos.getAsLong();
             long wall = wallMicros.getAsLong();
             long gap = nanos.getAsLong() - before;
@@ -51,7 +52,7 @@
         startMicros = bestMicros;
     }
 
-    /** Microseconds: Unix time at the start, and what has passed since. */
+    /** Returns Unix time at the start of this clock plus the time elapsed since then, in microseconds. */
     @Override
     public long getAsLong() {
         return startMicros + (nanos.getAsLong() - startNanos) / NANOS_PER_MICRO;
--- a/src/main/java/mintstair/time/WallClock.java
+++ b/src/main/java/mintstair/time/WallClock.java
@@ -3,9 +3,9 @@
 import java.time.Instant;
 
 /**
- * The only reader of this machine's wall clock, which may be set at any moment, forward or back. It is for what other
- * machines and people read; no span of time is the difference of two of its readings. Safe for use by several
- * threads.
+ * Reads the wall clock of this machine; no other code does. The wall clock can be set forward or back at any time, so
+ * it is used only for timestamps that other machines or people read. Durations are measured with
+ * {@link MonotonicClock} instead. Thread-safe.
  */
 public final class WallClock {
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -14,13 +14,13 @@
 
     private WallClock() {}
 
-    /** Unix time in microseconds. */
+    /** Returns Unix time in microseconds. */
     public static long micros() {
         Instant now = Instant.now();
         return now.getEpochSecond() * MICROS_PER_SECOND + now.getNano() / NANOS_PER_MICRO;
     }
 
-    /** Unix time in milliseconds. */
+    /** Returns Unix time in milliseconds. */
     public static long millis() {
         return micros() / MICROS_PER_MILLI;
     }
--- a/src/main/java/mintstair/time/package-info.java
+++ b/src/main/java/mintstair/time/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The clocks: one for spans of time, which nobody can set, and one for points in time that other machines or people
- * read.
+ * The clocks: a monotonic clock for measuring durations, and the wall clock for timestamps that other machines or
+ * people read.
  */
 package mintstair.time;
--- a/src/test/java/mintstair/adapter/SimulatorSessionTest.java
+++ b/src/test/java/mintstair/adapter/SimulatorSessionTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 
 class SimulatorSessionTest {
-    private static final String ENV = "{\"balancers\":1,\"classes\":[{\"name\":\"r\",\"repeat\":\"idempotent\","
+    private static final String SETTINGS = "{\"balancers\":1,\"classes\":[{\"name\":\"r\",\"repeat\":\"idempotent\","
             + "\"sloS\":0.6,\"deadlineS\":2.5,\"worth\":2}],\"familyInfo\":{\"consistency\":[\"any\"]},"
             + "\"limits\":{\"maxAttempts\":3,\"probing\":true},\"invariants\":{\"coldFrom\":0.2},\"later\":[1,{\"x\":2}]}";
-    private static final String START = "[\"turn\",8.5]\n[\"provision\",3,77," + ENV + "]\n"
+    private static final String START_BATCH = "[\"turn\",8.5]\n[\"provision\",3,77," + SETTINGS + "]\n"
             + "[\"pool\",0,[[\"h1\",1,\"z\",\"k\",4,\"ready\",1,null],[\"h2\",0,\"z\",\"k\",4,\"ready\",1.5,6.1]]]\n"
             + "[\"announce\",3,\"stale_copy\",41,0]\n[\"end\"]\n";
-    private static final String ORDER =
+    private static final String REQUEST_BATCH =
             "[\"turn\",8.6]\n" + "[\"order\",3,1564119492,1,\"r\",null,4,null,null,0.24,null]\n[\"end\"]\n";
 
     private static String run(String input) throws IOException {
@@ -28,49 +28,50 @@
     }
 
     @Test
-    void emptyBatchGetsAnEmptyReply() throws IOException {
+    void emptyBatchGetsEmptyReply() throws IOException {
         assertEquals("[\"next\"]\n", run("[\"turn\",8.41225]\n[\"end\"]\n"));
     }
 
     @Test
-    void emptyInputEndsTheSession() throws IOException {
+    void emptyInputEndsSession() throws IOException {
         assertEquals("", run(""));
     }
 
     @Test
-    void requestIsSentAndItsReplyAccepted() throws IOException {
-        String reply = run(START + ORDER + "[\"turn\",8.7]\n"
+    void requestIsSentToHostAndItsResultIsAccepted() throws IOException {
+        String reply = run(START_BATCH + REQUEST_BATCH + "[\"turn\",8.7]\n"
                 + "[\"result\",3,1564119492,0,\"h1\",\"pass\",0.0185,true,25486,null]\n[\"end\"]\n");
         assertTrue(reply.contains("[\"handOff\",3,1564119492,\"h"), reply);
         assertEquals(3, reply.lines().filter(l -> l.equals("[\"next\"]")).count());
     }
 
     @Test
-    void crashedInstanceActsNoMore() throws IOException {
-        String reply =
-                run(START + ORDER + "[\"turn\",9]\n[\"crashNow\",3]\n[\"end\"]\n" + "[\"turn\",9.1]\n[\"end\"]\n");
+    void crashedInstanceTakesNoFurtherActions() throws IOException {
+        String reply = run(START_BATCH + REQUEST_BATCH + "[\"turn\",9]\n[\"crashNow\",3]\n[\"end\"]\n"
+                + "[\"turn\",9.1]\n[\"end\"]\n");
         assertTrue(reply.endsWith("[\"next\"]\n[\"next\"]\n"), reply);
     }
 
     @Test
-    void malformedInputIsReported() {
-        assertThrows(WireException.class, () -> run("[\"turn\",8]\n[\"nonsense\",1]\n[\"end\"]\n"));
-        assertThrows(WireException.class, () -> run("[\"turn\",8]\n"));
-        assertThrows(WireException.class, () -> run("[\"end\"]\n"));
-        assertThrows(WireException.class, () -> run("{}\n"));
-        assertThrows(WireException.class, () -> run("[\"turn\",8]\n[\"hangup\",5,1]\n[\"end\"]\n"));
+    void malformedInputIsRejected() {
+        assertThrows(SimulatorProtocolException.class, () -> run("[\"turn\",8]\n[\"nonsense\",1]\n[\"end\"]\n"));
+        assertThrows(SimulatorProtocolException.class, () -> run("[\"turn\",8]\n"));
+        assertThrows(SimulatorProtocolException.class, () -> run("[\"end\"]\n"));
+        assertThrows(SimulatorProtocolException.class, () -> run("{}\n"));
+        assertThrows(SimulatorProtocolException.class, () -> run("[\"turn\",8]\n[\"hangup\",5,1]\n[\"end\"]\n"));
         assertThrows(JsonProcessingException.class, () -> run("[\"turn\",8]\n[\"end\"\n"));
         assertThrows(JsonProcessingException.class, () -> run("hello\n"));
-        assertThrows(WireException.class, () -> run(START + ORDER.replace("\"r\"", "\"other\"")));
+        assertThrows(
+                SimulatorProtocolException.class, () -> run(START_BATCH + REQUEST_BATCH.replace("\"r\"", "\"other\"")));
     }
 
     @Test
-    void goneIsAdviceMustBeABooleanIfItIsThere() throws IOException {
-        run(START.replace("\"coldFrom\":0.2", "\"coldFrom\":0.2,\"goneIsAdvice\":true"));
-        run(START);
-        WireException error = assertThrows(
-                WireException.class,
-                () -> run(START.replace("\"coldFrom\":0.2", "\"coldFrom\":0.2,\"goneIsAdvice\":1")));
+    void goneIsAdviceMustBeBooleanIfPresent() throws IOException {
+        run(START_BATCH.replace("\"coldFrom\":0.2", "\"coldFrom\":0.2,\"goneIsAdvice\":true"));
+        run(START_BATCH);
+        SimulatorProtocolException error = assertThrows(
+                SimulatorProtocolException.class,
+                () -> run(START_BATCH.replace("\"coldFrom\":0.2", "\"coldFrom\":0.2,\"goneIsAdvice\":1")));
         assertTrue(error.getMessage().contains("goneIsAdvice"), error.getMessage());
     }
 }
--- a/src/test/java/mintstair/request/ExchangeTest.java
+++ b/src/test/java/mintstair/request/ExchangeTest.java
@@ -12,9 +12,9 @@
     private static final Response REJECTED = new Response.Rejected(0);
     private static final Response LATE = new Response.Failed("late", true);
 
-    private static final class Client implements ResponseListener {
+    private static final class RecordingClient implements ResponseListener {
         private final List<Response> responses = new ArrayList<>();
-        private boolean gone;
+        private boolean disconnected;
 
         @Override
         public void onResponse(Response response) {
@@ -23,11 +23,11 @@
 
         @Override
         public boolean isDisconnected() {
-            return gone;
+            return disconnected;
         }
     }
 
-    private final Client client = new Client();
+    private final RecordingClient client = new RecordingClient();
     private final Exchange exchange = new Exchange(1, request(900), 100, client);
 
     private static ProxyRequest request(long timeoutMicros) {
@@ -36,12 +36,12 @@
     }
 
     @Test
-    void deadlineIsTheTimeoutAfterTheArrival() {
+    void deadlineIsArrivalPlusTimeout() {
         assertEquals(1_000, exchange.deadlineMicros());
     }
 
     @Test
-    void secondAnswerIsNotGiven() {
+    void secondResponseIsNotSent() {
         assertTrue(exchange.respond(REJECTED));
 
         assertFalse(exchange.respond(LATE));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void abandonedExchangeIsNotAnswered() {
+    void abandonedExchangeGetsNoResponse() {
         exchange.abandon();
 
         assertFalse(exchange.respond(REJECTED));
@@ -59,17 +59,17 @@
     }
 
     @Test
-    void exchangeWhoseClientIsGoneIsNotWantedThoughNotOver() {
+    void clientIsNotWaitingAfterItDisconnectedThoughExchangeIsNotOver() {
         assertTrue(exchange.isClientWaiting());
 
-        client.gone = true;
+        client.disconnected = true;
 
         assertFalse(exchange.isClientWaiting());
         assertFalse(exchange.isOver());
     }
 
     @Test
-    void waitingShortensTheTimeoutToOneMicrosecondAtLeast() {
+    void timeoutIsReducedToNoLessThanOneMicrosecond() {
         assertEquals(500, request(900).withReducedTimeout(400).timeoutMicros());
         assertEquals(1, request(900).withReducedTimeout(5_000).timeoutMicros());
     }
--- a/src/test/java/mintstair/retry/BackoffTest.java
+++ b/src/test/java/mintstair/retry/BackoffTest.java
@@ -13,10 +13,10 @@
     private final Backoff backoff = new Backoff(new Random(1), 100, MAX_DELAY);
 
     @Test
-    void delaysAreFromTheUpperHalfOfARangeThatDoublesUpToItsCap() {
-        for (long range : new long[] {100, 200, 400, 800, 1_600, 1_600, 1_600}) {
+    void delaysAreInUpperHalfOfRangeThatDoublesUpToMaximum() {
+        for (long upperBound : new long[] {100, 200, 400, 800, 1_600, 1_600, 1_600}) {
             long delay = backoff.nextDelayMicros();
-            assertTrue(delay >= range / 2 && delay <= range, delay + " of " + range);
+            assertTrue(delay >= upperBound / 2 && delay <= upperBound, delay + " of " + upperBound);
         }
         for (int i = 0; i < 100; i++) {
             assertTrue(backoff.nextDelayMicros() <= MAX_DELAY);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void delayAfterASuccessIsThatOfAFirstFailure() {
+    void delayStartsOverAfterSuccess() {
         for (int i = 0; i < 107; i++) {
             backoff.nextDelayMicros();
         }
@@ -34,9 +34,9 @@
         assertTrue(backoff.nextDelayMicros() <= 100);
     }
 
-    /** Guards against a thundering herd of proxies that failed together. */
+    /** Guards against proxies that fail at the same time retrying at the same time. */
     @Test
-    void delaysDifferFromProxyToProxy() {
+    void delaysDifferBetweenProxies() {
         long distinctDelays = LongStream.range(0, 48)
                 .map(seed -> new Backoff(new Random(seed), 1_000_000, 2_000_000).nextDelayMicros())
                 .distinct()
--- a/src/test/java/mintstair/routing/AttemptNumbersTest.java
+++ b/src/test/java/mintstair/routing/AttemptNumbersTest.java
@@ -18,13 +18,13 @@
     }
 
     @Test
-    void attemptsOfARequestAreNumberedFromZero() {
+    void attemptsAreNumberedFromZeroWithinTheirRequest() {
         assertEquals(0, attempts.attemptStarted(REQUEST));
         assertEquals(1, attempts.attemptStarted(REQUEST));
     }
 
     @Test
-    void requestThatIsNotOverIsKept() {
+    void requestIsKeptWhileItIsNotOver() {
         attempts.attemptStarted(REQUEST);
         attempts.attemptEnded(REQUEST, false);
 
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void requestThatIsOverIsKeptUntilItsLastAttemptHasEnded() {
+    void requestThatIsOverIsKeptUntilAllItsAttemptsHaveEnded() {
         attempts.attemptStarted(REQUEST);
         attempts.attemptStarted(REQUEST);
         attempts.attemptEnded(REQUEST, true);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void unknownRequestIsReported() {
+    void methodsReturnFalseForRemovedRequest() {
         assertTrue(attempts.requestOver(REQUEST));
         attempts.removeIfDone(REQUEST);
 
--- a/src/test/java/mintstair/routing/DecisionMapperTest.java
+++ b/src/test/java/mintstair/routing/DecisionMapperTest.java
@@ -24,9 +24,9 @@
         return DecisionMapper.request(NOW_MICROS, 1, 0, request).tokenAgeMicros();
     }
 
-    /** A request whose attempt ended like this may be sent again without a second effect; any other may have run. */
+    /** After these ends a request can be retried without taking effect twice; after all others it may have been executed. */
     @Test
-    void onlyEndsBeforeTheStatementCouldRunHadNoEffect() {
+    void onlyAttemptsThatEndedBeforeExecutionHadNoEffect() {
         List<ConnectionEnd> withoutEffect = List.of(
                 ConnectionEnd.MISS,
                 ConnectionEnd.TURNED_AWAY,
@@ -41,26 +41,26 @@
     }
 
     @Test
-    void exactlyServedEndsAreSuccesses() {
+    void exactlyServedEndsMapToSuccess() {
         for (ConnectionEnd end : ConnectionEnd.values()) {
             assertEquals(end.isServed(), DecisionMapper.outcome(end) == AttemptOutcome.SUCCESS, end.name());
         }
     }
 
     @Test
-    void tokenAgeIsTheTimeSinceTheCommit() {
+    void tokenAgeIsTheTimeElapsedSinceTheCommit() {
         assertEquals(Positions.UNKNOWN, tokenAgeMicros(HostReport.UNKNOWN_POSITION));
         assertEquals(250, tokenAgeMicros(NOW_MICROS - 250));
     }
 
     @Test
-    void commitThatIsAheadOfThisClockIsNotTakenForAMissingToken() {
+    void commitTimeAheadOfThisClockIsNotMistakenForMissingToken() {
         assertEquals(-2, tokenAgeMicros(NOW_MICROS + 1));
         assertEquals(-2, tokenAgeMicros(NOW_MICROS + 2));
     }
 
     @Test
-    void reportWithoutARoleIsNoStatus() {
+    void reportWithoutRoleMapsToNoStatus() {
         assertNull(DecisionMapper.status(HostReport.NONE));
         assertEquals(
                 new ReplicationStatus(5, ReplicationRole.REPLICA),
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void cachedListIsNeitherSnapshotNorDelta() {
+    void cachedListHasItsOwnUpdateType() {
         EndpointList snapshot = new EndpointList(1, true, List.of());
         EndpointList delta = new EndpointList(2, false, List.of());
 
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void everyEndpointStateHasItsNamesake() {
+    void everyEndpointStateMapsToStateOfSameName() {
         for (EndpointList.State state : EndpointList.State.values()) {
             assertEquals(state.name(), DecisionMapper.state(state).name());
         }
--- a/src/test/java/mintstair/routing/RequestRouterTest.java
+++ b/src/test/java/mintstair/routing/RequestRouterTest.java
@@ -34,7 +34,7 @@
         return (RouterAction.Send) actions.get(0);
     }
 
-    private RouterEvent.AttemptEnded ended(ConnectionEnd end) {
+    private RouterEvent.AttemptEnded attemptEnded(ConnectionEnd end) {
         return new RouterEvent.AttemptEnded(NUMBER, 0, PRIMARY, end, 1_000, false, HostReport.NONE);
     }
 
@@ -50,24 +50,24 @@
     }
 
     @Test
-    void writeThatMayHaveRunIsFailedWhenItsAttemptEnds() {
+    void writeThatMayHaveBeenExecutedFailsWhenItsConnectionIsLost() {
         listPrimary(EndpointList.State.SERVING);
         routeWrite();
 
-        List<RouterAction> actions = router.handle(NOW_MICROS, ended(ConnectionEnd.BROKEN_AFTER_WRITTEN));
+        List<RouterAction> actions = router.handle(NOW_MICROS, attemptEnded(ConnectionEnd.BROKEN_AFTER_WRITTEN));
 
         assertTrue(actions.contains(new RouterAction.Fail(NUMBER)), actions.toString());
     }
 
     @Test
-    void endOfAnAttemptOfAnUnknownRequestLeadsToNothing() {
+    void attemptEndOfUnknownRequestIsIgnored() {
         listPrimary(EndpointList.State.SERVING);
 
-        assertEquals(List.of(), router.handle(NOW_MICROS, ended(ConnectionEnd.SERVED)));
+        assertEquals(List.of(), router.handle(NOW_MICROS, attemptEnded(ConnectionEnd.SERVED)));
     }
 
     @Test
-    void attemptMayNotBeginAtAHostThatDrainsByNow() {
+    void attemptMayNotBeginAfterItsHostStartedDraining() {
         listPrimary(EndpointList.State.SERVING);
         RouterAction.Send attempt = routeWrite();
         Exchange exchange = new Exchange(NUMBER, WRITE, NOW_MICROS, response -> {});
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void secondAnswerToARequestViolatesAnInvariant() {
+    void secondResponseToRequestIsReportedAsInvariantViolation() {
         listPrimary(EndpointList.State.SERVING);
         routeWrite();
         router.attemptStarted(NOW_MICROS, new RouterAction.Send(NUMBER, 0, PRIMARY, 0, Long.MAX_VALUE), 1_000);
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void classesAreThoseOfTheSettings() {
+    void requestClassesAreReadFromTheSettings() {
         assertTrue(router.classes().contains("write"));
         assertFalse(router.classes().contains("unknown"));
         assertTrue(router.classes().isWrite("write"));
--- a/src/test/java/mintstair/routing/RouterFixtures.java
+++ b/src/test/java/mintstair/routing/RouterFixtures.java
@@ -9,24 +9,24 @@
 import mintstair.program.Program;
 import mintstair.request.EndpointList;
 
-/** A router with the settings that the tests of the program use, and hosts for it. */
+/** Creates a router with the settings that the program tests use, and endpoints for it. */
 public final class RouterFixtures {
     private static final long SEED = 1;
 
     private RouterFixtures() {}
 
-    /** A router that knows no endpoint yet and sends no health checks. */
+    /** Creates a router that has no endpoints yet and sends no health checks. */
     public static RequestRouter router(long nowMicros) {
         String settings = Program.SETTINGS.replace("PROBING", "false");
         byte[] json = settings.getBytes(StandardCharsets.UTF_8);
         try {
             return new RequestRouter(nowMicros, SEED, new InstanceSettings((Map<?, ?>) Json.read(json)));
-        } catch (IOException impossible) {
-            throw new UncheckedIOException(impossible);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
     }
 
-    /** A primary of cluster 1. */
+    /** Creates the entry of a primary of cluster 1. */
     public static EndpointList.Entry primary(String host, EndpointList.State state) {
         return new EndpointList.Entry(host, "127.0.0.1:9", "z", 1, state, true, 1, 0);
     }
--- a/src/test/java/mintstair/routing/TimerQueueTest.java
+++ b/src/test/java/mintstair/routing/TimerQueueTest.java
@@ -11,13 +11,13 @@
     private final TimerQueue timers = new TimerQueue(NOW_MICROS);
 
     @Test
-    void emptyQueueIsNeverDue() {
+    void emptyQueueHasNoDueTimer() {
         assertEquals(TimerQueue.NEVER, timers.nextDueMicros());
         assertNull(timers.pollDue());
     }
 
     @Test
-    void timerFiresWhenItsDelayIsOverAndNotBefore() {
+    void timerIsDueExactlyWhenItsDelayHasElapsed() {
         timers.start("tick", 100);
         assertEquals(NOW_MICROS + 100, timers.nextDueMicros());
 
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void timersFireInTheOrderInWhichTheyAreDueThenStarted() {
+    void timersArePolledByDueTimeThenByStartOrder() {
         timers.start("late", 20);
         timers.start("first", 10);
         timers.start("second", 10);
