--- a/src/main/java/mintstair/routing/DecisionMapper.java
+++ b/src/main/java/mintstair/routing/DecisionMapper.java
@@ -78,9 +78,8 @@
             return Positions.UNKNOWN;
         }
         long ageMicros = nowMicros - minimumPositionMicros;
-        // If the clock of the host that reported the commit is ahead of this one, the age can be negative. Moving it
-        // off
-        // the value that stands for "no token" keeps the token.
+        // If the clock of the host that reported the commit is ahead of this one, the age can be negative. An age equal
+        // to the value that stands for "no token" is decremented, so that the token is not ignored.
         return ageMicros == Positions.UNKNOWN ? ageMicros - 1 : ageMicros;
     }
 
--- a/src/test/java/mintstair/retry/BackoffTest.java
+++ b/src/test/java/mintstair/retry/BackoffTest.java
@@ -34,7 +34,7 @@
         assertTrue(backoff.nextDelayMicros() <= 100);
     }
 
-    /** Guards against proxies that fail at the same time retrying at the same time. */
+    /** Guards against a thundering herd: proxies that failed at the same time must not all retry at the same time. */
     @Test
     void delaysDifferBetweenProxies() {
         long distinctDelays = LongStream.range(0, 48)
--- a/src/test/java/mintstair/routing/DecisionMapperTest.java
+++ b/src/test/java/mintstair/routing/DecisionMapperTest.java
@@ -24,7 +24,7 @@
         return DecisionMapper.request(NOW_MICROS, 1, 0, request).tokenAgeMicros();
     }
 
-    /** After these ends a request can be retried without taking effect twice; after all others it may have been executed. */
+    /** A request can be retried without taking effect twice after these ends; after all others it may have run. */
     @Test
     void onlyAttemptsThatEndedBeforeExecutionHadNoEffect() {
         List<ConnectionEnd> withoutEffect = List.of(
--- a/src/test/java/mintstair/routing/RouterFixtures.java
+++ b/src/test/java/mintstair/routing/RouterFixtures.java
@@ -9,7 +9,7 @@
 import mintstair.program.Program;
 import mintstair.request.EndpointList;
 
-/** Creates a router with the settings that the program tests use, and endpoints for it. */
+/** Creates routers with the settings that the program tests use, and endpoints for them. */
 public final class RouterFixtures {
     private static final long SEED = 1;
 
