--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -81,7 +81,7 @@
 
     /** Returns whether an attempt that is abandoned at {@code abandonAtMicros} may be written now, and if not, why. */
     public AttemptVerdict mayBegin(long nowMicros, RouterAction.Send attempt, Exchange exchange, long abandonAtMicros) {
-        return AttemptRules.rule(new AttemptRules.Facts(
+        return AttemptRules.evaluate(new AttemptRules.Facts(
                 nowMicros,
                 exchange.isOver(),
                 !exchange.isClientWaiting(),
