--- a/src/main/java/mintstair/decision/AttemptObserver.java
+++ b/src/main/java/mintstair/decision/AttemptObserver.java
@@ -4,8 +4,8 @@
 import mintstair.request.ReplicationRole;
 
 /**
- * Learns from the answers to attempts and health checks: who lives, who is primary, how far replicas are, how loaded
- * endpoints are. Times and positions are microseconds. Not safe for use by several threads.
+ * Updates the state of the endpoints from the results of attempts and health checks: their liveness, roles,
+ * replication positions and load. Times and positions are in microseconds. Not safe for use by several threads.
  */
 final class AttemptObserver {
     private static final long MICROS_PER_MILLI = 1_000;
@@ -50,11 +50,11 @@
         this.actions = actions;
     }
 
-    /** An attempt of the request has ended at the endpoint. */
+    /** Records that an attempt of the request has ended at the endpoint. */
     void attemptEnded(long now, Endpoint endpoint, InFlightRequest request, AttemptResult result) {
         AttemptOutcome outcome = result.outcome();
-        boolean answered = isAnswer(outcome);
-        if (answered) {
+        boolean replied = isReply(outcome);
+        if (replied) {
             failureDetector.endpointReplied(now, endpoint, true);
         }
         if (outcome == AttemptOutcome.UNREACHABLE) {
@@ -63,8 +63,8 @@
         if (outcome == AttemptOutcome.TIMEOUT) {
             endpoint.liveness.timeouts++;
         }
-        observeRole(now, endpoint, result);
-        observePosition(now, endpoint, request, result);
+        recordRole(now, endpoint, result);
+        recordPosition(now, endpoint, request, result);
         if (outcome == AttemptOutcome.MISDIRECTED && !request.isWrite()) {
             endpoint.replication.misdirectedAt = now;
         }
@@ -75,24 +75,24 @@
             throughput.answered(request.work);
         }
         if (outcome == AttemptOutcome.SUCCESS && request.isWrite()) {
-            rememberWrite(now, request, result);
+            recordSessionWrite(now, request, result);
         }
-        // What came while this process was paused says nothing of the endpoints.
+        // The latency or time-out of an attempt that spans a pause of this process is no evidence about the endpoint.
         boolean spannedPause = request.sentAt(result.attempt()) < clock.runningSince();
-        boolean affected = outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.SUCCESS;
-        if (!spannedPause || !affected) {
-            load.attemptEnded(now, endpoint, request, result, answered);
+        boolean dependsOnTime = outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.SUCCESS;
+        if (!spannedPause || !dependsOnTime) {
+            load.attemptEnded(now, endpoint, request, result, replied);
         }
     }
 
-    private static boolean isAnswer(AttemptOutcome outcome) {
+    private static boolean isReply(AttemptOutcome outcome) {
         return switch (outcome) {
             case SUCCESS, ERROR, OVERLOADED, MISDIRECTED -> true;
             default -> false;
         };
     }
 
-    private void observeRole(long now, Endpoint endpoint, AttemptResult result) {
+    private void recordRole(long now, Endpoint endpoint, AttemptResult result) {
         if (result.role() == ReplicationRole.PRIMARY) {
             primaries.primaryObserved(endpoint, now);
         } else if (result.role() == ReplicationRole.REPLICA) {
@@ -100,20 +100,20 @@
         }
     }
 
-    private void observePosition(long now, Endpoint endpoint, InFlightRequest request, AttemptResult result) {
-        boolean known = result.position() != Positions.UNKNOWN;
-        if (known && result.role() == ReplicationRole.PRIMARY) {
+    private void recordPosition(long now, Endpoint endpoint, InFlightRequest request, AttemptResult result) {
+        boolean hasPosition = result.position() != Positions.UNKNOWN;
+        if (hasPosition && result.role() == ReplicationRole.PRIMARY) {
             primaryReported(now, endpoint, result.position());
         }
         if (result.role() != ReplicationRole.REPLICA) {
             return;
         }
-        if (known) {
+        if (hasPosition) {
             long lag = positions.currentPosition(now) - result.position();
             replication.positionReported(now, endpoint, result.position(), lag);
         } else if (result.outcome() == AttemptOutcome.SUCCESS
                 && settings.get().replicaReadCheck() != ReplicaReadCheck.NONE) {
-            // A checked read that was served proves that its replica had come as far as was asked for.
+            // A replica that serves a checked read has reached the position that the read requires.
             long required = freshness.requiredPosition(request.sentAt(result.attempt()), request);
             if (required < ReadRequirement.UNREACHABLE_POSITION) {
                 replication.positionReached(endpoint, required);
@@ -121,65 +121,68 @@
         }
     }
 
-    private void rememberWrite(long now, InFlightRequest request, AttemptResult result) {
+    private void recordSessionWrite(long now, InFlightRequest request, AttemptResult result) {
         String session = request.request.session();
         if (session != null && settings.get().remembersSessionTokens()) {
-            boolean known = result.position() != Positions.UNKNOWN;
-            tokens.writeAnswered(now, session, known ? result.position() : positions.currentPosition(now));
+            boolean hasPosition = result.position() != Positions.UNKNOWN;
+            tokens.writeAnswered(now, session, hasPosition ? result.position() : positions.currentPosition(now));
         }
     }
 
-    /** A health check has ended; {@code status} is null where there is none. */
+    /** Records that a health check has ended; {@code status} is null if the host reported none. */
     void healthCheckEnded(long now, Endpoint endpoint, AttemptOutcome outcome, long latency, ReplicationStatus status) {
         HealthCheckState check = endpoint.healthCheck;
         check.inFlight = false;
         if (outcome == AttemptOutcome.SUCCESS && status != null) {
             failureDetector.endpointReplied(now, endpoint, false);
-            observeStatus(now, endpoint, latency, status);
+            recordStatus(now, endpoint, latency, status);
             return;
         }
         switch (outcome) {
             case TIMEOUT, UNREACHABLE -> failureDetector.healthCheckUnanswered(now, endpoint);
-            // If the endpoint is lost the next check will not reach it either.
+            // Checks again at once: if the endpoint is down, that check does not reach it either.
             case CONNECTION_RESET -> check.dueAt = Math.min(check.dueAt, now);
             case NOT_SENT -> {}
             default -> {
-                // An error is a sign of life, if of nothing else; it must not be asked for again at once.
+                // An error shows only that the host is alive; the next check waits for the usual interval.
                 failureDetector.endpointAlive(now, endpoint);
                 check.dueAt = Math.max(check.dueAt, now + HealthChecker.INTERVAL_MICROS);
             }
         }
     }
 
-    private void observeStatus(long now, Endpoint endpoint, long latency, ReplicationStatus status) {
+    private void recordStatus(long now, Endpoint endpoint, long latency, ReplicationStatus status) {
         ReplicaSet replicaSet = endpoint.replicaSet;
-        boolean known = status.position() != Positions.UNKNOWN;
+        boolean hasPosition = status.position() != Positions.UNKNOWN;
         if (status.role() == ReplicationRole.PRIMARY) {
             primaryReported(now, endpoint, status.position());
         }
         long age = positions.currentPosition(now) - status.position();
         long reportedAt = positions.localTimeOf(replicaSet.number, now, status.position());
         if (status.role() == ReplicationRole.PRIMARY) {
-            // A primary is always up to date, so its position is the time of its report.
+            // A primary is always up to date, so its position is the time at which it made the report.
             endpoint.replication.reportedAt = now;
-            if (known) {
+            if (hasPosition) {
                 replicaSet.recordReportAge(age);
             }
             primaries.primaryObserved(endpoint, reportedAt);
-        } else if (status.role() == ReplicationRole.REPLICA && known) {
-            long sentAt = now - latency - replicaSet.reportAge();
-            primaries.replicaObserved(endpoint, Math.max(reportedAt, sentAt));
+        } else if (status.role() == ReplicationRole.REPLICA && hasPosition) {
+            long earliestReportAt = now - latency - replicaSet.reportAge();
+            primaries.replicaObserved(endpoint, Math.max(reportedAt, earliestReportAt));
             replication.positionReported(now, endpoint, status.position(), age);
         }
     }
 
-    /** A primary reported its position: where that shows the own clock wrong, start times are judged anew. */
+    /**
+     * Updates the clock offset from a position that a primary reported. If the offset has changed, the listed start
+     * times of all endpoints are evaluated again.
+     */
     private void primaryReported(long now, Endpoint endpoint, long position) {
         if (position == Positions.UNKNOWN || !positions.primaryReported(endpoint.replicaSet.number, now, position)) {
             return;
         }
         long millis = positions.clockError() / MICROS_PER_MILLI;
-        actions.log("clock: hosts' positions are " + millis + " ms ahead of this machine's clock");
+        actions.log("clock: replication positions are " + millis + " ms ahead of the local clock");
         directory.hostClockChanged(now);
     }
 }
--- a/src/main/java/mintstair/decision/AttemptOutcome.java
+++ b/src/main/java/mintstair/decision/AttemptOutcome.java
@@ -1,18 +1,27 @@
 package mintstair.decision;
 
-/** How an attempt ended. */
+/** How an attempt or a health check ended. */
 public enum AttemptOutcome {
+    /** The host served it. */
     SUCCESS,
+    /** The host replied with an error. */
     ERROR,
+    /** The host rejected it for lack of capacity. */
     OVERLOADED,
+    /** No reply arrived in time. */
     TIMEOUT,
+    /** The request did not reach the host. */
     UNREACHABLE,
+    /** The connection broke after the request was sent. */
     CONNECTION_RESET,
+    /** The router cancelled it. */
     CANCELLED,
+    /** It ended before it was sent. */
     NOT_SENT,
+    /** The replica rejected a read because it is too far behind. */
     MISDIRECTED;
 
-    /** Whether it is certain that the host did nothing for it. */
+    /** Returns whether it is certain that the host did not execute the request. */
     public boolean hadNoEffect() {
         return this == OVERLOADED || this == UNREACHABLE || this == NOT_SENT || this == MISDIRECTED;
     }
--- a/src/main/java/mintstair/decision/AttemptResult.java
+++ b/src/main/java/mintstair/decision/AttemptResult.java
@@ -2,7 +2,16 @@
 
 import mintstair.request.ReplicationRole;
 
-/** The end of one attempt; {@code finished} when the request is over with it or was before. */
+/**
+ * The result of one attempt.
+ *
+ * @param id the number of the request
+ * @param attempt the number of the attempt, from 0
+ * @param host the host to which the attempt was sent
+ * @param finished whether the request has its final response, through this attempt or earlier
+ * @param role the replication role that the host reported
+ * @param position the replication position that the host reported, or {@link Positions#UNKNOWN}
+ */
 public record AttemptResult(
         long id,
         int attempt,
--- a/src/main/java/mintstair/decision/FailureDetector.java
+++ b/src/main/java/mintstair/decision/FailureDetector.java
@@ -3,25 +3,30 @@
 import java.util.function.Supplier;
 
 /**
- * Tells which endpoints are unresponsive: two attempts or health checks in a row did not reach it, or requests are in
- * flight there and far more answers are due than chance explains. What was missed while this process was paused
- * counts for nothing. Times are microseconds. Not safe for use by several threads.
+ * Detects unresponsive endpoints. An endpoint is unresponsive if two consecutive attempts or health checks did not
+ * reach it, or if requests are in flight there and far more replies are overdue than chance explains. Replies that
+ * were missed while this process was paused do not count. Times are in microseconds. Not safe for use by several
+ * threads.
  */
 final class FailureDetector {
     /**
-     * Answers missed in the mean that make an endpoint unresponsive: by chance so many are missed once in e^7 looks.
+     * The expected number of replies since the last one, above which an endpoint is unresponsive. A healthy endpoint
+     * exceeds it by chance in one of e^7 checks.
      */
-    private static final double MAX_MISSED_ANSWERS = 7;
-    /** Requests that must be without an answer: a single one may just take long. */
+    private static final double MAX_MISSED_REPLIES = 7;
+    /** The number of requests that must be without a reply: a single one may just be slow. */
     private static final int MIN_UNANSWERED = 3;
-    /** Unreachable so often in a row, an endpoint is unresponsive. */
+    /** The number of consecutive unreachable results that make an endpoint unresponsive. */
     private static final int MAX_UNREACHABLE = 2;
-    /** After a sign of unreachable endpoints, those unheard of for so long are not trusted unasked. */
+    /**
+     * For this long after any endpoint was unreachable, only endpoints that have replied within the same time are
+     * trusted without a health check.
+     */
     private static final long SUSPICION_MICROS = 5_000_000;
 
-    /** Learns of endpoints that became unresponsive. */
+    /** Is notified of endpoints that become unresponsive. */
     interface Listener {
-        /** The endpoint has just become unresponsive; attempts that are in flight there may be tried elsewhere. */
+        /** The endpoint has become unresponsive; attempts that are in flight there may be retried elsewhere. */
         void onUnresponsive(long now, Endpoint endpoint);
     }
 
@@ -51,7 +56,7 @@
         this.listener = listener;
     }
 
-    /** Sums up the answers that the endpoint should have given since the last call; due before its load changes. */
+    /** Adds the replies that were expected since the last call; must be called before the endpoint's load changes. */
     void accrueMissedReplies(long now, Endpoint endpoint) {
         Liveness liveness = endpoint.liveness;
         long from = Math.max(liveness.accruedAt, clock.runningSince());
@@ -63,38 +68,42 @@
         }
     }
 
-    /** Looks whether an endpoint with requests in flight has been silent for too long. */
+    /**
+     * Marks an endpoint as unresponsive if it has requests in flight and too many replies are overdue.
+     *
+     * @param patience the time without replies, in microseconds, that is allowed in any case
+     */
     void checkForMissedReplies(long now, Endpoint endpoint, double patience) {
         accrueMissedReplies(now, endpoint);
         Liveness liveness = endpoint.liveness;
         ReplicaSet replicaSet = endpoint.replicaSet;
-        // A primary whose replicas still advance is slow, not lost.
-        boolean replicates = endpoint.isPrimary()
+        // A primary whose replicas still advance is slow, but alive.
+        boolean isReplicating = endpoint.isPrimary()
                 && positions.localTimeOf(replicaSet.number, now, replicaSet.newestPosition) > now - patience;
-        boolean severalUnanswered = endpoint.inFlight + liveness.timeouts >= MIN_UNANSWERED;
+        boolean hasSeveralUnanswered = endpoint.inFlight + liveness.timeouts >= MIN_UNANSWERED;
         long since = Math.max(liveness.answeredAt, clock.runningSince());
-        boolean overdue = liveness.missedReplies > MAX_MISSED_ANSWERS && now - since > patience;
-        if (!liveness.isUnresponsive() && overdue && severalUnanswered && !replicates) {
-            markUnresponsive(now, endpoint, "requests in flight and no answers");
+        boolean isOverdue = liveness.missedReplies > MAX_MISSED_REPLIES && now - since > patience;
+        if (!liveness.isUnresponsive() && isOverdue && hasSeveralUnanswered && !isReplicating) {
+            markUnresponsive(now, endpoint, "no replies to the requests in flight");
         }
     }
 
     /**
-     * The endpoint answered; if it was unreachable it is taken to have restarted.
+     * Records a reply of the endpoint. If the endpoint was unresponsive because it was unreachable, it is assumed to
+     * have restarted.
      *
-     * @param served whether it answered a request: a hung process may still answer health checks, so those end
-     *     unresponsiveness only after
-     *     a while
+     * @param servedRequest whether the reply is to a request. A process that hangs may still reply to health checks, so
+     *     those make an endpoint responsive only after it has been unresponsive for a while.
      */
-    void endpointReplied(long now, Endpoint endpoint, boolean served) {
+    void endpointReplied(long now, Endpoint endpoint, boolean servedRequest) {
         Liveness liveness = endpoint.liveness;
         liveness.lastReplyAt = now;
         boolean wasUnreachable = liveness.consecutiveUnreachable > 0;
         if (liveness.isUnresponsive() && wasUnreachable) {
             slowStarts.found(endpoint, now);
         }
-        boolean longUnresponsive = liveness.isUnresponsive() && now - liveness.unresponsiveSince() > SUSPICION_MICROS;
-        if (served || wasUnreachable || longUnresponsive) {
+        boolean isLongUnresponsive = liveness.isUnresponsive() && now - liveness.unresponsiveSince() > SUSPICION_MICROS;
+        if (servedRequest || wasUnreachable || isLongUnresponsive) {
             if (liveness.isUnresponsive()) {
                 actions.log("responsive " + endpoint.name);
             }
@@ -104,13 +113,16 @@
         liveness.consecutiveUnreachable = 0;
     }
 
-    /** The endpoint gave a sign of life that says nothing of its state. */
+    /** Records a sign of life that says nothing about the state of the endpoint. */
     void endpointAlive(long now, Endpoint endpoint) {
         endpoint.liveness.lastReplyAt = now;
         endpoint.liveness.consecutiveUnreachable = 0;
     }
 
-    /** An attempt or a health check did not reach the endpoint: a zone may be lost, so it is checked at once. */
+    /**
+     * Records that an attempt or a health check did not reach the endpoint. The endpoint is due for a health check at
+     * once, because its whole zone may have failed.
+     */
     void endpointUnreachable(long now, Endpoint endpoint) {
         lastUnreachableAt = now;
         endpoint.healthCheck.dueAt = Math.min(endpoint.healthCheck.dueAt, now);
@@ -121,23 +133,26 @@
         }
     }
 
-    /** A health check did not reach the endpoint; it proves nothing against one that answered since it was sent. */
+    /**
+     * Records that a health check had no reply. It is no evidence against an endpoint that has answered a request since
+     * the check was sent.
+     */
     void healthCheckUnanswered(long now, Endpoint endpoint) {
-        long lastSign = Math.max(endpoint.liveness.answeredAt, clock.runningSince());
-        if (lastSign < endpoint.healthCheck.sentAt) {
+        long lastAnswerAt = Math.max(endpoint.liveness.answeredAt, clock.runningSince());
+        if (lastAnswerAt < endpoint.healthCheck.sentAt) {
             endpointUnreachable(now, endpoint);
         }
     }
 
     /**
-     * Whether the endpoint may be used unasked: after signs of unreachable ones, or against the list, only if they
-     * answered lately.
+     * Returns whether the endpoint may be used without a health check. If any endpoint was unreachable recently, or the
+     * list has removed this one, only a recent reply makes it trusted.
      */
     boolean isTrusted(long now, Endpoint endpoint) {
-        boolean unreachableLately =
+        boolean unreachableRecently =
                 settings.get().limits().healthChecks() && now - lastUnreachableAt < SUSPICION_MICROS;
-        boolean suspicious = endpoint.isRemovalIgnored() || unreachableLately;
-        return !suspicious || now - endpoint.liveness.lastReplyAt < SUSPICION_MICROS;
+        boolean needsEvidence = endpoint.isRemovalIgnored() || unreachableRecently;
+        return !needsEvidence || now - endpoint.liveness.lastReplyAt < SUSPICION_MICROS;
     }
 
     private void markUnresponsive(long now, Endpoint endpoint, String reason) {
--- a/src/main/java/mintstair/decision/HealthCheckState.java
+++ b/src/main/java/mintstair/decision/HealthCheckState.java
@@ -1,12 +1,12 @@
 package mintstair.decision;
 
-/** The health checks of one endpoint. Times are microseconds on the router's clock. */
+/** The state of the health checks of one endpoint. Times are in microseconds on the router's clock. */
 final class HealthCheckState {
-    /** When the next timed check is due. */
+    /** When the next periodic check is due. */
     long dueAt;
     /** When the last check was sent. */
     long sentAt = Endpoint.NEVER;
-    /** Whether a check is out. */
+    /** Whether a check has been sent and has not ended. */
     boolean inFlight;
 
     HealthCheckState(long firstAt) {
--- a/src/main/java/mintstair/decision/HealthChecker.java
+++ b/src/main/java/mintstair/decision/HealthChecker.java
@@ -6,40 +6,44 @@
 import java.util.function.Supplier;
 
 /**
- * Decides when endpoints are polled for their position and role: by a timer, as often as the price of polls allows,
- * and on demand, where a poll may prove a replica recent enough for a read that waits. Times are microseconds. Not
- * safe for use by several threads.
+ * Decides when endpoints are polled for their position and role: periodically, as often as the cost of a poll allows,
+ * and on demand, if a poll may prove a replica recent enough for a pending read. Times are in microseconds. Not safe
+ * for use by several threads.
  */
 final class HealthChecker {
-    /** The usual interval of timed polls, where neither staleness bounds nor the price ask for another. */
+    /** The interval of periodic polls, unless staleness bounds or the cost of polls require another one. */
     static final long INTERVAL_MICROS = 100_000;
-    /** Timed polls within the tightest staleness bound. */
-    private static final int POLLS_A_BOUND = 3;
-    /** The share of the result that timed polls may cost, and that polls on demand may cost. */
-    private static final double TIMED_BUDGET = 0.007;
-
+    /** The number of periodic polls of an endpoint within the tightest staleness bound. */
+    private static final int POLLS_PER_BOUND = 3;
+    /** The share of the value of all requests that periodic polls may cost. */
+    private static final double PERIODIC_BUDGET = 0.007;
+    /** The share of the value of all requests that polls on demand may cost. */
     private static final double ON_DEMAND_BUDGET = 0.03;
-    /** Where the price makes timed polls rarer than this there are none: endpoints are polled on demand. */
-    private static final long MAX_INTERVAL_MICROS = 1_000_000;
+    /** If the cost makes the interval longer than this, endpoints are polled on demand only. */
+    private static final long MAX_PERIODIC_INTERVAL_MICROS = 1_000_000;
+    /** Caps the computed interval, which is unbounded if there are no requests. */
+    private static final long INTERVAL_CAP_MICROS = 1_000_000_000_000L;
 
-    private static final long LONGEST_MICROS = 1_000_000_000_000L;
     private static final double MICROS_PER_SECOND = 1e6;
     private static final double MIN_COST = 1e-9;
-    /** Polls on demand saved up at the start, and at most. */
-    private static final double INITIAL_ON_DEMAND = 10;
-
-    private static final double MAX_ON_DEMAND = 40;
-    /** Polls sent at once for one read, and how often that is done before the primary is used. */
-    private static final int POLLS_AT_ONCE = 2;
-
+    /** The number of polls on demand that the budget allows at the start. */
+    private static final double INITIAL_ON_DEMAND_POLLS = 10;
+    /** The largest number of polls on demand that the budget accumulates. */
+    private static final double MAX_ON_DEMAND_POLLS = 40;
+    /** The largest number of polls that are sent at once for one read. */
+    private static final int POLLS_PER_ROUND = 2;
+    /** The number of rounds of polls for one read before it falls back to the primary. */
     private static final int MAX_ROUNDS = 2;
-    /** How long a read waits for a poll, many times a round trip; also the time between two polls of an endpoint. */
+    /**
+     * How long a read waits for a poll, and the shortest time between two polls on demand of an endpoint: many
+     * round-trip times.
+     */
     private static final long ON_DEMAND_WAIT_MICROS = 30_000;
-    /** After this a read may have endpoints polled again, however often it has. */
-    private static final long NEXT_ROUND_MICROS = 100_000;
-    /** Each interval is altered by up to this part, so that routers do not poll in step. */
+    /** After this time a read may start another round even if it has used all of them. */
+    private static final long ROUND_RESET_MICROS = 100_000;
+    /** Each interval is multiplied by a random factor from this on, so that routers do not poll in step. */
     private static final double MIN_JITTER = 0.9;
-
+    /** The width of the range of that factor. */
     private static final double JITTER_SPAN = 0.2;
 
     private final Supplier<RouterSettings> settings;
@@ -48,7 +52,7 @@
     private final ReplicaFreshness freshness;
     private final Random random;
     private final RouterActions actions;
-    private final TokenBucket onDemand = new TokenBucket(INITIAL_ON_DEMAND, MAX_ON_DEMAND);
+    private final TokenBucket onDemandBudget = new TokenBucket(INITIAL_ON_DEMAND_POLLS, MAX_ON_DEMAND_POLLS);
 
     HealthChecker(
             Supplier<RouterSettings> settings,
@@ -65,37 +69,41 @@
         this.actions = actions;
     }
 
-    /** A request has arrived and earns a part of a poll on demand. */
+    /** Adds the share of a poll on demand that a request earns on arrival. */
     void requestArrived(long now) {
         double cost = Math.max(MIN_COST, settings.get().healthCheckCost());
-        onDemand.earn(ON_DEMAND_BUDGET / cost, requestRate.perSecond(now));
+        onDemandBudget.earn(ON_DEMAND_BUDGET / cost, requestRate.perSecond(now));
     }
 
-    /** Sends a health check. */
+    /** Sends a health check to the endpoint. */
     void sendCheck(long now, Endpoint endpoint) {
         endpoint.healthCheck.inFlight = true;
         endpoint.healthCheck.sentAt = now;
         actions.checkHealth(endpoint.name);
     }
 
-    /** The interval of the timed polls of each of so many endpoints. */
+    /**
+     * Returns the interval of the periodic polls of each endpoint, or {@link Long#MAX_VALUE} if there are none.
+     *
+     * @param endpoints the number of endpoints that share the budget
+     */
     long interval(long now, int endpoints) {
         if (!settings.get().limits().healthChecks() || endpoints == 0) {
             return Long.MAX_VALUE;
         }
         double cost = Math.max(MIN_COST, settings.get().healthCheckCost());
-        double affordable = TIMED_BUDGET / cost * requestRate.perSecond(now);
-        double byPrice = endpoints * MICROS_PER_SECOND / Math.max(MIN_COST, affordable);
-        long byStaleness = Math.min(INTERVAL_MICROS, classes.tightestStaleness() / POLLS_A_BOUND);
-        return Math.max(byStaleness, (long) Math.min(LONGEST_MICROS, byPrice));
+        double affordable = PERIODIC_BUDGET / cost * requestRate.perSecond(now);
+        double byCost = endpoints * MICROS_PER_SECOND / Math.max(MIN_COST, affordable);
+        long byStaleness = Math.min(INTERVAL_MICROS, classes.tightestStaleness() / POLLS_PER_BOUND);
+        return Math.max(byStaleness, (long) Math.min(INTERVAL_CAP_MICROS, byCost));
     }
 
-    /** Whether endpoints are polled by the timer at this interval. */
+    /** Returns whether endpoints are polled periodically at this interval. */
     static boolean isPeriodic(long interval) {
-        return interval < MAX_INTERVAL_MICROS;
+        return interval < MAX_PERIODIC_INTERVAL_MICROS;
     }
 
-    /** Polls the endpoint if that is due by the timer. */
+    /** Polls the endpoint if its periodic poll is due. */
     void checkIfDue(long now, Endpoint endpoint, long interval) {
         HealthCheckState state = endpoint.healthCheck;
         long reportedAt = endpoint.replication.reportedAt;
@@ -107,7 +115,7 @@
         sendCheck(now, endpoint);
     }
 
-    /** Polls the only endpoint that can serve a request, unless that was done just now. */
+    /** Polls the only endpoint that can serve a request, unless it was polled just before. */
     void checkSticky(long now, Endpoint endpoint) {
         boolean due = now - endpoint.healthCheck.sentAt >= ON_DEMAND_WAIT_MICROS;
         if (settings.get().limits().healthChecks() && !endpoint.healthCheck.inFlight && due) {
@@ -118,7 +126,7 @@
     /**
      * Polls a few random members of the replica set that may prove recent enough for the read.
      *
-     * @return whether it pays to wait for polls that are out
+     * @return whether the read should wait for polls that are in flight
      */
     boolean checkOnDemand(long now, ReplicaSet replicaSet, InFlightRequest read, long requiredPosition) {
         if (!settings.get().limits().healthChecks()) {
@@ -127,44 +135,47 @@
         boolean inFlight = false;
         List<Endpoint> candidates = new ArrayList<>();
         for (Endpoint member : replicaSet.members) {
-            inFlight |= member.healthCheck.inFlight && isCheckedLately(now, member);
+            inFlight |= member.healthCheck.inFlight && isCheckedRecently(now, member);
             if (freshness.isProvenRecent(now, member, read, requiredPosition)
                     && !ReplicaSelector.hasExcessLoad(member)) {
                 return false;
             }
-            if (mayProve(now, member, read, requiredPosition)) {
+            if (canProve(now, member, read, requiredPosition)) {
                 candidates.add(member);
             }
         }
         if (now - read.polledAt < ON_DEMAND_WAIT_MICROS && inFlight) {
             return true;
         }
-        boolean roundsUsed = read.polls >= MAX_ROUNDS && now - read.polledAt < NEXT_ROUND_MICROS;
-        if (candidates.isEmpty() || roundsUsed) {
+        boolean isOutOfRounds = read.polls >= MAX_ROUNDS && now - read.polledAt < ROUND_RESET_MICROS;
+        if (candidates.isEmpty() || isOutOfRounds) {
             return false;
         }
         read.polls++;
         read.polledAt = now;
-        return checkSome(now, candidates);
+        return sendChecks(now, candidates);
     }
 
-    private boolean checkSome(long now, List<Endpoint> candidates) {
-        boolean sent = onDemand.hasToken();
-        int count = Math.min(candidates.size(), POLLS_AT_ONCE);
-        for (int i = 0; i < count && onDemand.tryAcquire(); i++) {
+    private boolean sendChecks(long now, List<Endpoint> candidates) {
+        boolean sent = onDemandBudget.hasToken();
+        int count = Math.min(candidates.size(), POLLS_PER_ROUND);
+        for (int i = 0; i < count && onDemandBudget.tryAcquire(); i++) {
             sendCheck(now, candidates.remove(random.nextInt(candidates.size())));
         }
         return sent;
     }
 
-    /** Whether a poll could show the replica recent enough: not just polled, and not shown to be far behind. */
-    private boolean mayProve(long now, Endpoint endpoint, InFlightRequest read, long requiredPosition) {
-        boolean lost = endpoint.liveness.isUnresponsive() && endpoint.liveness.consecutiveUnreachable > 0;
-        boolean busy = endpoint.healthCheck.inFlight || isCheckedLately(now, endpoint);
-        return !lost && !busy && freshness.canBeProvenRecent(now, endpoint, read, requiredPosition);
+    /**
+     * Returns whether a poll could prove the replica recent enough: it was not polled just before, nor is it far
+     * behind.
+     */
+    private boolean canProve(long now, Endpoint endpoint, InFlightRequest read, long requiredPosition) {
+        boolean isLost = endpoint.liveness.isUnresponsive() && endpoint.liveness.consecutiveUnreachable > 0;
+        boolean isBusy = endpoint.healthCheck.inFlight || isCheckedRecently(now, endpoint);
+        return !isLost && !isBusy && freshness.canBeProvenRecent(now, endpoint, read, requiredPosition);
     }
 
-    private static boolean isCheckedLately(long now, Endpoint endpoint) {
+    private static boolean isCheckedRecently(long now, Endpoint endpoint) {
         return now - endpoint.healthCheck.sentAt < ON_DEMAND_WAIT_MICROS;
     }
 }
--- a/src/main/java/mintstair/decision/InvariantMonitor.java
+++ b/src/main/java/mintstair/decision/InvariantMonitor.java
@@ -7,95 +7,104 @@
 import java.util.Map;
 
 /**
- * Checks at run time that what was written to hosts and answered to clients keeps the rules. It decides nothing and
- * shares no state with what decides: it sees only what happened, so a violation is a fault of the program. All times
- * are microseconds on the loop's clock. Not safe for use by several threads.
+ * Checks at run time that what is sent to hosts and clients satisfies the invariants of the proxy. It makes no
+ * decisions and shares no state with the classes that do: it observes only what happens, so a violation is a fault of
+ * the program. Times are in microseconds on the clock of the event loop. Not safe for use by several threads.
  */
 public final class InvariantMonitor {
     /**
-     * What this process may be held up for between reading its clock and writing, and what the rules add to each time
-     * on sockets.
+     * Tolerance of the bounds on draining and deduplication: the process may be paused between reading the clock and
+     * writing to a socket, and the rules allow as much for every time that is measured on sockets.
      */
-    private static final long SLACK = 200_000;
-    /** How much longer than the client's remaining time the time-out sent to a host may be. */
-    private static final long WAIT_SLACK = 150_000;
-    /** A final answer later than this behind its request's deadline is no answer. */
-    private static final long ANSWER_SLACK = 500_000;
+    private static final long PAUSE_TOLERANCE_MICROS = 200_000;
+    /** How much the time-out that is sent to a host may exceed the client's remaining time. */
+    private static final long TIMEOUT_TOLERANCE_MICROS = 150_000;
+    /** How long after the deadline of its request a final response still counts as in time. */
+    private static final long RESPONSE_TOLERANCE_MICROS = 500_000;
 
-    private static final long NOT_OUT = Long.MAX_VALUE;
+    private static final long NOT_IN_FLIGHT = Long.MAX_VALUE;
 
-    /** A rule that was broken. */
+    /** An invariant that was violated. */
     public enum Violation {
-        /** An attempt began at a host that was listed as draining for longer than the grace. */
+        /** An attempt started at a host that had been listed as draining for longer than the grace period. */
         SENT_TO_DRAINING,
-        /** An attempt began though the class allows no further one after one that may have run. */
+        /** An attempt started although an earlier one may have run and the request class forbids a repeat. */
         SENT_TWICE,
-        /** An attempt began for a request that was over. */
+        /** An attempt started for a request that was over. */
         SENT_AFTER_END,
-        /** The time-out sent to a host was longer than the client's remaining time. */
+        /** The time-out that was sent to a host exceeded the client's remaining time. */
         WAIT_TOO_LONG,
-        /** The final answer came too late. */
+        /** The final response was sent too late. */
         ANSWERED_LATE,
-        /** A request had a second final answer. */
+        /** A second final response was sent for a request. */
         ANSWERED_TWICE
     }
 
-    /** A violation, with what there is to find it by. */
+    /**
+     * A violation and where it occurred.
+     *
+     * @param request the number of the request
+     * @param host the host of the attempt; empty if the violation concerns the response to the client
+     */
     public record Finding(Violation violation, long request, String host) {}
 
-    private static final class Watched {
+    private static final class TrackedRequest {
         final RequestClass requestClass;
         final long deadline;
-        /** When each attempt that is out began, by its number; {@link #NOT_OUT} for the others. */
-        long[] outSince = {};
+        /** The start time of each attempt that is in flight, by its number; {@link #NOT_IN_FLIGHT} for the others. */
+        long[] attemptStarts = {};
 
-        long firstMayHaveRun = Long.MAX_VALUE;
+        long firstMayHaveRunAt = Long.MAX_VALUE;
         boolean answered;
-        boolean over;
+        boolean closed;
 
-        Watched(RequestClass requestClass, long deadline) {
+        TrackedRequest(RequestClass requestClass, long deadline) {
             this.requestClass = requestClass;
             this.deadline = deadline;
         }
 
-        void begin(int attempt, long now) {
-            if (attempt >= outSince.length) {
-                int before = outSince.length;
-                outSince = Arrays.copyOf(outSince, attempt + 1);
-                Arrays.fill(outSince, before, outSince.length, NOT_OUT);
+        void startAttempt(int attempt, long now) {
+            if (attempt >= attemptStarts.length) {
+                int oldLength = attemptStarts.length;
+                attemptStarts = Arrays.copyOf(attemptStarts, attempt + 1);
+                Arrays.fill(attemptStarts, oldLength, attemptStarts.length, NOT_IN_FLIGHT);
             }
-            outSince[attempt] = now;
+            attemptStarts[attempt] = now;
         }
 
-        /** Ends an attempt; returns when it began, or {@link #NOT_OUT}. */
-        long end(int attempt) {
-            if (attempt >= outSince.length) {
-                return NOT_OUT;
+        /** Ends an attempt; returns its start time, or {@link #NOT_IN_FLIGHT}. */
+        long endAttempt(int attempt) {
+            if (attempt >= attemptStarts.length) {
+                return NOT_IN_FLIGHT;
             }
-            long began = outSince[attempt];
-            outSince[attempt] = NOT_OUT;
-            return began;
+            long startedAt = attemptStarts[attempt];
+            attemptStarts[attempt] = NOT_IN_FLIGHT;
+            return startedAt;
         }
 
-        /** When the first attempt began that is out or may have run, or {@link #NOT_OUT}. */
-        long firstThatMayRun() {
-            return Math.min(firstMayHaveRun, Arrays.stream(outSince).min().orElse(NOT_OUT));
+        /**
+         * Returns the start time of the first attempt that is in flight or may have run, or {@link #NOT_IN_FLIGHT} if
+         * there is none.
+         */
+        long firstPossibleExecution() {
+            return Math.min(
+                    firstMayHaveRunAt, Arrays.stream(attemptStarts).min().orElse(NOT_IN_FLIGHT));
         }
 
-        boolean isOut() {
-            return Arrays.stream(outSince).anyMatch(began -> began != NOT_OUT);
+        boolean hasAttemptInFlight() {
+            return Arrays.stream(attemptStarts).anyMatch(startedAt -> startedAt != NOT_IN_FLIGHT);
         }
     }
 
-    private final Map<Long, Watched> requests = new HashMap<>();
+    private final Map<Long, TrackedRequest> requests = new HashMap<>();
     private final Map<String, Long> drainingSince = new HashMap<>();
 
-    /** A request was taken in. */
+    /** Records that a request was accepted. */
     public void requestAccepted(long request, RequestClass requestClass, long deadline) {
-        requests.put(request, new Watched(requestClass, deadline));
+        requests.put(request, new TrackedRequest(requestClass, deadline));
     }
 
-    /** A host was listed, as draining or not. */
+    /** Records that a host was listed, as draining or not. */
     public void hostListed(long now, String host, boolean draining) {
         if (draining) {
             drainingSince.putIfAbsent(host, now);
@@ -104,89 +113,100 @@
         }
     }
 
-    /** The first byte of an attempt is about to be written, whose host is to work for {@code wait} at most. */
-    public List<Finding> attemptStarted(long now, long request, int attempt, String host, long wait, long drainGrace) {
-        Watched watched = requests.get(request);
-        List<Violation> found = new ArrayList<>();
-        if (watched == null || watched.over) {
-            found.add(Violation.SENT_AFTER_END);
+    /**
+     * Checks an attempt whose first byte is about to be written.
+     *
+     * @param timeout the time-out that is sent to the host
+     * @param drainGrace how long a draining host may still be sent attempts
+     * @return the violations, if any
+     */
+    public List<Finding> attemptStarted(
+            long now, long request, int attempt, String host, long timeout, long drainGrace) {
+        TrackedRequest tracked = requests.get(request);
+        List<Violation> violations = new ArrayList<>();
+        if (tracked == null || tracked.closed) {
+            violations.add(Violation.SENT_AFTER_END);
         } else {
-            if (repeatsWhatMayRun(now, watched)) {
-                found.add(Violation.SENT_TWICE);
+            if (mayRunTwice(now, tracked)) {
+                violations.add(Violation.SENT_TWICE);
             }
-            if (now + wait > watched.deadline + WAIT_SLACK) {
-                found.add(Violation.WAIT_TOO_LONG);
+            if (now + timeout > tracked.deadline + TIMEOUT_TOLERANCE_MICROS) {
+                violations.add(Violation.WAIT_TOO_LONG);
             }
-            watched.begin(attempt, now);
+            tracked.startAttempt(attempt, now);
         }
-        if (now - drainingSince.getOrDefault(host, now) > drainGrace + SLACK) {
-            found.add(Violation.SENT_TO_DRAINING);
+        if (now - drainingSince.getOrDefault(host, now) > drainGrace + PAUSE_TOLERANCE_MICROS) {
+            violations.add(Violation.SENT_TO_DRAINING);
         }
-        return found.stream()
+        return violations.stream()
                 .map(violation -> new Finding(violation, request, host))
                 .toList();
     }
 
-    private static boolean repeatsWhatMayRun(long now, Watched watched) {
-        Idempotency idempotency = watched.requestClass.idempotency();
+    private static boolean mayRunTwice(long now, TrackedRequest tracked) {
+        Idempotency idempotency = tracked.requestClass.idempotency();
         if (idempotency == Idempotency.IDEMPOTENT) {
             return false;
         }
-        long first = watched.firstThatMayRun();
-        return first != NOT_OUT
+        long first = tracked.firstPossibleExecution();
+        return first != NOT_IN_FLIGHT
                 && (idempotency == Idempotency.NOT_IDEMPOTENT
-                        || now > first + watched.requestClass.deduplicationWindowMicros() + SLACK);
+                        || now > first + tracked.requestClass.deduplicationWindowMicros() + PAUSE_TOLERANCE_MICROS);
     }
 
-    /** An attempt ended; {@code mayHaveRun} unless it is certain that its host did nothing for it. */
+    /**
+     * Records the end of an attempt.
+     *
+     * @param mayHaveRun false if it is certain that the host did not execute it
+     */
     public void attemptEnded(long request, int attempt, boolean mayHaveRun) {
-        Watched watched = requests.get(request);
-        if (watched == null) {
+        TrackedRequest tracked = requests.get(request);
+        if (tracked == null) {
             return;
         }
-        long began = watched.end(attempt);
+        long startedAt = tracked.endAttempt(attempt);
         if (mayHaveRun) {
-            watched.firstMayHaveRun = Math.min(watched.firstMayHaveRun, began);
+            tracked.firstMayHaveRunAt = Math.min(tracked.firstMayHaveRunAt, startedAt);
         }
-        forget(request, watched);
+        removeIfOver(request, tracked);
     }
 
-    /** A client was given its final answer. */
+    /** Records that the final response was sent; returns the violations, if any. */
     public List<Finding> requestAnswered(long now, long request) {
-        Watched watched = requests.get(request);
-        if (watched == null) {
+        TrackedRequest tracked = requests.get(request);
+        if (tracked == null) {
             return List.of();
         }
-        List<Violation> found = new ArrayList<>();
-        if (watched.answered) {
-            found.add(Violation.ANSWERED_TWICE);
+        List<Violation> violations = new ArrayList<>();
+        if (tracked.answered) {
+            violations.add(Violation.ANSWERED_TWICE);
         }
-        if (now > watched.deadline + ANSWER_SLACK) {
-            found.add(Violation.ANSWERED_LATE);
+        if (now > tracked.deadline + RESPONSE_TOLERANCE_MICROS) {
+            violations.add(Violation.ANSWERED_LATE);
         }
-        watched.answered = true;
+        tracked.answered = true;
         requestClosed(request);
-        return found.stream()
+        return violations.stream()
                 .map(violation -> new Finding(violation, request, ""))
                 .toList();
     }
 
-    /** No answer is due any more: it was given, or the client has disconnected. */
+    /** Records that no response is due any more, because it was sent or the client has disconnected. */
     public void requestClosed(long request) {
-        Watched watched = requests.get(request);
-        if (watched != null) {
-            watched.over = true;
-            forget(request, watched);
+        TrackedRequest tracked = requests.get(request);
+        if (tracked != null) {
+            tracked.closed = true;
+            removeIfOver(request, tracked);
         }
     }
 
-    private void forget(long request, Watched watched) {
-        if (watched.over && !watched.isOut()) {
+    private void removeIfOver(long request, TrackedRequest tracked) {
+        if (tracked.closed && !tracked.hasAttemptInFlight()) {
             requests.remove(request);
         }
     }
 
-    /** How many requests are watched. */
+    /** Returns the number of requests that are tracked. */
     public int openRequests() {
         return requests.size();
     }
--- a/src/main/java/mintstair/decision/Liveness.java
+++ b/src/main/java/mintstair/decision/Liveness.java
@@ -1,32 +1,32 @@
 package mintstair.decision;
 
 /**
- * The signs of life of one endpoint. State of {@link FailureDetector}, which alone changes it; times are microseconds
- * on the router's clock.
+ * The evidence for whether one endpoint is alive. Only {@link FailureDetector} changes it, apart from the number of
+ * time-outs. Times are in microseconds on the router's clock.
  */
 final class Liveness {
-    /** When it last answered anything, health checks included. */
+    /** When it last replied to a request or a health check. */
     long lastReplyAt = Endpoint.NEVER;
-    /** When it last answered a request, or had none to answer. */
+    /** When it last answered a request, or had none in flight. */
     long answeredAt;
-    /** Until when {@link #missedReplies} is summed up. */
+    /** The time up to which {@link #missedReplies} is computed. */
     long accruedAt;
-    /** Answers that it should have given since {@link #answeredAt}, by the mean latency. */
+    /** The number of replies expected since {@link #answeredAt}, by the mean latency. */
     double missedReplies;
-    /** Attempts that timed out since {@link #answeredAt}. */
+    /** The number of attempts that have timed out since {@link #answeredAt}. */
     int timeouts;
-    /** Attempts and health checks in a row that did not reach it. */
+    /** The number of consecutive attempts and health checks that did not reach it. */
     int consecutiveUnreachable;
 
     private boolean unresponsive;
     private long unresponsiveSince = Endpoint.NEVER;
 
-    /** Whether it gets no requests but trials. */
+    /** Returns whether it gets trial requests only. */
     boolean isUnresponsive() {
         return unresponsive;
     }
 
-    /** When it became unresponsive last. */
+    /** Returns when it last became unresponsive. */
     long unresponsiveSince() {
         return unresponsiveSince;
     }
@@ -40,7 +40,7 @@
         unresponsive = false;
     }
 
-    /** It answered a request, or has none to answer: nothing is missed. */
+    /** Clears the missed replies, because the endpoint has answered a request or has none in flight. */
     void clearMissedReplies(long now) {
         missedReplies = 0;
         timeouts = 0;
--- a/src/main/java/mintstair/decision/PositionClock.java
+++ b/src/main/java/mintstair/decision/PositionClock.java
@@ -5,99 +5,103 @@
 import java.util.Map;
 
 /**
- * How far the clock by which hosts report positions and start times is ahead of this router's own. Both are Unix
- * time, but this machine's may have been wrong when the router started. A primary is always up to date, so the newest
- * position of each replica set's primary shows it. A clock that is behind would make old replicas seem recent, so
- * reads are held to the positions' clock then; one that is ahead only makes replicas seem older than they are, which
- * is left so. Slow starts follow the positions' clock both ways.
+ * Estimates how far the clock of replication positions and host start times is ahead of this router's clock. Both are
+ * Unix time, but the local clock may have been wrong when the router started. A primary is always up to date, so the
+ * newest position of the primary of each replica set shows the difference. If the local clock is behind, old replicas
+ * would seem recent, so the required positions of reads are corrected by the difference. If it is ahead, replicas only
+ * seem older than they are, which is not corrected. Slow starts are corrected in both cases.
  *
- * <p>All times are microseconds. Not safe for use by several threads.
+ * <p>Times and positions are in microseconds. Not safe for use by several threads.
  */
 final class PositionClock {
-    /** Clocks that are right differ by this, and positions are rounded on their way. */
-    private static final long TOLERANCE = 20_000;
+    /** The largest difference between correct clocks, including the rounding of positions in transit. */
+    private static final long TOLERANCE_MICROS = 20_000;
     /**
-     * Reports come old; where each replica set's primary reports what is older than this, it is the clock that is
-     * ahead.
+     * The largest age of a report on arrival. If the primaries of all replica sets report older positions, the local
+     * clock is ahead.
      */
-    private static final long OLDEST_REPORT = 2_000_000;
-    /** What the youngest report of a primary may be old, where the clock is behind and reports alone tell the time. */
-    private static final long REPORT_AGE = 100_000;
-    /** Evidence that differs by more than this from the median is one host's own fault. */
-    private static final long CLOSE = 1_000_000;
+    private static final long MAX_REPORT_AGE_MICROS = 2_000_000;
+    /** The assumed age of the newest report of a primary while the local clock is behind. */
+    private static final long ASSUMED_REPORT_AGE_MICROS = 100_000;
+    /** An offset above the median by more than this is due to the clock of a single host. */
+    private static final long MAX_DEVIATION_MICROS = 1_000_000;
 
-    /** Of each group: the newest position that its primary reported, less the own time at which it arrived. */
+    /** For each replica set, the newest position that its primary reported minus the local time of its arrival. */
     private final Map<Integer, Long> evidence = new HashMap<>();
 
-    private int groupsAhead;
-    private int groupsOld;
+    private int replicaSetsAhead;
+    private int replicaSetsBehind;
     private long offset;
     private long startOffset;
 
-    /** A primary reported its position; returns whether start times are to be judged anew. */
-    boolean primaryReported(int group, long now, long position) {
-        Long before = evidence.get(group);
-        // A former primary reports its past: once a group has shown a right clock, or a newer time, that stands.
-        boolean stands = before != null && before <= TOLERANCE;
-        long ahead = stands ? Math.max(before, position - now) : position - now;
-        evidence.put(group, ahead);
-        groupsAhead += isAhead(ahead) - (before == null ? 0 : isAhead(before));
-        groupsOld += isOld(ahead) - (before == null ? 0 : isOld(before));
-        long startsBefore = startOffset;
+    /** Records a position that a primary reported; returns whether start times must be evaluated again. */
+    boolean primaryReported(int replicaSet, long now, long position) {
+        Long before = evidence.get(replicaSet);
+        // A former primary reports past positions. Once a replica set has shown that the local clock is not behind,
+        // only a newer position counts.
+        boolean isConclusive = before != null && before <= TOLERANCE_MICROS;
+        long ahead = isConclusive ? Math.max(before, position - now) : position - now;
+        evidence.put(replicaSet, ahead);
+        replicaSetsAhead += oneIfAhead(ahead) - (before == null ? 0 : oneIfAhead(before));
+        replicaSetsBehind += oneIfBehind(ahead) - (before == null ? 0 : oneIfBehind(before));
+        long startOffsetBefore = startOffset;
         offset = 0;
         startOffset = 0;
-        if (2 * groupsAhead > evidence.size()) {
-            offset = newestNearMedian() + REPORT_AGE;
-            startOffset = offset > OLDEST_REPORT ? offset : 0;
-        } else if (groupsOld == evidence.size()) {
-            startOffset = newestNearMedian();
+        if (2 * replicaSetsAhead > evidence.size()) {
+            offset = largestNearMedian() + ASSUMED_REPORT_AGE_MICROS;
+            startOffset = offset > MAX_REPORT_AGE_MICROS ? offset : 0;
+        } else if (replicaSetsBehind == evidence.size()) {
+            startOffset = largestNearMedian();
         }
-        return Math.abs(startOffset - startsBefore) > CLOSE;
+        return Math.abs(startOffset - startOffsetBefore) > MAX_DEVIATION_MICROS;
     }
 
-    private static int isAhead(long ahead) {
-        return ahead > TOLERANCE ? 1 : 0;
+    private static int oneIfAhead(long ahead) {
+        return ahead > TOLERANCE_MICROS ? 1 : 0;
     }
 
-    private static int isOld(long ahead) {
-        return ahead < -OLDEST_REPORT ? 1 : 0;
+    private static int oneIfBehind(long ahead) {
+        return ahead < -MAX_REPORT_AGE_MICROS ? 1 : 0;
     }
 
-    private long newestNearMedian() {
+    private long largestNearMedian() {
         long[] sorted =
                 evidence.values().stream().mapToLong(Long::longValue).sorted().toArray();
         long median = sorted[sorted.length / 2];
         return Arrays.stream(sorted)
-                .filter(each -> each <= median + CLOSE)
+                .filter(each -> each <= median + MAX_DEVIATION_MICROS)
                 .max()
                 .orElse(median);
     }
 
-    /** The present by the clock of positions, or later. */
+    /** Returns the position of a replica that is fully up to date, or a later one. */
     long currentPosition(long now) {
         return now + offset;
     }
 
     /**
-     * Whether what is recent enough is known for this group: by its own primary, where the own clock can't be relied
-     * on.
+     * Returns whether the current position is known for this replica set. If the local clock is behind, that requires a
+     * report of the set's own primary.
      */
-    boolean hasTimeReference(int group) {
-        return offset == 0 || evidence.containsKey(group);
+    boolean hasTimeReference(int replicaSet) {
+        return offset == 0 || evidence.containsKey(replicaSet);
     }
 
-    /** The own time at which a position of this group was the present; never in the future. */
-    long localTimeOf(int group, long now, long position) {
-        boolean wrong = offset != 0 || groupsOld == evidence.size();
-        return Math.min(now, wrong ? position - evidence.getOrDefault(group, 0L) : position);
+    /** Returns the local time at which a position of this replica set was current; never in the future. */
+    long localTimeOf(int replicaSet, long now, long position) {
+        boolean isCorrected = offset != 0 || replicaSetsBehind == evidence.size();
+        return Math.min(now, isCorrected ? position - evidence.getOrDefault(replicaSet, 0L) : position);
     }
 
-    /** How long ago a host with this start time started; nothing starts in the future. */
+    /** Returns how long ago a host with this start time started; 0 if the start time is in the future. */
     long timeSinceStart(long now, long start) {
         return Math.max(0, now + startOffset - start);
     }
 
-    /** What the clock of positions is ahead of the own one by, as far as it is taken to be wrong; 0 otherwise. */
+    /**
+     * Returns by how much the clock of positions is estimated to be ahead of the local clock; negative if it is behind,
+     * 0 if the local clock is considered correct.
+     */
     long clockError() {
         return offset != 0 ? offset : startOffset;
     }
--- a/src/main/java/mintstair/decision/PrimaryTracker.java
+++ b/src/main/java/mintstair/decision/PrimaryTracker.java
@@ -3,17 +3,17 @@
 import java.util.function.Supplier;
 
 /**
- * Knows the primary of each replica set, by the newest evidence, and looks for it where that is missing. Times are
- * microseconds. Not safe for use by several threads.
+ * Tracks the primary of each replica set by the newest evidence, and searches for it if it is unknown or may have
+ * failed. Times are in microseconds. Not safe for use by several threads.
  */
 final class PrimaryTracker {
-    /** A primary unheard of for longer is checked before a write is sent to it. */
+    /** A primary without a sign of life for longer than this is checked before a write is sent to it. */
     private static final long CONFIRMATION_MICROS = 1_000_000;
-    /** The shortest time between two searches for a primary; doubled for each that finds none. */
+    /** The shortest interval of searches for a primary; it doubles with each search that finds none. */
     private static final long SEARCH_INTERVAL_MICROS = 100_000;
     /**
-     * The longest time between two searches, in shortest ones, in a small fleet; as many as there are routers in a
-     * larger one.
+     * The longest interval of searches, as a multiple of the shortest one, in a small fleet. In a larger fleet the
+     * multiple is the fleet size.
      */
     private static final int MAX_INTERVAL_FACTOR = 8;
 
@@ -38,7 +38,7 @@
         this.actions = actions;
     }
 
-    /** There is evidence that the endpoint was primary at this time; the newest counts, whatever order it comes in. */
+    /** Records that the endpoint was primary at this time; the newest evidence counts, in whatever order it arrives. */
     void primaryObserved(Endpoint endpoint, long evidenceAt) {
         ReplicaSet replicaSet = endpoint.replicaSet;
         if (evidenceAt < endpoint.replication.replicaEvidenceAt || evidenceAt < replicaSet.primaryEvidenceAt) {
@@ -51,7 +51,7 @@
         replicaSet.primaryEvidenceAt = evidenceAt;
     }
 
-    /** There is evidence that the endpoint was a replica at this time. */
+    /** Records that the endpoint was a replica at this time. */
     void replicaObserved(Endpoint endpoint, long evidenceAt) {
         ReplicaSet replicaSet = endpoint.replicaSet;
         endpoint.replication.replicaEvidenceAt = Math.max(endpoint.replication.replicaEvidenceAt, evidenceAt);
@@ -63,14 +63,14 @@
     }
 
     /**
-     * Whether the primary is known to be alive, so that a write may be risked on it; if not, health checks are sent
-     * to find out. Replicas that advance show that their primary lives.
+     * Returns whether the primary is known to be alive, so that a write can be sent to it; if not, sends health checks.
+     * Replicas that advance show that their primary is alive.
      */
     boolean confirmPrimary(long now, ReplicaSet replicaSet) {
         if (!settings.get().limits().healthChecks()) {
             return true;
         }
-        boolean confirmed = replicaSet.hasUsablePrimary() && isHeardOf(now, replicaSet);
+        boolean confirmed = replicaSet.hasUsablePrimary() && isKnownAlive(now, replicaSet);
         if (confirmed) {
             replicaSet.consecutivePrimarySearches = 0;
         } else {
@@ -79,7 +79,7 @@
         return confirmed;
     }
 
-    private boolean isHeardOf(long now, ReplicaSet replicaSet) {
+    private boolean isKnownAlive(long now, ReplicaSet replicaSet) {
         long lastReplyAt = replicaSet.primary.liveness.lastReplyAt;
         return Math.max(lastReplyAt, positions.localTimeOf(replicaSet.number, now, replicaSet.newestPosition))
                 > now - CONFIRMATION_MICROS;
@@ -91,28 +91,31 @@
         }
         replicaSet.lastPrimarySearchAt = now;
         replicaSet.consecutivePrimarySearches++;
-        boolean everywhere = isPrimaryDoubtful(now, replicaSet);
+        boolean checkAll = isPrimaryDoubtful(now, replicaSet);
         for (Endpoint member : replicaSet.members) {
-            if (member.isServing() && !member.healthCheck.inFlight && (everywhere || member.isPrimary())) {
+            if (member.isServing() && !member.healthCheck.inFlight && (checkAll || member.isPrimary())) {
                 healthChecker.sendCheck(now, member);
             }
         }
     }
 
-    /** In the end all routers together check an endpoint no oftener than one alone does at first. */
+    /**
+     * Returns the interval until the next search. Its maximum grows with the fleet size, so that in the end all routers
+     * together check an endpoint no more often than a single one does at first.
+     */
     private double searchInterval(ReplicaSet replicaSet) {
-        int doubled = 1 << Math.min(MAX_DOUBLINGS, replicaSet.consecutivePrimarySearches);
-        double longest = Math.max(MAX_INTERVAL_FACTOR, fleetShare.effectiveFleetSize());
-        return SEARCH_INTERVAL_MICROS * Math.min(doubled, longest);
+        int factor = 1 << Math.min(MAX_DOUBLINGS, replicaSet.consecutivePrimarySearches);
+        double maxFactor = Math.max(MAX_INTERVAL_FACTOR, fleetShare.effectiveFleetSize());
+        return SEARCH_INTERVAL_MICROS * Math.min(factor, maxFactor);
     }
 
-    /** Whether the primary may be another one, so that all members have to be asked. */
+    /** Returns whether another member may be primary, so that all members must be checked. */
     private static boolean isPrimaryDoubtful(long now, ReplicaSet replicaSet) {
         if (!replicaSet.hasUsablePrimary()) {
             return true;
         }
         Endpoint primary = replicaSet.primary;
-        boolean checkedLately = now - primary.healthCheck.sentAt < 2 * SEARCH_INTERVAL_MICROS;
-        return primary.liveness.consecutiveUnreachable > 0 || checkedLately;
+        boolean checkedRecently = now - primary.healthCheck.sentAt < 2 * SEARCH_INTERVAL_MICROS;
+        return primary.liveness.consecutiveUnreachable > 0 || checkedRecently;
     }
 }
--- a/src/main/java/mintstair/decision/SessionTokens.java
+++ b/src/main/java/mintstair/decision/SessionTokens.java
@@ -4,29 +4,32 @@
 import java.util.LinkedHashMap;
 
 /**
- * The position of each session's last write, where routers remember them. Times and positions are microseconds. Not
- * safe for use by several threads.
+ * The replication position of the last write of each session, for routers that remember it. Times and positions are in
+ * microseconds. Not safe for use by several threads.
  */
 final class SessionTokens {
-    /** Far longer than a new host's copy is old, or than a lag lasts. */
-    private static final long KEPT = 120_000_000;
+    /** How long a token is kept: far longer than a replica lags or the initial data of a new host is old. */
+    private static final long RETENTION_MICROS = 120_000_000;
 
-    private record Token(long position, long heardAt) {}
+    private record Token(long position, long writtenAt) {}
 
-    /** In the order of their last writes, the oldest first. */
+    /** In the order of the last writes, the oldest first. */
     private final LinkedHashMap<String, Token> tokens = new LinkedHashMap<>();
 
-    /** A write of the session was answered; forgets sessions that have not written for long. */
+    /** Records the position of a write that was answered; removes sessions without a recent write. */
     void writeAnswered(long now, String session, long position) {
-        Token before = tokens.remove(session);
-        tokens.put(session, new Token(before == null ? position : Math.max(position, before.position()), now));
+        Token former = tokens.remove(session);
+        tokens.put(session, new Token(former == null ? position : Math.max(position, former.position()), now));
         Iterator<Token> oldestFirst = tokens.values().iterator();
-        while (oldestFirst.hasNext() && now - oldestFirst.next().heardAt() > KEPT) {
+        while (oldestFirst.hasNext() && now - oldestFirst.next().writtenAt() > RETENTION_MICROS) {
             oldestFirst.remove();
         }
     }
 
-    /** The position that the session's reads must see, or {@link Positions#UNKNOWN}; {@code session} may be null. */
+    /**
+     * Returns the position that reads of the session must see, or {@link Positions#UNKNOWN}; {@code session} may be
+     * null.
+     */
     long positionOf(String session) {
         Token token = session == null ? null : tokens.get(session);
         return token == null ? Positions.UNKNOWN : token.position();
