--- a/src/main/java/mintstair/decision/Endpoint.java
+++ b/src/main/java/mintstair/decision/Endpoint.java
@@ -1,20 +1,20 @@
 package mintstair.decision;
 
 /**
- * What is known of one database host, as a member of one replica set: what the endpoint list says of it, and, in
- * parts of their own, its liveness, its replication position, its health checks and its load. State without
- * decisions; times are microseconds on the router's clock. Not safe for use by several threads.
+ * The state of one database host as a member of one replica set: its entry in the endpoint list, and, in objects of
+ * their own, its liveness, replication state, health checks and load. It makes no decisions. Times are in microseconds
+ * on the router's clock. Not safe for use by several threads.
  */
 final class Endpoint {
-    /** A time before all others. */
+    /** The time of an event that has not happened: earlier than all other times. */
     static final long NEVER = Long.MIN_VALUE / 4;
 
-    /** How long an endpoint that was removed from the list is remembered, should it come back. */
-    private static final long REMEMBERED_MICROS = 10_000_000;
+    /** How long the state of a removed endpoint is kept, for the case that it is listed again. */
+    private static final long REMOVED_RETENTION_MICROS = 10_000_000;
 
     final String name;
     final ReplicaSet replicaSet;
-    /** Its concurrency limit while it is the primary. */
+    /** The concurrency limit that applies while the endpoint is the primary. */
     final ConcurrencyLimit primaryLimit;
 
     final SlowStart slowStart = new SlowStart();
@@ -22,20 +22,20 @@
     final Liveness liveness = new Liveness();
     final ReplicationState replication = new ReplicationState();
     final HealthCheckState healthCheck;
-    /** The work of the attempts that this router sent it lately. */
+    /** The work of the attempts that this router has sent recently. */
     final SlidingWindow sentWork = new SlidingWindow();
-    /** Attempts of this router that have not ended. */
+    /** The number of attempts of this router that have not ended. */
     int inFlight;
-    /** When it last rejected an attempt for want of capacity. */
+    /** When it last rejected an attempt for lack of capacity. */
     long overloadedAt = NEVER;
-    /** Its size by the endpoint list, beside those of others. */
+    /** Its capacity relative to other endpoints, according to the endpoint list. */
     double capacityHint = 1;
-    /** Its start by the endpoint list, on the hosts' clock; 0 where it started long ago. */
+    /** Its start time according to the endpoint list, on the hosts' clock; 0 if it started long ago. */
     long listedStartTime;
 
     private boolean serving;
     private boolean draining;
-    private boolean removalDoubted;
+    private boolean removalIgnored;
     private long removedAt;
 
     Endpoint(String name, ReplicaSet replicaSet, ConcurrencyLimit primaryLimit, long firstCheckAt) {
@@ -45,21 +45,24 @@
         healthCheck = new HealthCheckState(firstCheckAt);
     }
 
-    /** The endpoint list names it with this state. */
+    /** Applies an entry of the endpoint list with this state. */
     void listed(long now, EndpointState state, boolean removalIsAdvisory) {
         draining = state == EndpointState.DRAINING || (draining && state == EndpointState.REMOVED);
         serving = !draining;
-        removalDoubted = false;
+        removalIgnored = false;
         removedAt = 0;
         if (state == EndpointState.REMOVED) {
             removed(now, removalIsAdvisory);
         }
     }
 
-    /** The endpoint list no longer names it; where removal is advisory it stays in use as long as it answers. */
+    /**
+     * Applies a removal from the endpoint list. If removals are advisory and the endpoint is not draining, it stays in
+     * use for as long as it replies.
+     */
     void removed(long now, boolean removalIsAdvisory) {
         if (removalIsAdvisory && !draining) {
-            removalDoubted = true;
+            removalIgnored = true;
             return;
         }
         if (removedAt == 0) {
@@ -68,47 +71,49 @@
         serving = false;
     }
 
-    /** It has moved to another replica set: this one must not use it any more. */
+    /** Ends its use as a member of this replica set, because it has moved to another one. */
     void stopServing() {
         serving = false;
     }
 
-    /** Whether new attempts may be sent to it, as far as the endpoint list goes. */
+    /** Returns whether the endpoint list allows new attempts. */
     boolean isServing() {
         return serving;
     }
 
-    /** Whether the list has removed it, and it is used all the same as the removal is advisory. */
+    /** Returns whether the endpoint stays in use although the list has removed it, because removals are advisory. */
     boolean isRemovalIgnored() {
-        return removalDoubted;
+        return removalIgnored;
     }
 
-    /** Whether the list has removed it. */
+    /** Returns whether the endpoint is removed and not in use any more. */
     boolean isRemoved() {
         return removedAt != 0;
     }
 
-    /** Whether it was removed long ago and nothing of this router is in flight there. */
+    /**
+     * Returns whether its state can be discarded: it was removed long ago and has no attempt of this router in flight.
+     */
     boolean isExpired(long now) {
-        return removedAt != 0 && now - removedAt >= REMEMBERED_MICROS && inFlight == 0;
+        return removedAt != 0 && now - removedAt >= REMOVED_RETENTION_MICROS && inFlight == 0;
     }
 
-    /** Whether it is the believed primary of its replica set. */
+    /** Returns whether this router takes it for the primary of its replica set. */
     boolean isPrimary() {
         return replicaSet.primary == this;
     }
 
-    /** Whether it is in use, for trial requests at most: unresponsive, or most of its attempts fail. */
+    /** Returns whether it gets trial requests at most, because it is unresponsive or most of its attempts fail. */
     boolean isEjected() {
         return liveness.isUnresponsive() || outliers.isFailing();
     }
 
-    /** Whether it is warming up now. */
+    /** Returns whether it is warming up. */
     boolean isInSlowStart(long now, ProtectionSettings protection) {
         return slowStart.isActive() && slowStart.share(now, protection) < 1;
     }
 
-    /** The share of its capacity that it can be trusted with, below 1 during slow start. */
+    /** Returns the share of its capacity that may be used; below 1 during slow start. */
     double capacityShare(long now, ProtectionSettings protection) {
         return slowStart.share(now, protection);
     }
--- a/src/main/java/mintstair/decision/EndpointDirectory.java
+++ b/src/main/java/mintstair/decision/EndpointDirectory.java
@@ -11,19 +11,19 @@
 import java.util.function.Supplier;
 
 /**
- * The endpoints and replica sets that the endpoint list names, and those that it named lately. Times are
+ * The endpoints and replica sets of the endpoint list, including endpoints that were removed recently. Times are in
  * microseconds. Not safe for use by several threads.
  */
 final class EndpointDirectory {
     /**
-     * Times the fleet size: the span over which routers that learn of an endpoint together spread their first health
-     * checks.
+     * The span, for each router of the fleet, over which routers that learn of an endpoint at the same time spread
+     * their first health checks.
      */
-    private static final long FIRST_CHECK_SPREAD_MICROS = 1_000;
+    private static final long FIRST_CHECK_SPREAD_PER_ROUTER_MICROS = 1_000;
 
     private final Supplier<RouterSettings> settings;
     private final FleetShare fleetShare;
-    private final PooledLimits pooled;
+    private final PooledLimits pooledLimits;
     private final SlowStartController slowStarts;
     private final PrimaryTracker primaries;
     private final Random random;
@@ -33,19 +33,19 @@
     EndpointDirectory(
             Supplier<RouterSettings> settings,
             FleetShare fleetShare,
-            PooledLimits pooled,
+            PooledLimits pooledLimits,
             SlowStartController slowStarts,
             PrimaryTracker primaries,
             Random random) {
         this.settings = settings;
         this.fleetShare = fleetShare;
-        this.pooled = pooled;
+        this.pooledLimits = pooledLimits;
         this.slowStarts = slowStarts;
         this.primaries = primaries;
         this.random = random;
     }
 
-    /** Takes in a snapshot of the endpoint list, or changes to it. */
+    /** Applies a snapshot of the endpoint list, or changes to it. */
     void update(long now, EndpointUpdateType type, List<EndpointEntry> entries) {
         if (type != EndpointUpdateType.DELTA) {
             removeMissing(now, entries);
@@ -53,16 +53,16 @@
         for (EndpointEntry entry : entries) {
             update(now, entry);
         }
-        endpoints.values().removeIf(endpoint -> forget(now, endpoint));
+        endpoints.values().removeIf(endpoint -> removeIfExpired(now, endpoint));
     }
 
     private void removeMissing(long now, List<EndpointEntry> entries) {
-        Set<String> named = new HashSet<>();
+        Set<String> listedHosts = new HashSet<>();
         for (EndpointEntry entry : entries) {
-            named.add(entry.host());
+            listedHosts.add(entry.host());
         }
         for (Endpoint endpoint : endpoints.values()) {
-            if (!named.contains(endpoint.name)) {
+            if (!listedHosts.contains(endpoint.name)) {
                 endpoint.removed(now, isRemovalAdvisory());
             }
         }
@@ -72,7 +72,7 @@
         Endpoint endpoint = endpoints.get(entry.host());
         ReplicaSet replicaSet = replicaSet(entry.replicaSet());
         if (endpoint != null && endpoint.replicaSet != replicaSet) {
-            // Nothing known of it holds in another replica set, and the old one must not use it.
+            // The state of an endpoint is valid in one replica set only, and the former set must not use it any more.
             endpoint.stopServing();
             endpoint.replicaSet.remove(endpoint);
             endpoint = null;
@@ -86,7 +86,7 @@
             endpoint.listedStartTime = entry.startTimeMicros();
             slowStarts.judgeListedStart(now, endpoint);
         }
-        // The list's role is late: it only fills in where nothing better is known.
+        // The role in the list lags behind: it counts only while no primary is known.
         if (settings.get().listReportsRole() && entry.primary() && replicaSet.primary == null) {
             primaries.primaryObserved(endpoint, 0);
         }
@@ -94,16 +94,17 @@
 
     private Endpoint add(long now, String name, ReplicaSet replicaSet) {
         double fleetSize = fleetShare.effectiveFleetSize();
-        long spread = Math.min(HealthChecker.INTERVAL_MICROS / 2, (long) (fleetSize * FIRST_CHECK_SPREAD_MICROS));
+        long spread =
+                Math.min(HealthChecker.INTERVAL_MICROS / 2, (long) (fleetSize * FIRST_CHECK_SPREAD_PER_ROUTER_MICROS));
         long firstCheckAt = now + (long) (random.nextDouble() * spread);
-        Endpoint endpoint = new Endpoint(name, replicaSet, pooled.newPrimaryLimit(fleetSize), firstCheckAt);
+        Endpoint endpoint = new Endpoint(name, replicaSet, pooledLimits.newPrimaryLimit(fleetSize), firstCheckAt);
         endpoints.put(name, endpoint);
         replicaSet.members.add(endpoint);
         return endpoint;
     }
 
-    /** Endpoints come and go under new names all day long: one that stays away is forgotten. */
-    private static boolean forget(long now, Endpoint endpoint) {
+    /** Removes an expired endpoint from its replica set: hosts are replaced under new names all the time. */
+    private static boolean removeIfExpired(long now, Endpoint endpoint) {
         if (!endpoint.isExpired(now)) {
             return false;
         }
@@ -115,7 +116,7 @@
         return settings.get().protection().removalIsAdvisory();
     }
 
-    /** Concludes anew, by other settings, what was concluded by the former ones. */
+    /** Applies new settings to the concurrency limits, slow starts and removals of all endpoints. */
     void settingsChanged(long now) {
         double fleetSize = fleetShare.effectiveFleetSize();
         for (ReplicaSet replicaSet : replicaSets.values()) {
@@ -130,7 +131,7 @@
         }
     }
 
-    /** What is known of the hosts' clock has changed: starts by the endpoint list are judged anew. */
+    /** Evaluates the listed start times again, because the estimate of the hosts' clock has changed. */
     void hostClockChanged(long now) {
         for (Endpoint endpoint : endpoints.values()) {
             if (endpoint.listedStartTime > 0) {
@@ -139,44 +140,46 @@
         }
     }
 
-    /** The endpoint of this name, or null. */
+    /** Returns the endpoint with this name, or null. */
     Endpoint endpoint(String name) {
         return endpoints.get(name);
     }
 
-    /** All endpoints, in the order in which they were first listed. */
+    /** Returns all endpoints, in the order in which they were first listed. */
     Collection<Endpoint> endpoints() {
         return endpoints.values();
     }
 
-    /** The replica set of this number; it comes to be when it is first named. */
+    /** Returns the replica set with this number; creates it if there is none. */
     ReplicaSet replicaSet(int number) {
         return replicaSets.computeIfAbsent(
-                number, key -> new ReplicaSet(key, pooled.newReplicaLimit(fleetShare.effectiveFleetSize())));
+                number, key -> new ReplicaSet(key, pooledLimits.newReplicaLimit(fleetShare.effectiveFleetSize())));
     }
 
-    /** All replica sets, by their numbers. */
+    /** Returns all replica sets, in the order of their numbers. */
     Collection<ReplicaSet> replicaSets() {
         return replicaSets.values();
     }
 
-    /** Tells how many endpoints are there to serve, and what share of their capacity they have. */
+    /**
+     * Passes the number of usable endpoints, their available capacity and their capacity hints to {@code throughput}.
+     */
     void updateThroughput(long now, HostThroughput throughput) {
         ProtectionSettings protection = settings.get().protection();
         int count = 0;
-        double warm = 0;
-        double sizes = 0;
+        double availableCapacity = 0;
+        double capacityHints = 0;
         for (Endpoint endpoint : endpoints.values()) {
             if (endpoint.isServing() && !endpoint.liveness.isUnresponsive()) {
                 count++;
-                warm += endpoint.capacityShare(now, protection);
-                sizes += endpoint.capacityHint;
+                availableCapacity += endpoint.capacityShare(now, protection);
+                capacityHints += endpoint.capacityHint;
             }
         }
-        throughput.advance(now, count, warm, sizes);
+        throughput.advance(now, count, availableCapacity, capacityHints);
     }
 
-    /** How many listed endpoints are draining, unresponsive or failing. */
+    /** Returns the number of listed endpoints that are draining, unresponsive or failing. */
     int countUnavailable(long now) {
         int count = 0;
         for (Endpoint endpoint : endpoints.values()) {
--- a/src/main/java/mintstair/decision/EndpointEntry.java
+++ b/src/main/java/mintstair/decision/EndpointEntry.java
@@ -1,6 +1,13 @@
 package mintstair.decision;
 
-/** One host as listed. */
+/**
+ * One host as listed.
+ *
+ * @param primary whether the list names it as the primary of its replica set
+ * @param replicaSet the number of its replica set
+ * @param capacityHint its capacity relative to other hosts
+ * @param startTimeMicros when it last started, on the hosts' clock; 0 if it started long ago
+ */
 public record EndpointEntry(
         String host,
         boolean primary,
@@ -8,5 +15,4 @@
         int replicaSet,
         EndpointState state,
         double capacityHint,
-        // 0 where it started long ago
         long startTimeMicros) {}
--- a/src/main/java/mintstair/decision/EndpointSelector.java
+++ b/src/main/java/mintstair/decision/EndpointSelector.java
@@ -4,9 +4,10 @@
 import mintstair.request.GiveUpReason;
 
 /**
- * Chooses the endpoint for an attempt: the primary for writes and strong reads, a replica that is recent enough for
- * other reads, else the primary, and for a request that continues a cursor the endpoint that holds it. Where a health
- * check may help, it is sent. Times are microseconds. Not safe for use by several threads.
+ * Chooses the endpoint for an attempt. Writes and strong reads go to the primary; other reads go to a replica that is
+ * recent enough, or else to the primary; a request that continues a cursor goes to the endpoint that holds the cursor.
+ * If a health check could make an endpoint eligible, the selector sends it. Times are in microseconds. Not safe for use
+ * by several threads.
  */
 final class EndpointSelector {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -45,7 +46,7 @@
         this.healthChecker = healthChecker;
     }
 
-    /** The endpoint for the next attempt, or null where there is none now. */
+    /** Returns the endpoint for the next attempt, or null if none is available now. */
     Endpoint choose(long now, InFlightRequest request) {
         ReplicaSet replicaSet = directory.replicaSet(request.request.replicaSet());
         if (request.isSticky()) {
@@ -60,7 +61,8 @@
     }
 
     /**
-     * The endpoint that holds the request's cursor while that is known to be recent enough; it is polled to find out.
+     * Returns the endpoint that holds the request's cursor, or null if it is not available or not known to be recent
+     * enough. In the latter case it is polled.
      */
     private Endpoint chooseSticky(long now, ReplicaSet replicaSet, InFlightRequest request) {
         Endpoint endpoint = directory.endpoint(request.request.stickyHost());
@@ -80,18 +82,18 @@
     }
 
     private Endpoint chooseForRead(long now, ReplicaSet replicaSet, InFlightRequest read) {
-        boolean checked = settings.get().replicaReadCheck() != ReplicaReadCheck.NONE;
-        boolean bounded = read.requestClass().consistency() == Consistency.BOUNDED_STALENESS;
+        boolean isChecked = settings.get().replicaReadCheck() != ReplicaReadCheck.NONE;
+        boolean isBounded = read.requestClass().consistency() == Consistency.BOUNDED_STALENESS;
         long required = freshness.requiredPosition(now, read);
-        // Where replicas check reads, a misdirected one is cheap, so those that may be recent enough count as well:
-        // with proven ones alone, all reads crowd for a moment upon whichever replica was polled last.
-        long tolerance = checked && bounded ? replicaSet.reportAge() : 0;
+        // If replicas check reads, a misdirected read is cheap, so replicas that are probably recent enough are
+        // eligible too. With proven replicas alone, all reads would go to whichever replica was polled last.
+        long tolerance = isChecked && isBounded ? replicaSet.reportAge() : 0;
         Endpoint replica = replicas.select(now, replicaSet, read, new ReadRequirement(required, tolerance, true));
         Endpoint primary = replica == null && isPollTooCostly(now, read, replicaSet)
                 ? primaryAdmission.admit(now, replicaSet, read)
                 : null;
-        boolean mayImprove = primary == null && (replica == null || ReplicaSelector.hasExcessLoad(replica));
-        if (mayImprove && healthChecker.checkOnDemand(now, replicaSet, read, required)) {
+        boolean canImprove = primary == null && (replica == null || ReplicaSelector.hasExcessLoad(replica));
+        if (canImprove && healthChecker.checkOnDemand(now, replicaSet, read, required)) {
             return null;
         }
         if (replica == null && primary == null) {
@@ -105,13 +107,15 @@
     }
 
     /**
-     * A poll serves all reads of its replica set within a staleness bound. Where less than one comes in that time it
-     * costs more than that read gains on a replica in place of a primary with capacity for it.
+     * Returns whether a poll costs more than it gains. A poll serves all reads of its replica set within a staleness
+     * bound. If fewer than one arrives in that time, the poll costs more than the read gains by going to a replica
+     * instead of to a primary that has capacity for it.
      */
     private boolean isPollTooCostly(long now, InFlightRequest read, ReplicaSet replicaSet) {
-        double readsABound = requestRate.perSecond(now) * classes.tightestStaleness();
-        boolean rare = readsABound < MICROS_PER_SECOND * directory.replicaSets().size();
-        return rare && !read.wasSentTo(replicaSet.primary);
+        double readsPerBound = requestRate.perSecond(now) * classes.tightestStaleness();
+        boolean isRare =
+                readsPerBound < MICROS_PER_SECOND * directory.replicaSets().size();
+        return isRare && !read.wasSentTo(replicaSet.primary);
     }
 
     private void recordFallback(ReplicaSet replicaSet, InFlightRequest read, boolean fellBack) {
@@ -124,14 +128,14 @@
     private Endpoint fallBackToPrimary(
             long now, ReplicaSet replicaSet, InFlightRequest read, Endpoint admitted, long required) {
         if (!replicaSet.hasUsablePrimary()) {
-            // The next primary is looked for at once: writes, which look for it too, may come too rarely.
+            // Starts the search for the new primary at once: writes, which also start it, may be too rare.
             primaries.confirmPrimary(now, replicaSet);
         }
         Endpoint primary = admitted != null ? admitted : primaryAdmission.admit(now, replicaSet, read);
         if (primary != null || settings.get().replicaReadCheck() == ReplicaReadCheck.NONE) {
             return primary;
         }
-        // While replicas lag the primary is full first: a misdirected read is still cheaper than a rejected one.
+        // While replicas lag, the primary reaches its limit first. A misdirected read is cheaper than a rejected one.
         return replicas.select(now, replicaSet, read, new ReadRequirement(required, replicaSet.reportAge(), false));
     }
 }
--- a/src/main/java/mintstair/decision/EndpointState.java
+++ b/src/main/java/mintstair/decision/EndpointState.java
@@ -1,6 +1,6 @@
 package mintstair.decision;
 
-/** The state of a host by the endpoint list. */
+/** The state of a host according to the endpoint list. */
 public enum EndpointState {
     SERVING,
     DRAINING,
--- a/src/main/java/mintstair/decision/ListSubscription.java
+++ b/src/main/java/mintstair/decision/ListSubscription.java
@@ -3,12 +3,12 @@
 import java.util.Random;
 
 /**
- * Keeps the router subscribed to the endpoint list, with a backoff while that is out of reach. Not safe for use by
- * several threads.
+ * Subscribes the router to the endpoint list, and retries with backoff while the list is unreachable. Not safe for use
+ * by several threads.
  */
 final class ListSubscription {
     private static final String TIMER = "subscribe";
-    /** Before the list is asked for again, in microseconds; doubled for each failure in a row, and jittered. */
+    /** The backoff after the first failure; it doubles with each consecutive failure, and jitter is added. */
     private static final long INITIAL_BACKOFF_MICROS = 500_000;
 
     private static final int MAX_DOUBLINGS = 4;
@@ -22,28 +22,31 @@
         this.random = random;
     }
 
-    /** Asks for the list, where these settings have the router do so. */
+    /** Subscribes to the list if these settings say so. */
     void start(RouterSettings settings) {
         if (settings.subscribesToEndpoints()) {
             actions.subscribe();
         }
     }
 
-    /** A call for the list has failed: the old one stays in use, and routers must not ask again all at once. */
+    /**
+     * Schedules another attempt after a failure. The last list stays in use; the jitter keeps routers from retrying all
+     * at once.
+     */
     void failed() {
-        long wait = INITIAL_BACKOFF_MICROS << Math.min(failures++, MAX_DOUBLINGS);
-        actions.startTimer(TIMER, wait + (long) (random.nextDouble() * wait));
+        long backoff = INITIAL_BACKOFF_MICROS << Math.min(failures++, MAX_DOUBLINGS);
+        actions.startTimer(TIMER, backoff + (long) (random.nextDouble() * backoff));
         if (failures == 1) {
-            actions.log("endpoint list unreachable; the last one stays in use");
+            actions.log("endpoint list unreachable; the last list stays in use");
         }
     }
 
-    /** A list has come. */
+    /** Resets the backoff, because a list has arrived. */
     void succeeded() {
         failures = 0;
     }
 
-    /** A timer has fired; asks again if it is the one of the backoff. */
+    /** Subscribes again if the timer that fired is the one of the backoff. */
     void timerFired(String name) {
         if (name.equals(TIMER)) {
             actions.subscribe();
--- a/src/main/java/mintstair/decision/ReplicaSelector.java
+++ b/src/main/java/mintstair/decision/ReplicaSelector.java
@@ -5,24 +5,24 @@
 import java.util.function.Supplier;
 
 /**
- * Selects a replica for a read: at random among those that are recent enough and have capacity, weighted by their
- * health and their slow start. Not safe for use by several threads.
+ * Selects a replica for a read, at random among those that are recent enough and have capacity, weighted by health and
+ * slow start. Times are in microseconds. Not safe for use by several threads.
  */
 final class ReplicaSelector {
     /**
-     * A replica with over this many times its peers' mean in flight is left out: chance alone loads one to twice
-     * another.
+     * A replica with more than this many times the mean of its peers in flight is not selected: chance alone can put
+     * twice as many on one replica as on another.
      */
-    private static final double CROWDED_FACTOR = 1.3;
-    /** Allowed beyond the mean number in flight, whatever that is. */
-    private static final double CROWDED_MARGIN = 0.5;
-    /** Chance loads one replica to so many times the mean limit. */
-    private static final double UNEVENNESS = 2;
+    private static final double EXCESS_LOAD_FACTOR = 1.3;
+    /** A load of up to this many attempts above that multiple of the mean is not yet excess load. */
+    private static final double EXCESS_LOAD_MARGIN = 0.5;
+    /** How many times the mean limit one replica may have in flight, since chance distributes requests unevenly. */
+    private static final double UNEVENNESS_FACTOR = 2;
     /** The weight of an unresponsive, failing or slow replica. */
     static final double TRIAL_WEIGHT = 0.03;
-    /** Latency over peers past which a replica's weight sinks, with the square. */
+    /** The latency relative to peers above which the weight of a replica decreases with the square of its latency. */
     private static final double SLOW_FACTOR = 1.6;
-    /** An endpoint that rejected an attempt for want of capacity rests this long. */
+    /** How long an endpoint that rejected an attempt for lack of capacity gets no requests. */
     static final long OVERLOADED_REST_MICROS = 100_000;
 
     private final Supplier<RouterSettings> settings;
@@ -41,12 +41,12 @@
         this.random = random;
     }
 
-    /** A replica for the read, or null where none is recent enough and has capacity. */
+    /** Returns a replica for the read, or null if none is recent enough and has capacity. */
     Endpoint select(long now, ReplicaSet replicaSet, InFlightRequest read, ReadRequirement requirement) {
         List<Endpoint> members = replicaSet.members;
         ReplicaSurvey survey = survey(now, replicaSet);
-        double mostInFlight = crowdedAbove(now, replicaSet, read, requirement);
-        double use = (survey.inFlight() + read.admissionSample)
+        double maxInFlight = maxInFlight(now, replicaSet, read, requirement);
+        double utilization = (survey.inFlight() + read.admissionSample)
                 / (survey.trustedCapacity() * replicaSet.replicaLimit.value(now))
                 / read.capacityShare();
         double[] weights = new double[members.size()];
@@ -56,22 +56,22 @@
             Endpoint member = members.get(i);
             serving += member.isServing() && !member.isPrimary() ? 1 : 0;
             if (freshness.isRecentEnough(now, member, read, requirement)
-                    && member.inFlight <= mostInFlight
-                    && hasCapacity(now, member, read, use)) {
+                    && member.inFlight <= maxInFlight
+                    && hasCapacity(now, member, read, utilization)) {
                 weights[i] = healthWeight(member, survey) * capacityShare(now, member);
                 sum += weights[i];
             }
         }
-        double directedPerWeight = readsPerSecond(now, replicaSet) / sum;
-        double peersShare = sum / Math.max(1, serving);
-        int drawn = draw(weights);
-        while (drawn >= 0) {
-            Endpoint member = members.get(drawn);
-            if (mayTake(now, member, read, weights[drawn] * directedPerWeight, peersShare)) {
+        double demandPerWeight = readsPerSecond(now, replicaSet) / sum;
+        double eligibleShare = sum / Math.max(1, serving);
+        int index = draw(weights);
+        while (index >= 0) {
+            Endpoint member = members.get(index);
+            if (maySend(now, member, read, weights[index] * demandPerWeight, eligibleShare)) {
                 return member;
             }
-            weights[drawn] = 0;
-            drawn = draw(weights);
+            weights[index] = 0;
+            index = draw(weights);
         }
         return null;
     }
@@ -81,18 +81,19 @@
     }
 
     /**
-     * Whether the endpoint that was drawn may take the read. One in slow start or on trial gets no more than its part
-     * when its peers are away: what all routers together would send it in their stead overloads it, or is lost.
+     * Returns whether the endpoint that was drawn may be sent the read. One that is in slow start or unresponsive gets
+     * no more than its own share while its peers are not eligible: if all routers sent it the requests of its peers, it
+     * would be overloaded or the requests would be lost.
      */
-    private boolean mayTake(
-            long now, Endpoint endpoint, InFlightRequest read, double directedPerSecond, double peersShare) {
-        if (isWeak(now, endpoint) && read.admissionSample >= peersShare) {
+    private boolean maySend(
+            long now, Endpoint endpoint, InFlightRequest read, double demandPerSecond, double eligibleShare) {
+        if (isRestricted(now, endpoint) && read.admissionSample >= eligibleShare) {
             return false;
         }
-        return slowStartBudget.admits(now, endpoint, read, directedPerSecond);
+        return slowStartBudget.admits(now, endpoint, read, demandPerSecond);
     }
 
-    /** The index of a random one of these weights, each with a probability in proportion to it; -1 where all are 0. */
+    /** Returns a random index, with a probability proportional to its weight; -1 if all weights are 0. */
     private int draw(double[] weights) {
         double sum = 0;
         for (double weight : weights) {
@@ -102,23 +103,25 @@
             return -1;
         }
         double remaining = random.nextDouble() * sum;
-        int drawn = -1;
+        int index = -1;
         for (int i = 0; i < weights.length && remaining >= 0; i++) {
             if (weights[i] > 0) {
-                drawn = i;
+                index = i;
             }
             remaining -= weights[i];
         }
-        return drawn;
+        return index;
     }
 
-    private boolean isWeak(long now, Endpoint endpoint) {
+    private boolean isRestricted(long now, Endpoint endpoint) {
         return endpoint.liveness.isUnresponsive()
                 || (endpoint.slowStart.isActive() && capacityShare(now, endpoint) < 1);
     }
 
-    /** The number in flight above which a replica sits out, by the mean of those that may take the read. */
-    private double crowdedAbove(long now, ReplicaSet replicaSet, InFlightRequest read, ReadRequirement requirement) {
+    /**
+     * Returns the number in flight above which a replica is not selected, by the mean of those that may serve the read.
+     */
+    private double maxInFlight(long now, ReplicaSet replicaSet, InFlightRequest read, ReadRequirement requirement) {
         double inFlight = 0;
         int peers = 0;
         for (Endpoint member : replicaSet.members) {
@@ -127,17 +130,19 @@
                 peers++;
             }
         }
-        return peers == 0 ? 0 : CROWDED_FACTOR * inFlight / peers + 1;
+        return peers == 0 ? 0 : EXCESS_LOAD_FACTOR * inFlight / peers + 1;
     }
 
-    /** Whether one replica gets nearly all that this router sends to its replica set. */
+    /**
+     * Returns whether the endpoint has clearly more than its part of what this router has in flight at its replica set.
+     */
     static boolean hasExcessLoad(Endpoint endpoint) {
         double inFlight = endpoint.replicaSet.inFlight();
         int members = endpoint.replicaSet.members.size();
-        return endpoint.inFlight > CROWDED_FACTOR * inFlight / members + CROWDED_MARGIN;
+        return endpoint.inFlight > EXCESS_LOAD_FACTOR * inFlight / members + EXCESS_LOAD_MARGIN;
     }
 
-    /** What is in flight at the replicas of a set, what they can be trusted with, and how slow they are in the mean. */
+    /** Returns the load, the capacity and the mean slowdown of the responsive replicas of a set. */
     ReplicaSurvey survey(long now, ReplicaSet replicaSet) {
         double inFlight = 0;
         double trustedCapacity = 0;
@@ -162,25 +167,27 @@
     }
 
     /**
-     * Whether there is capacity for the read: in the replica set, of which {@code use} is taken, and at the endpoint.
+     * Returns whether there is capacity for the read, both at the endpoint and in the replica set.
+     *
+     * @param utilization the part of the read's share of the capacity of the set that is in use
      */
-    private boolean hasCapacity(long now, Endpoint endpoint, InFlightRequest read, double use) {
+    private boolean hasCapacity(long now, Endpoint endpoint, InFlightRequest read, double utilization) {
         if (endpoint.liveness.isUnresponsive()) {
             return read.isRepeatable() && endpoint.inFlight == 0;
         }
         double mean = endpoint.replicaSet.replicaLimit.value(now);
-        double limit = Math.max(1, UNEVENNESS * mean * capacityShare(now, endpoint));
-        return use < 1 && endpoint.inFlight < limit && now - endpoint.overloadedAt >= OVERLOADED_REST_MICROS;
+        double limit = Math.max(1, UNEVENNESS_FACTOR * mean * capacityShare(now, endpoint));
+        return utilization < 1 && endpoint.inFlight < limit && now - endpoint.overloadedAt >= OVERLOADED_REST_MICROS;
     }
 
-    /** A replica's weight by its symptoms: no answers, failures, latency over its peers'. */
+    /** Returns the weight of a replica by its health: ejection, failure rate, and latency relative to its peers. */
     private static double healthWeight(Endpoint endpoint, ReplicaSurvey survey) {
         if (endpoint.isEjected()) {
             return TRIAL_WEIGHT;
         }
         double slowdown = endpoint.outliers.slowdown() / survey.meanSlowdown();
-        double succeeding = 1 - endpoint.outliers.failureRate();
-        double weight = succeeding * succeeding;
+        double successRate = 1 - endpoint.outliers.failureRate();
+        double weight = successRate * successRate;
         if (slowdown <= SLOW_FACTOR) {
             return weight;
         }
--- a/src/main/java/mintstair/decision/ReplicaSet.java
+++ b/src/main/java/mintstair/decision/ReplicaSet.java
@@ -5,35 +5,35 @@
 import java.util.List;
 
 /**
- * One primary and its replicas, as far as known, and the requests that wait for one of them. State without decisions;
- * not safe for use by several threads.
+ * The state of one replica set: its members, the primary as far as known, and the requests that wait for one of them.
+ * It makes no decisions. Times are in microseconds. Not safe for use by several threads.
  */
 final class ReplicaSet {
-    /** Assumed age of reports, in microseconds, until a primary's own have shown how old they come. */
-    private static final long INITIAL_REPORT_AGE = 300_000;
-
+    /** The assumed age of reports on arrival, until reports of a primary have shown it. */
+    private static final long INITIAL_REPORT_AGE_MICROS = 300_000;
+    /** The factor by which the estimated age of reports decreases with each report that is younger. */
     private static final double REPORT_AGE_DECAY = 0.95;
 
     final int number;
     final List<Endpoint> members = new ArrayList<>();
     final ArrayDeque<InFlightRequest> pending = new ArrayDeque<>();
-    /** What this router's clients ask of the set. */
+    /** The demand of this router's clients for the set. */
     final ReplicaSetDemand demand = new ReplicaSetDemand();
-    /** The limit of each replica. */
+    /** The concurrency limit of each replica. */
     final ConcurrencyLimit replicaLimit;
-    /** The believed primary; null where none is known. */
+    /** The primary by the newest evidence; null if none is known. */
     Endpoint primary;
-    /** The time of the newest evidence for the primary. */
+    /** The time of the newest evidence for {@link #primary}. */
     long primaryEvidenceAt = Positions.UNKNOWN;
-    /** The newest position known of any member. */
+    /** The newest known position of all members. */
     long newestPosition;
-    /** When the primary was last looked for, and how often in a row. */
+    /** When the primary was last searched for. */
     long lastPrimarySearchAt = Endpoint.NEVER;
-
+    /** The number of consecutive searches that have not confirmed a primary. */
     int consecutivePrimarySearches;
-    /** How old reports are when they arrive, in microseconds. */
-    private long reportAge = INITIAL_REPORT_AGE;
-    /** Part of its reads for which no replica was recent enough. */
+    /** The estimated age of reports on arrival. */
+    private long reportAge = INITIAL_REPORT_AGE_MICROS;
+    /** The part of the reads for which no replica was recent enough. */
     final FallbackRate fallbackRate = new FallbackRate();
 
     ReplicaSet(int number, ConcurrencyLimit replicaLimit) {
@@ -41,12 +41,12 @@
         this.replicaLimit = replicaLimit;
     }
 
-    /** Whether requests can be sent to a primary now. */
+    /** Returns whether the primary is known, serving and responsive. */
     boolean hasUsablePrimary() {
         return primary != null && primary.isServing() && !primary.liveness.isUnresponsive();
     }
 
-    /** Whether a read can go to a replica, if one is recent enough. */
+    /** Returns whether any replica is serving and responsive. */
     boolean hasUsableReplica() {
         for (Endpoint member : members) {
             if (member != primary && member.isServing() && !member.liveness.isUnresponsive()) {
@@ -56,7 +56,7 @@
         return false;
     }
 
-    /** Forgets a member that is gone or belongs to another replica set. */
+    /** Removes a member that has expired or belongs to another replica set. */
     void remove(Endpoint endpoint) {
         members.remove(endpoint);
         if (primary == endpoint) {
@@ -64,17 +64,17 @@
         }
     }
 
-    /** A report of the primary was this old when it arrived. */
+    /** Records the age that a report of the primary had on arrival. */
     void recordReportAge(long age) {
         reportAge = Math.max(age, (long) (reportAge * REPORT_AGE_DECAY));
     }
 
-    /** How old reports are when they arrive, in microseconds. */
+    /** Returns the estimated age of reports on arrival. */
     long reportAge() {
         return reportAge;
     }
 
-    /** The number of attempts of this router in flight at all members. */
+    /** Returns the number of attempts of this router in flight at all members. */
     int inFlight() {
         int sum = 0;
         for (Endpoint member : members) {
--- a/src/main/java/mintstair/decision/ReplicaSurvey.java
+++ b/src/main/java/mintstair/decision/ReplicaSurvey.java
@@ -1,22 +1,22 @@
 package mintstair.decision;
 
 /**
- * The replicas of one set together, without those that are unresponsive.
+ * The state of all responsive replicas of one set together.
  *
- * @param inFlight attempts of this router in flight at them
- * @param trustedCapacity how many warm replicas they count for
- * @param meanSlowdown their mean latency over what is usual
+ * @param inFlight the number of attempts of this router in flight at them
+ * @param trustedCapacity their capacity, as a number of warm replicas
+ * @param meanSlowdown the mean of their latencies relative to the usual ones
  */
 record ReplicaSurvey(double inFlight, double trustedCapacity, double meanSlowdown) {
-    /** The least trusted capacity, so that it can be divided by. */
+    /** The smallest value of the capacity, which is used as a divisor. */
     static final double MIN_CAPACITY = 1e-6;
 
-    /** Attempts in flight for each warm replica. */
+    /** Returns the number of attempts in flight per warm replica. */
     double inFlightPerReplica() {
         return inFlight / trustedCapacity;
     }
 
-    /** What one more attempt adds to {@link #inFlightPerReplica}. */
+    /** Returns by how much one more attempt increases {@link #inFlightPerReplica}. */
     double increasePerAttempt() {
         return 1 / trustedCapacity;
     }
