--- a/src/main/java/mintstair/decision/InvalidSettingsException.java
+++ b/src/main/java/mintstair/decision/InvalidSettingsException.java
@@ -1,6 +1,6 @@
 package mintstair.decision;
 
-/** Settings that no router can work with; the message names the setting and what it must be. */
+/** Thrown for settings with which no router can work; the message names the setting and its valid range. */
 public final class InvalidSettingsException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -5,17 +5,20 @@
 import mintstair.request.GiveUpReason;
 
 /**
- * The decisions of one router: which endpoint serves a request, whether it is tried again, whether it is rejected.
+ * Makes the decisions of one router: which endpoint serves a request, and whether the request is retried or rejected.
  *
- * <p>A write goes to the primary. A read goes to a random replica whose known position has reached what the read has to
- * see, which is the last write of its session or the present less the staleness bound, else to the primary. A request
- * for which there is no capacity waits in the queue of its replica set; one that has waited for too long, or may not be
- * tried again, gets its final answer at once. docs/design.md lists the departures from this and their conditions.
+ * <p>A write is sent to the primary. A read is sent to a random replica whose known position has reached the one that
+ * the read must see, which is that of the last write of its session, or the current position minus the staleness bound.
+ * If there is no such replica, the read is sent to the primary. A request for which there is no capacity waits in the
+ * queue of its replica set. One that has waited for too long, or must not be retried, gets its final response at once.
+ * docs/design.md lists the exceptions to this and their conditions.
  *
- * <p>A router may be one of hundreds with little traffic each: what acts on hardly any evidence acts with a probability
- * in proportion to this router's own requests, so that the sum over all routers is right.
+ * <p>A router may be one of hundreds with little traffic each. Decisions that are based on little evidence are
+ * therefore taken with a probability proportional to this router's own requests, so that the sum over all routers is
+ * right.
  *
- * <p>All times are microseconds; a clock that goes back is taken to stand. Not safe for use by several threads.
+ * <p>Times are in microseconds. If the clock is set back, time stands still until it has caught up. Not safe for use by
+ * several threads.
  */
 public final class ReadWriteSplitter implements Router {
     private final RouterActions actions;
@@ -24,7 +27,7 @@
     private final RequestRate requestRate;
     private final FleetShare fleetShare = new FleetShare();
     private final RequestClassTable classes = new RequestClassTable();
-    private final PooledLimits pooled;
+    private final PooledLimits pooledLimits;
     private final ListSubscription subscription;
     private final EndpointDirectory directory;
     private final FailureDetector failureDetector;
@@ -47,8 +50,9 @@
     private RouterSettings settings;
 
     /**
-     * Starts a router that knows no endpoint yet; throws {@link InvalidSettingsException} on settings that make no
-     * sense.
+     * Creates a router without endpoints, which subscribes to the endpoint list if the settings say so.
+     *
+     * @throws InvalidSettingsException if no router can work with the settings
      */
     public ReadWriteSplitter(long now, long seed, RouterSettings settings, RouterActions actions) {
         this.actions = actions;
@@ -57,32 +61,32 @@
         ticks = new TickTimer(actions);
         requestRate = new RequestRate(now);
         acceptor = new RequestAcceptor(this::settings, classes, requestRate, fleetShare, tokens, requestWork, random);
-        adopt(now, settings);
-        pooled = PooledLimits.create(fleetShare.effectiveFleetSize());
+        applySettings(now, settings);
+        pooledLimits = PooledLimits.create(fleetShare.effectiveFleetSize());
         subscription = new ListSubscription(actions, random);
         slowStartBudget = new SlowStartBudget(this::settings, fleetShare, this::countReplicaSets, demand, throughput);
         slowStarts = new SlowStartController(this::settings, positions, actions);
         failureDetector = new FailureDetector(
-                this::settings, classes, clock, positions, slowStarts, actions, this::moveAttemptsFrom);
+                this::settings, classes, clock, positions, slowStarts, actions, this::retryAttemptsAt);
         ReplicaFreshness freshness = new ReplicaFreshness(positions, replication, failureDetector);
         ReplicaSelector replicas = new ReplicaSelector(this::settings, freshness, slowStartBudget, random);
         healthChecker = new HealthChecker(this::settings, classes, requestRate, freshness, random, actions);
         PrimaryTracker primaries = new PrimaryTracker(this::settings, fleetShare, positions, healthChecker, actions);
-        directory = new EndpointDirectory(this::settings, fleetShare, pooled, slowStarts, primaries, random);
+        directory = new EndpointDirectory(this::settings, fleetShare, pooledLimits, slowStarts, primaries, random);
         selector = new EndpointSelector(
                 this::settings,
                 directory,
                 classes,
                 requestRate,
                 primaries,
-                new PrimaryAdmission(this::settings, pooled, slowStartBudget),
+                new PrimaryAdmission(this::settings, pooledLimits, slowStartBudget),
                 replicas,
                 slowStartBudget,
                 freshness,
                 healthChecker);
-        AnswerLossEstimator answerLoss = new AnswerLossEstimator(pooled);
+        AnswerLossEstimator answerLoss = new AnswerLossEstimator(pooledLimits);
         hedging = new HedgingPolicy(clock, answerLoss);
-        retries = new RetryPolicy(this::settings, pooled);
+        retries = new RetryPolicy(this::settings, pooledLimits);
         requests = new OpenRequests(this::settings, retries, actions);
         load = new LoadFeedback(clock, replicas, requestWork, answerLoss);
         observer = new AttemptObserver(
@@ -109,16 +113,16 @@
         return settings;
     }
 
-    /** Adopts these settings whole or not at all. */
-    private void adopt(long now, RouterSettings changed) {
-        changed.validate();
-        settings = changed;
-        fleetShare.apply(changed);
-        classes.apply(changed);
-        acceptor.apply(now, changed);
+    /** Applies these settings; if they are invalid, throws and changes nothing. */
+    private void applySettings(long now, RouterSettings newSettings) {
+        newSettings.validate();
+        settings = newSettings;
+        fleetShare.apply(newSettings);
+        classes.apply(newSettings);
+        acceptor.apply(now, newSettings);
     }
 
-    /** The number of equal parts of which this router has one, of what all routers share. */
+    /** Returns the number of equal parts into which shared capacity is divided; this router has one of them. */
     double effectiveFleetSize() {
         return fleetShare.effectiveFleetSize();
     }
@@ -126,10 +130,10 @@
     // ---- settings and endpoints ----
 
     @Override
-    public void onSettings(long at, RouterSettings changed) {
+    public void onSettings(long at, RouterSettings newSettings) {
         long now = clock.advance(at);
-        adopt(now, changed);
-        pooled.shareAmong(fleetShare.effectiveFleetSize());
+        applySettings(now, newSettings);
+        pooledLimits.shareAmong(fleetShare.effectiveFleetSize());
         directory.settingsChanged(now);
         actions.log("settings changed: " + classes.size() + " classes");
     }
@@ -162,7 +166,7 @@
         return directory.countUnavailable(now);
     }
 
-    // ---- the way of a request ----
+    // ---- requests and attempts ----
 
     @Override
     public void onRequest(long at, RoutingRequest request) {
@@ -173,21 +177,18 @@
         InFlightRequest accepted = acceptor.accept(now, request);
         demand.requestArrived(now, accepted);
         replicaSetOf(accepted).demand.requestArrived(now, accepted);
-        observeThroughput(now);
+        updateThroughput(now);
         requests.add(accepted);
         dispatch(now, accepted);
     }
 
-    private void observeThroughput(long now) {
+    private void updateThroughput(long now) {
         if (throughput.isDue(now)) {
             directory.updateThroughput(now, throughput);
         }
     }
 
-    /**
-     * Sends the request, or has it wait, or gives it up where its client has no time left: it gets its answer all the
-     * same.
-     */
+    /** Sends the request, gives it up if its client has no time left, or adds it to the queue of its replica set. */
     private void dispatch(long now, InFlightRequest request) {
         Endpoint endpoint = selector.choose(now, request);
         if (endpoint != null) {
@@ -232,14 +233,14 @@
             if (result.finished()) {
                 requests.finish(request);
             } else {
-                tryAgain(now, request, result);
+                retry(now, request, result);
             }
         }
         requests.removeIfOver(request);
         servePending(now, endpoint.replicaSet);
     }
 
-    private void tryAgain(long now, InFlightRequest request, AttemptResult result) {
+    private void retry(long now, InFlightRequest request, AttemptResult result) {
         AttemptOutcome outcome = result.outcome();
         if (!outcome.hadNoEffect()) {
             request.mayHaveRun(result.attempt());
@@ -248,11 +249,11 @@
             return;
         }
         if (outcome == AttemptOutcome.ERROR) {
-            // What failed at the primary may be proven elsewhere before it meets the same fault again.
+            // The read may poll replicas again, so that one of them can serve it if the primary would fail once more.
             request.polls = 0;
         }
-        boolean worthless = request.isWorthlessWhenLate() && now >= request.objectiveEnd();
-        if (worthless) {
+        boolean isWorthless = request.isWorthlessWhenLate() && now >= request.objectiveEnd();
+        if (isWorthless) {
             requests.giveUp(now, request, GiveUpReason.OUT_OF_TIME);
         } else if (!retries.maySend(now, request)) {
             requests.giveUp(now, request, retries.whyNot(now, request));
@@ -281,7 +282,7 @@
         }
     }
 
-    /** Those that wait, of the highest priority first: sent as capacity appears, given up in time. */
+    /** Sends pending requests in the order of priority while there is capacity, and gives up those that cannot wait. */
     private void servePending(long now, ReplicaSet replicaSet) {
         boolean hasPrimary = replicaSet.hasUsablePrimary();
         for (InFlightRequest request : QueueingPolicy.drain(replicaSet)) {
@@ -289,7 +290,7 @@
             if (request.isFinished()) {
                 continue;
             }
-            // The deduplication window of a retry may have closed while it waited.
+            // The deduplication window of a retry may have ended while it was queued.
             boolean maySend = retries.maySend(now, request);
             Endpoint endpoint = maySend ? selector.choose(now, request) : null;
             if (endpoint != null) {
@@ -330,11 +331,11 @@
 
     private void tick(long now) {
         slowStarts.reportEnded(now);
-        sendTimedChecks(now);
+        sendPeriodicChecks(now);
         double patience = classes.patience();
         for (InFlightRequest request : requests.all()) {
             if (!request.isFinished() && request.outstanding() > 0) {
-                checkNewestAttempt(now, request, patience);
+                checkLastAttempt(now, request, patience);
             }
         }
         for (ReplicaSet replicaSet : directory.replicaSets()) {
@@ -345,7 +346,7 @@
         }
     }
 
-    private void sendTimedChecks(long now) {
+    private void sendPeriodicChecks(long now) {
         long interval = healthChecker.interval(now, directory.endpoints().size());
         if (HealthChecker.isPeriodic(interval)) {
             for (Endpoint endpoint : directory.endpoints()) {
@@ -355,28 +356,30 @@
         }
     }
 
-    private void checkNewestAttempt(long now, InFlightRequest request, double patience) {
+    private void checkLastAttempt(long now, InFlightRequest request, double patience) {
         Endpoint endpoint = request.lastEndpoint();
         failureDetector.checkForMissedReplies(now, endpoint, patience);
         load.attemptOutstanding(now, request);
-        boolean stuck = now >= hedging.stuckAt(request) && request.outstanding() == 1;
-        if (stuck && retries.canAfford()) {
-            moveFrom(now, request, endpoint);
+        boolean isStuck = now >= hedging.stuckAt(request) && request.outstanding() == 1;
+        if (isStuck && retries.canAfford()) {
+            retryElsewhere(now, request, endpoint);
         }
         ticks.schedule(now, Math.max(now + 2 * TickTimer.INTERVAL_MICROS, hedging.stuckAt(request)));
     }
 
-    /** The endpoint has become unresponsive: what is in flight there is tried elsewhere, as far as it may be. */
-    private void moveAttemptsFrom(long now, Endpoint endpoint) {
+    /** Retries the requests that are in flight at an endpoint elsewhere, because it has become unresponsive. */
+    private void retryAttemptsAt(long now, Endpoint endpoint) {
         for (InFlightRequest request : requests.all()) {
             if (!request.isFinished() && request.isOutstandingAt(endpoint)) {
-                moveFrom(now, request, endpoint);
+                retryElsewhere(now, request, endpoint);
             }
         }
     }
 
-    /** Tries the request elsewhere, by a hedged attempt or by cancelling the one that is out. */
-    private void moveFrom(long now, InFlightRequest request, Endpoint from) {
+    /**
+     * Retries the request elsewhere, by a hedged attempt or by cancelling the attempt in flight, if that is permitted.
+     */
+    private void retryElsewhere(long now, InFlightRequest request, Endpoint from) {
         if (!RetryPolicy.mayHedge(request) || !retries.maySend(now, request) || !retries.canAfford()) {
             return;
         }
@@ -390,7 +393,7 @@
         }
     }
 
-    /** Nothing is asked of peers: their messages may be lost, and each router decides on its own. */
+    /** Ignores messages of peers: each router decides on its own, because messages may be lost. */
     @Override
     public void onPeerMessage(long now, int from, String text) {}
 }
--- a/src/main/java/mintstair/decision/Router.java
+++ b/src/main/java/mintstair/decision/Router.java
@@ -2,40 +2,41 @@
 
 import java.util.List;
 
-/**
- * The events that a router receives. Times are microseconds. One instance serves one router; calls must not overlap.
- */
+/** Receives the events of one router. Times are in microseconds. Calls must not overlap. */
 public interface Router {
-    /** The endpoint list, changes to it, or that a call for it failed. */
-    void onEndpoints(long now, EndpointUpdateType kind, List<EndpointEntry> entries);
+    /** The endpoint list or changes to it have arrived, or the list could not be fetched. */
+    void onEndpoints(long now, EndpointUpdateType type, List<EndpointEntry> entries);
 
-    /** Other settings, from now on; open requests keep the class that they came with. */
+    /** New settings apply from now on; requests in flight keep the class with which they arrived. */
     void onSettings(long now, RouterSettings settings);
 
-    /** The observed fleet size; until it is known, that of the settings counts. */
+    /** The fleet size was observed; until the first call, the fleet size of the settings applies. */
     void onFleetSize(long now, FleetSize fleet);
 
-    /** A client's request, which gets exactly one final answer. */
+    /** A client's request has arrived; it gets exactly one final response. */
     void onRequest(long now, RoutingRequest request);
 
-    /** An attempt ended. */
+    /** An attempt has ended. */
     void onAttemptEnded(long now, AttemptResult result);
 
-    /** The client has disconnected; no answer is due any more. */
+    /** The client of a request has disconnected; no response is due any more. */
     void onClientDisconnected(long now, long id);
 
-    /** The process shuts down: all requests in flight are given up, each with its final answer. */
+    /** The process shuts down: all requests in flight are given up, each with a final response. */
     void onShutdown(long now);
 
-    /** A timer is due. */
+    /** A timer has fired. */
     void onTimer(long now, String name);
 
-    /** A health check ended; {@code report} is null where there is none. */
-    void onHealthCheckEnded(long now, String host, AttemptOutcome outcome, long latency, ReplicationStatus report);
+    /** A health check has ended; {@code status} is null if the host reported none. */
+    void onHealthCheckEnded(long now, String host, AttemptOutcome outcome, long latency, ReplicationStatus status);
 
-    /** How many listed endpoints are draining, unresponsive or failing: they get trial requests at most. */
+    /**
+     * Returns the number of listed endpoints that are draining, unresponsive or failing; these get trial requests at
+     * most.
+     */
     int unavailableEndpoints(long now);
 
-    /** A message of another router. */
+    /** A message of another router has arrived. */
     void onPeerMessage(long now, int from, String text);
 }
--- a/src/main/java/mintstair/decision/RouterActions.java
+++ b/src/main/java/mintstair/decision/RouterActions.java
@@ -2,33 +2,40 @@
 
 import mintstair.request.GiveUpReason;
 
-/** The actions that a router takes. Times are microseconds. */
+/** Carries out the actions of a router. Times are in microseconds. */
 public interface RouterActions {
     /**
-     * Starts an attempt, given up at {@code abandonAt} (0: when the client does), and not begun later
-     * than {@code beginBy}, until when what it rests on holds ({@link Long#MAX_VALUE}: for ever).
+     * Sends an attempt of a request to a host.
+     *
+     * @param abandonAt when the attempt is given up; 0 for the deadline of the client
+     * @param beginBy the latest time at which the attempt may start, because the decision is valid only until then;
+     *     {@link Long#MAX_VALUE} for no bound
      */
     void send(long id, String host, long abandonAt, long beginBy);
 
-    /** Stops waiting for one attempt. */
+    /** Cancels one attempt. */
     void cancel(long id, int attempt);
 
-    /** Final answer: rejected; a retry is harmless, best after {@code retryAfterMicros} (0: no advice). */
+    /**
+     * Sends the final response that the request is rejected and may safely be retried.
+     *
+     * @param retryAfterMicros the advised wait before the retry; 0 for no advice
+     */
     void reject(long id, long retryAfterMicros);
 
-    /** Final answer: failed, nothing promised. */
+    /** Sends the final response that the request has failed, and may or may not have been executed. */
     void fail(long id);
 
     /**
-     * Tells why a request gets no answer of a host; called right before its {@link #reject} or {@link #fail}. For
-     * those who watch: nothing is to be done.
+     * Reports why a request is given up. Called right before its {@link #reject} or {@link #fail}, for observability
+     * only.
      */
     default void gaveUp(long id, GiveUpReason reason) {}
 
     /** Sends a health check to a host. */
     void checkHealth(String host);
 
-    /** Asks for {@link Router#onTimer} after this long. */
+    /** Starts a timer, which calls {@link Router#onTimer} after this delay. */
     void startTimer(String name, long delayMicros);
 
     /** Subscribes to the endpoint list. */
@@ -37,6 +44,6 @@
     /** Sends a short message to every other router. */
     void broadcast(String text);
 
-    /** A line for the people on call. */
+    /** Logs a line for operators. */
     void log(String text);
 }
--- a/src/main/java/mintstair/decision/RoutingRequest.java
+++ b/src/main/java/mintstair/decision/RoutingRequest.java
@@ -1,8 +1,16 @@
 package mintstair.decision;
 
 /**
- * A request; {@code timeoutMicros} is the time until its client gives up, {@code tenant} -1 where none.
- * One that is {@code stickyHost} goes on with what its host holds: no other host can serve it, nor it twice.
+ * A request as the router receives it.
+ *
+ * @param classIndex the index of its class in the settings
+ * @param replicaSet the number of the replica set that it is for
+ * @param session the session of the client; null if there is none
+ * @param tenant the index of its tenant in the settings; -1 if there is none
+ * @param clientRetry whether the client marks it as a retry
+ * @param timeoutMicros the time until its client gives up
+ * @param tokenAgeMicros the age of its session token on arrival, or {@link Positions#UNKNOWN}
+ * @param stickyHost the only host that can serve it, once, because that host holds its cursor; null if any can
  */
 public record RoutingRequest(
         long id,
@@ -14,7 +22,7 @@
         long timeoutMicros,
         long tokenAgeMicros,
         String stickyHost) {
-    /** A request that any host can serve. */
+    /** Creates a request that any host can serve. */
     public RoutingRequest(
             long id,
             int classIndex,
