--- a/src/main/java/mintstair/decision/Endpoint.java
+++ b/src/main/java/mintstair/decision/Endpoint.java
@@ -110,11 +110,11 @@
 
     /** Returns whether it is warming up. */
     boolean isInSlowStart(long now, ProtectionSettings protection) {
-        return slowStart.isActive() && slowStart.share(now, protection) < 1;
+        return slowStart.isActive() && slowStart.capacityShare(now, protection) < 1;
     }
 
     /** Returns the share of its capacity that may be used; below 1 during slow start. */
     double capacityShare(long now, ProtectionSettings protection) {
-        return slowStart.share(now, protection);
+        return slowStart.capacityShare(now, protection);
     }
 }
--- a/src/main/java/mintstair/decision/EndpointDirectory.java
+++ b/src/main/java/mintstair/decision/EndpointDirectory.java
@@ -84,7 +84,7 @@
         endpoint.capacityHint = entry.capacityHint();
         if (entry.startTimeMicros() > endpoint.listedStartTime) {
             endpoint.listedStartTime = entry.startTimeMicros();
-            slowStarts.judgeListedStart(now, endpoint);
+            slowStarts.updateListedStart(now, endpoint);
         }
         // The role in the list lags behind: it counts only while no primary is known.
         if (settings.get().listReportsRole() && entry.primary() && replicaSet.primary == null) {
@@ -120,10 +120,10 @@
     void settingsChanged(long now) {
         double fleetSize = fleetShare.effectiveFleetSize();
         for (ReplicaSet replicaSet : replicaSets.values()) {
-            replicaSet.replicaLimit.shareAmong(fleetSize);
+            replicaSet.replicaLimit.setFleetSize(fleetSize);
         }
         for (Endpoint endpoint : endpoints.values()) {
-            endpoint.primaryLimit.shareAmong(fleetSize);
+            endpoint.primaryLimit.setFleetSize(fleetSize);
             slowStarts.settingsChanged(now, endpoint);
             if (endpoint.isRemovalIgnored()) {
                 endpoint.removed(now, isRemovalAdvisory());
@@ -135,7 +135,7 @@
     void hostClockChanged(long now) {
         for (Endpoint endpoint : endpoints.values()) {
             if (endpoint.listedStartTime > 0) {
-                slowStarts.judgeListedStart(now, endpoint);
+                slowStarts.updateListedStart(now, endpoint);
             }
         }
     }
--- a/src/main/java/mintstair/decision/FailureDetector.java
+++ b/src/main/java/mintstair/decision/FailureDetector.java
@@ -71,18 +71,18 @@
     /**
      * Marks an endpoint as unresponsive if it has requests in flight and too many replies are overdue.
      *
-     * @param patience the time without replies, in microseconds, that is allowed in any case
+     * @param replyTimeout the time, in microseconds, within which an endpoint with requests in flight should answer one
      */
-    void checkForMissedReplies(long now, Endpoint endpoint, double patience) {
+    void checkForMissedReplies(long now, Endpoint endpoint, double replyTimeout) {
         accrueMissedReplies(now, endpoint);
         Liveness liveness = endpoint.liveness;
         ReplicaSet replicaSet = endpoint.replicaSet;
         // A primary whose replicas still advance is slow, but alive.
         boolean isReplicating = endpoint.isPrimary()
-                && positions.localTimeOf(replicaSet.number, now, replicaSet.newestPosition) > now - patience;
+                && positions.localTimeOf(replicaSet.number, now, replicaSet.newestPosition) > now - replyTimeout;
         boolean hasSeveralUnanswered = endpoint.inFlight + liveness.timeouts >= MIN_UNANSWERED;
         long since = Math.max(liveness.answeredAt, clock.runningSince());
-        boolean isOverdue = liveness.missedReplies > MAX_MISSED_REPLIES && now - since > patience;
+        boolean isOverdue = liveness.missedReplies > MAX_MISSED_REPLIES && now - since > replyTimeout;
         if (!liveness.isUnresponsive() && isOverdue && hasSeveralUnanswered && !isReplicating) {
             markUnresponsive(now, endpoint, "no replies to the requests in flight");
         }
@@ -100,7 +100,7 @@
         liveness.lastReplyAt = now;
         boolean wasUnreachable = liveness.consecutiveUnreachable > 0;
         if (liveness.isUnresponsive() && wasUnreachable) {
-            slowStarts.found(endpoint, now);
+            slowStarts.startDetected(endpoint, now);
         }
         boolean isLongUnresponsive = liveness.isUnresponsive() && now - liveness.unresponsiveSince() > SUSPICION_MICROS;
         if (servedRequest || wasUnreachable || isLongUnresponsive) {
--- a/src/main/java/mintstair/decision/HealthChecker.java
+++ b/src/main/java/mintstair/decision/HealthChecker.java
@@ -144,15 +144,15 @@
                 candidates.add(member);
             }
         }
-        if (now - read.polledAt < ON_DEMAND_WAIT_MICROS && inFlight) {
+        if (now - read.lastPolledAt < ON_DEMAND_WAIT_MICROS && inFlight) {
             return true;
         }
-        boolean isOutOfRounds = read.polls >= MAX_ROUNDS && now - read.polledAt < ROUND_RESET_MICROS;
+        boolean isOutOfRounds = read.pollRounds >= MAX_ROUNDS && now - read.lastPolledAt < ROUND_RESET_MICROS;
         if (candidates.isEmpty() || isOutOfRounds) {
             return false;
         }
-        read.polls++;
-        read.polledAt = now;
+        read.pollRounds++;
+        read.lastPolledAt = now;
         return sendChecks(now, candidates);
     }
 
--- a/src/main/java/mintstair/decision/ReadWriteSplitter.java
+++ b/src/main/java/mintstair/decision/ReadWriteSplitter.java
@@ -133,7 +133,7 @@
     public void onSettings(long at, RouterSettings newSettings) {
         long now = clock.advance(at);
         applySettings(now, newSettings);
-        pooledLimits.shareAmong(fleetShare.effectiveFleetSize());
+        pooledLimits.setFleetSize(fleetShare.effectiveFleetSize());
         directory.settingsChanged(now);
         actions.log("settings changed: " + classes.size() + " classes");
     }
@@ -236,27 +236,27 @@
                 retry(now, request, result);
             }
         }
-        requests.removeIfOver(request);
+        requests.removeIfDone(request);
         servePending(now, endpoint.replicaSet);
     }
 
     private void retry(long now, InFlightRequest request, AttemptResult result) {
         AttemptOutcome outcome = result.outcome();
         if (!outcome.hadNoEffect()) {
-            request.mayHaveRun(result.attempt());
+            request.markMayHaveRun(result.attempt());
         }
         if (request.outstanding() > 0) {
             return;
         }
         if (outcome == AttemptOutcome.ERROR) {
             // The read may poll replicas again, so that one of them can serve it if the primary would fail once more.
-            request.polls = 0;
+            request.pollRounds = 0;
         }
         boolean isWorthless = request.isWorthlessWhenLate() && now >= request.objectiveEnd();
         if (isWorthless) {
             requests.giveUp(now, request, GiveUpReason.OUT_OF_TIME);
-        } else if (!retries.maySend(now, request)) {
-            requests.giveUp(now, request, retries.whyNot(now, request));
+        } else if (!retries.canSend(now, request)) {
+            requests.giveUp(now, request, retries.giveUpReason(now, request));
         } else if (!retries.tryAcquireAfter(outcome)) {
             requests.giveUp(now, request, GiveUpReason.RETRY_BUDGET);
         } else {
@@ -285,20 +285,20 @@
     /** Sends pending requests in the order of priority while there is capacity, and gives up those that cannot wait. */
     private void servePending(long now, ReplicaSet replicaSet) {
         boolean hasPrimary = replicaSet.hasUsablePrimary();
-        for (InFlightRequest request : QueueingPolicy.drain(replicaSet)) {
+        for (InFlightRequest request : QueueingPolicy.takeAllByPriority(replicaSet)) {
             request.queued = false;
             if (request.isFinished()) {
                 continue;
             }
             // The deduplication window of a retry may have ended while it was queued.
-            boolean maySend = retries.maySend(now, request);
-            Endpoint endpoint = maySend ? selector.choose(now, request) : null;
+            boolean canSend = retries.canSend(now, request);
+            Endpoint endpoint = canSend ? selector.choose(now, request) : null;
             if (endpoint != null) {
                 send(now, request, endpoint);
-            } else if (!maySend) {
-                requests.giveUp(now, request, retries.whyNot(now, request));
-            } else if (now >= QueueingPolicy.waitUntil(request, hasPrimary)) {
-                requests.giveUp(now, request, request.heldBackBy);
+            } else if (!canSend) {
+                requests.giveUp(now, request, retries.giveUpReason(now, request));
+            } else if (now >= QueueingPolicy.queueDeadline(request, hasPrimary)) {
+                requests.giveUp(now, request, request.heldBackReason);
             } else {
                 request.queued = true;
                 replicaSet.pending.add(request);
@@ -324,18 +324,18 @@
         long now = clock.advance(at);
         subscription.timerFired(name);
         if (ticks.isDue(now, name)) {
-            clock.timerFired(now, ticks.start());
+            clock.timerFired(now, ticks.beginTick());
             tick(now);
         }
     }
 
     private void tick(long now) {
-        slowStarts.reportEnded(now);
+        slowStarts.logEnded(now);
         sendPeriodicChecks(now);
-        double patience = classes.patience();
+        double replyTimeout = classes.replyTimeout();
         for (InFlightRequest request : requests.all()) {
             if (!request.isFinished() && request.outstanding() > 0) {
-                checkLastAttempt(now, request, patience);
+                checkLastAttempt(now, request, replyTimeout);
             }
         }
         for (ReplicaSet replicaSet : directory.replicaSets()) {
@@ -356,12 +356,12 @@
         }
     }
 
-    private void checkLastAttempt(long now, InFlightRequest request, double patience) {
+    private void checkLastAttempt(long now, InFlightRequest request, double replyTimeout) {
         Endpoint endpoint = request.lastEndpoint();
-        failureDetector.checkForMissedReplies(now, endpoint, patience);
-        load.attemptOutstanding(now, request);
+        failureDetector.checkForMissedReplies(now, endpoint, replyTimeout);
+        load.recordIfLate(now, request);
         boolean isStuck = now >= hedging.stuckAt(request) && request.outstanding() == 1;
-        if (isStuck && retries.canAfford()) {
+        if (isStuck && retries.hasBudget()) {
             retryElsewhere(now, request, endpoint);
         }
         ticks.schedule(now, Math.max(now + 2 * TickTimer.INTERVAL_MICROS, hedging.stuckAt(request)));
@@ -380,7 +380,7 @@
      * Retries the request elsewhere, by a hedged attempt or by cancelling the attempt in flight, if that is permitted.
      */
     private void retryElsewhere(long now, InFlightRequest request, Endpoint from) {
-        if (!RetryPolicy.mayHedge(request) || !retries.maySend(now, request) || !retries.canAfford()) {
+        if (!RetryPolicy.canHedge(request) || !retries.canSend(now, request) || !retries.hasBudget()) {
             return;
         }
         if (settings.limits().hedging() && request.isRepeatable()) {
@@ -388,7 +388,7 @@
             if (other != null && other != from && retries.tryAcquire()) {
                 send(now, request, other);
             }
-        } else if (settings.limits().cancellation() && hedging.mayCancelAt(from) && retries.tryAcquire()) {
+        } else if (settings.limits().cancellation() && hedging.canCancelAt(from) && retries.tryAcquire()) {
             requests.cancelAttempts(request);
         }
     }
--- a/src/main/java/mintstair/decision/ReplicaSelector.java
+++ b/src/main/java/mintstair/decision/ReplicaSelector.java
@@ -67,7 +67,7 @@
         int index = draw(weights);
         while (index >= 0) {
             Endpoint member = members.get(index);
-            if (maySend(now, member, read, weights[index] * demandPerWeight, eligibleShare)) {
+            if (canSend(now, member, read, weights[index] * demandPerWeight, eligibleShare)) {
                 return member;
             }
             weights[index] = 0;
@@ -77,7 +77,7 @@
     }
 
     private double readsPerSecond(long now, ReplicaSet replicaSet) {
-        return replicaSet.demand.readsPerSecond(now, slowStartBudget.assumedPerSecond(now));
+        return replicaSet.demand.readsPerSecond(now, slowStartBudget.assumedDemandPerSecond(now));
     }
 
     /**
@@ -85,7 +85,7 @@
      * no more than its own share while its peers are not eligible: if all routers sent it the requests of its peers, it
      * would be overloaded or the requests would be lost.
      */
-    private boolean maySend(
+    private boolean canSend(
             long now, Endpoint endpoint, InFlightRequest read, double demandPerSecond, double eligibleShare) {
         if (isRestricted(now, endpoint) && read.admissionSample >= eligibleShare) {
             return false;
--- a/src/test/java/mintstair/decision/SlowStartPartsTest.java
+++ b/src/test/java/mintstair/decision/SlowStartPartsTest.java
@@ -39,15 +39,15 @@
     void throughputIsThatOfTheAnswersAndStaysWhileNoHostIsThere() {
         HostThroughput throughput = new HostThroughput();
         for (long at = 0; at <= 120 * SECOND; at += 100 * MS) {
-            throughput.answered(2);
+            throughput.recordServed(2);
             throughput.advance(at, 4, 4, 4);
         }
-        double known = throughput.perHostSecond(1, 0);
+        double known = throughput.workPerSecond(1, 0);
         assertEquals(5, known, 0.3);
         throughput.advance(180 * SECOND, 0, 0, 0);
-        assertEquals(known, throughput.perHostSecond(1, 0), 1e-9);
-        assertEquals(known / 2, throughput.perHostSecond(0.5, 0), 1e-9, "a host of half the mean size");
-        assertEquals(known, throughput.perHostSecond(3, 0), 1e-9, "no more than a mean one");
+        assertEquals(known, throughput.workPerSecond(1, 0), 1e-9);
+        assertEquals(known / 2, throughput.workPerSecond(0.5, 0), 1e-9, "a host of half the mean size");
+        assertEquals(known, throughput.workPerSecond(3, 0), 1e-9, "no more than a mean one");
     }
 
     @Test
@@ -55,7 +55,7 @@
         HostThroughput throughput = new HostThroughput();
         throughput.advance(0, 10, 10, 10);
         throughput.advance(MS, 10, 10, 10);
-        assertEquals(10, throughput.perHostSecond(1, 100), 0.2);
+        assertEquals(10, throughput.workPerSecond(1, 100), 0.2);
     }
 
     /** Clients may ask for any multiple of what hosts do: soon only what was answered counts. */
@@ -64,21 +64,21 @@
         HostThroughput throughput = new HostThroughput();
         throughput.advance(0, 10, 10, 10);
         for (long at = 100 * MS; at <= 3 * SECOND; at += 100 * MS) {
-            throughput.answered(10);
+            throughput.recordServed(10);
             throughput.advance(at, 10, 10, 10);
             if (at >= 500 * MS) {
-                double known = throughput.perHostSecond(1, 100_000);
+                double known = throughput.workPerSecond(1, 100_000);
                 assertTrue(known <= 10, "ten hosts answer 100 a second, at " + at + ": " + known);
             }
         }
-        assertEquals(10, throughput.perHostSecond(1, 100_000), 1);
+        assertEquals(10, throughput.workPerSecond(1, 100_000), 1);
     }
 
     @Test
     void riseOfTheDemandShowsWithinSeconds() {
-        Bed bed = new Bed().start();
+        RouterFixture fixture = new RouterFixture().start();
         ReplicaSetDemand demand = new ReplicaSetDemand();
-        InFlightRequest read = request(bed, Bed.ANY, 1);
+        InFlightRequest read = request(fixture, RouterFixture.EVENTUAL_READ, 1);
         long at = 0;
         for (; at < 60 * SECOND; at += 250 * MS) {
             demand.requestArrived(at, read);
@@ -91,32 +91,33 @@
         assertEquals(0, demand.primaryOnlyPerSecond(at, 0));
     }
 
-    private static InFlightRequest request(Bed bed, int kind, long id) {
+    private static InFlightRequest request(RouterFixture fixture, int kind, long id) {
         ClassStatistics statistics =
-                new ClassStatistics(bed.settings().classes().get(kind));
-        RoutingRequest request = new RoutingRequest(id, kind, 0, "session", -1, false, Bed.DEADLINE, Positions.UNKNOWN);
+                new ClassStatistics(fixture.settings().classes().get(kind));
+        RoutingRequest request = new RoutingRequest(
+                id, kind, 0, "session", -1, false, RouterFixture.CLIENT_TIMEOUT_MICROS, Positions.UNKNOWN);
         return new InFlightRequest(request, statistics, 0, Positions.UNKNOWN, false, 0.5, 6, 1);
     }
 
     /** What a host was sent before it was told to have started counts as well: it started a moment ago. */
     @Test
     void whatWasSentRightBeforeTheStartIsCounted() {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().group();
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().listReplicaSet();
         for (int i = 0; i < 400; i++) {
-            bed.request(i, Bed.ANY);
-            bed.now += 10 * MS;
-            bed.sendsOf(i).forEach(sent -> bed.outcome(sent, 0, AttemptOutcome.SUCCESS));
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.now += 10 * MS;
+            fixture.attemptsOf(i).forEach(sent -> fixture.endAttempt(sent, 0, AttemptOutcome.SUCCESS));
         }
-        int before = bed.sends.size();
-        bed.list(EndpointUpdateType.DELTA, started("r1", bed.now));
+        int before = fixture.sentAttempts.size();
+        fixture.updateEndpoints(EndpointUpdateType.DELTA, started("r1", fixture.now));
         for (int i = 1_000; i < 1_020; i++) {
-            bed.request(i, Bed.ANY);
-            bed.now += 10 * MS;
-            bed.sendsOf(i).forEach(sent -> bed.outcome(sent, 0, AttemptOutcome.SUCCESS));
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.now += 10 * MS;
+            fixture.attemptsOf(i).forEach(sent -> fixture.endAttempt(sent, 0, AttemptOutcome.SUCCESS));
         }
-        List<Bed.Sent> after = bed.sends.subList(before, bed.sends.size());
+        List<RouterFixture.SentAttempt> after = fixture.sentAttempts.subList(before, fixture.sentAttempts.size());
         assertEquals(20, after.size());
         assertTrue(after.stream().noneMatch(sent -> sent.host().equals("r1")), after.toString());
     }
@@ -124,17 +125,28 @@
     /** Each way to a host passes through the gate: further attempts, trials and what only that host can serve too. */
     @Test
     void stickyRequestsAreCountedToo() {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().group();
-        bed.list(EndpointUpdateType.DELTA, started("p", bed.now));
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().listReplicaSet();
+        fixture.updateEndpoints(EndpointUpdateType.DELTA, started("p", fixture.now));
         for (int i = 0; i < 50; i++) {
-            bed.router.onRequest(
-                    bed.now,
-                    new RoutingRequest(i, Bed.ANY, 0, "session " + i, -1, false, Bed.DEADLINE, Positions.UNKNOWN, "p"));
+            fixture.router.onRequest(
+                    fixture.now,
+                    new RoutingRequest(
+                            i,
+                            RouterFixture.EVENTUAL_READ,
+                            0,
+                            "session " + i,
+                            -1,
+                            false,
+                            RouterFixture.CLIENT_TIMEOUT_MICROS,
+                            Positions.UNKNOWN,
+                            "p"));
         }
-        assertFalse(bed.sends.isEmpty());
-        assertTrue(bed.sends.size() < 10, "sent " + bed.sends.size() + " of 50 at once to a host that just started");
+        assertFalse(fixture.sentAttempts.isEmpty());
+        assertTrue(
+                fixture.sentAttempts.size() < 10,
+                "sent " + fixture.sentAttempts.size() + " of 50 at once to a host that just started");
     }
 
     private static EndpointEntry started(String host, long at) {
