--- a/src/test/java/mintstair/decision/ClassStatisticsTest.java
+++ b/src/test/java/mintstair/decision/ClassStatisticsTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Latency statistics and priorities of request classes. */
+/** Tests the latency statistics and priorities of request classes. */
 class ClassStatisticsTest {
     private static final long MS = RouterFixture.MS;
 
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void latencyIsAssumedFromTheObjectiveAndThenLearned() {
+    void meanLatencyIsDerivedFromTheObjectiveUntilLatenciesAreRecorded() {
         ClassStatistics statistics = table().get(RouterFixture.EVENTUAL_READ);
         assertEquals(50 * MS, statistics.mean());
         for (int i = 0; i < 500; i++) {
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void priorityIsTheWeightForEachMicrosecondOfTheObjective() {
+    void priorityIsTheWeightPerMicrosecondOfTheObjectiveRelativeToTheHighest() {
         RequestClassTable classes = table();
         assertEquals(1, classes.get(RouterFixture.EVENTUAL_READ).priority());
         assertEquals(
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void writesMayFillAWholeLimitAndReadsAPartByPriority() {
+    void capacityShareIsOneForWritesAndDependsOnPriorityForReads() {
         RequestClassTable classes = table();
         assertEquals(1, classes.get(RouterFixture.NON_IDEMPOTENT_WRITE).capacityShare());
         assertEquals(1, classes.get(RouterFixture.EVENTUAL_READ).capacityShare());
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void learnedLatencyStaysWithTheClassUnderOtherSettings() {
+    void learnedLatencyIsKeptAcrossASettingsReload() {
         RequestClassTable classes = table();
         for (int i = 0; i < 500; i++) {
             classes.get(RouterFixture.EVENTUAL_READ).recordLatency(20 * MS);
--- a/src/test/java/mintstair/decision/EmbeddingTest.java
+++ b/src/test/java/mintstair/decision/EmbeddingExampleTest.java
@@ -7,30 +7,30 @@
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
-/** The README's example of embedding the module in a router. */
-class EmbeddingTest {
-    /** A router's side: it would send, answer, probe and set timers; here it notes what was asked. */
-    static final class MyActions implements RouterActions {
-        final List<String> asked = new ArrayList<>();
+/** Tests an example of a router that embeds the decision module. */
+class EmbeddingExampleTest {
+    /** Records the attempts and answers; a real router would send them, poll hosts and set timers. */
+    static final class RecordingActions implements RouterActions {
+        final List<String> recorded = new ArrayList<>();
 
         @Override
         public void send(long id, String host, long abandonAt, long beginBy) {
-            asked.add("send " + id + " to " + host);
+            recorded.add("send " + id + " to " + host);
         }
 
         @Override
         public void cancel(long id, int attempt) {
-            asked.add("cancel " + id);
+            recorded.add("cancel " + id);
         }
 
         @Override
         public void reject(long id, long retryAfterMicros) {
-            asked.add("refuse " + id);
+            recorded.add("reject " + id);
         }
 
         @Override
         public void fail(long id) {
-            asked.add("fail " + id);
+            recorded.add("fail " + id);
         }
 
         @Override
@@ -49,8 +49,8 @@
         public void log(String text) {}
     }
 
-    @Test
-    void aWriteAndTheReadThatFollowsIt() {
+    /** Returns the settings with two request classes: 0 is a write, 1 a read of the writes of its session. */
+    private static RouterSettings settings() {
         RequestClass write = new RequestClass(
                 "write",
                 Consistency.WRITE,
@@ -73,7 +73,7 @@
                 0,
                 3,
                 0);
-        RouterSettings settings = new RouterSettings(
+        return new RouterSettings(
                 1,
                 0,
                 "here",
@@ -90,9 +90,13 @@
                 0,
                 new ProtectionSettings(1_000_000, 0.2, 10_000_000, 3, 2_000_000, false),
                 new AttemptLimits(6, true, true, false, true, true, 500_000));
-        MyActions actions = new MyActions();
+    }
+
+    @Test
+    void readAfterAWriteIsSentToAHostThatHasTheWrite() {
+        RecordingActions actions = new RecordingActions();
         long now = 5_000_000;
-        Router router = new ReadWriteSplitter(now, 42, settings, actions);
+        Router router = new ReadWriteSplitter(now, 42, settings(), actions);
         router.onEndpoints(
                 now,
                 EndpointUpdateType.SNAPSHOT,
@@ -112,6 +116,6 @@
         router.onHealthCheckEnded(
                 now, "db2", AttemptOutcome.SUCCESS, 300, new ReplicationStatus(now, ReplicationRole.REPLICA));
         router.onRequest(now, new RoutingRequest(3, 1, 0, "ann", -1, false, 1_200_000, Positions.UNKNOWN));
-        assertEquals(List.of("send 1 to db1", "send 2 to db2", "send 3 to db2"), actions.asked);
+        assertEquals(List.of("send 1 to db1", "send 2 to db2", "send 3 to db2"), actions.recorded);
     }
 }
--- a/src/test/java/mintstair/decision/EndpointChoiceTest.java
+++ b/src/test/java/mintstair/decision/EndpointSelectionTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The parts that choose an endpoint: directory, freshness, health checks, replica selection, the primary and its
- * admission.
+ * Tests the classes that select an endpoint for a request: the endpoint directory, replica freshness and selection,
+ * health checks, the primary tracker and the admission at the primary.
  */
-class EndpointChoiceTest {
+class EndpointSelectionTest {
     private static final long MS = RouterFixture.MS;
     private static final long SECOND = 1_000 * MS;
 
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void endpointThatMovesStartsAnewInItsReplicaSet() {
+    void endpointThatMovesToAnotherReplicaSetLeavesItsFormerOne() {
         EndpointEntry moved = new EndpointEntry("r1", false, "z", 7, EndpointState.SERVING, 1, 0);
         directory.update(SECOND, EndpointUpdateType.DELTA, List.of(moved));
         assertEquals(7, directory.endpoint("r1").replicaSet.number);
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void startThatTheListTellsBeginsASlowStart() {
+    void listedRecentStartBeginsASlowStart() {
         EndpointEntry started = new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, SECOND);
         directory.update(2 * SECOND, EndpointUpdateType.DELTA, List.of(started));
         Endpoint endpoint = directory.endpoint("r1");
@@ -108,7 +108,7 @@
     // ---- freshness and replica selection ----
 
     @Test
-    void readIsSentOnlyToAReplicaProvenToBeRecentEnough() {
+    void boundedReadSelectsOnlyAReplicaThatReportedARecentPosition() {
         assertNull(select(SECOND, RouterFixture.BOUNDED_READ));
         replication.reported(SECOND, directory.endpoint("r2"), 900 * MS, 100 * MS);
         assertEquals("r2", select(SECOND, RouterFixture.BOUNDED_READ).name);
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void toleranceAdmitsReplicasThatAreLikelyRecentEnough() {
+    void toleranceAdmitsAReplicaThatIsLikelyToBeRecentEnough() {
         replication.reported(SECOND, directory.endpoint("r1"), 900 * MS, 100 * MS);
         InFlightRequest read = request(RouterFixture.BOUNDED_READ);
         long now = 2 * SECOND;
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void readsSpreadOverReplicasAndAvoidOutliers() {
+    void replicaWhoseAttemptsFailIsSelectedRarely() {
         Endpoint failing = directory.endpoint("r1");
         for (int i = 0; i < 20; i++) {
             failing.outliers.recordOutcome(true);
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void replicaThatRejectedForWantOfCapacityRests() {
+    void overloadedReplicaIsNotSelectedFor100Milliseconds() {
         directory.endpoint("r1").overloadedAt = SECOND;
         for (int i = 0; i < 50; i++) {
             assertEquals("r2", select(SECOND + 99 * MS, RouterFixture.EVENTUAL_READ).name);
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void crowdedReplicaSitsOut() {
+    void replicaWithFarMoreInFlightThanItsPeersIsNotSelected() {
         directory.endpoint("r1").inFlight = 4;
         for (int i = 0; i < 50; i++) {
             assertEquals("r2", select(0, RouterFixture.EVENTUAL_READ).name);
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void readWaitsForAPollThatIsOut() {
+    void readWaitsForAPollThatIsInFlight() {
         InFlightRequest read = request(RouterFixture.BOUNDED_READ);
         assertTrue(healthChecker.checkOnDemand(10 * SECOND, replicaSet(), read, 9_800 * MS));
         assertEquals(2, fixture.healthChecks.size());
@@ -181,21 +181,21 @@
     }
 
     @Test
-    void timedPollsGetRarerWithTheirPrice() {
+    void pollIntervalGrowsWithTheNumberOfEndpoints() {
         for (int i = 1; i <= 2_000; i++) {
             requestRate.requestArrived(i * MS);
         }
         long now = 2 * SECOND;
         assertTrue(healthChecker.interval(now, 3) < 100 * MS);
-        long many = healthChecker.interval(now, 3_000);
-        assertTrue(many > SECOND, "interval " + many);
-        assertFalse(HealthChecker.isTimed(many));
+        long longInterval = healthChecker.interval(now, 3_000);
+        assertTrue(longInterval > SECOND, "interval of 3,000 endpoints: " + longInterval + " us");
+        assertFalse(HealthChecker.isTimed(longInterval));
     }
 
     // ---- primary ----
 
     @Test
-    void newestEvidenceOfThePrimaryCounts() {
+    void newestReportDecidesWhichEndpointIsPrimary() {
         primaries.claimedPrimary(directory.endpoint("r1"), 3 * SECOND);
         primaries.claimedPrimary(directory.endpoint("p"), 2 * SECOND);
         assertEquals("r1", replicaSet().primary.name);
@@ -206,7 +206,7 @@
     }
 
     @Test
-    void primaryUnheardOfIsCheckedBeforeItIsUsed() {
+    void primaryThatHasBeenSilentIsCheckedBeforeItIsUsed() {
         Endpoint primary = directory.endpoint("p");
         detector.answered(SECOND, primary, true);
         assertTrue(primaries.isConfirmed(SECOND + 900 * MS, replicaSet()));
@@ -226,7 +226,7 @@
     }
 
     @Test
-    void primaryAdmitsUpToItsLimit() {
+    void primaryAdmitsRequestsUpToItsLimit() {
         Endpoint primary = directory.endpoint("p");
         assertNotNull(admission.admit(SECOND, replicaSet(), request(RouterFixture.NON_IDEMPOTENT_WRITE)));
         primary.inFlight = 1_000;
@@ -234,7 +234,7 @@
     }
 
     @Test
-    void readsThatFallBackInMassAreAdmittedInPart() {
+    void fallbackReadIsRejectedWhileAllReadsFallBack() {
         for (int i = 0; i < 100; i++) {
             admission.recordRead(replicaSet(), true);
         }
@@ -243,7 +243,7 @@
     }
 
     @Test
-    void primaryThatRejectedForWantOfCapacityRests() {
+    void overloadedPrimaryAdmitsNothingFor100Milliseconds() {
         directory.endpoint("p").overloadedAt = SECOND;
         assertNull(admission.admit(SECOND + 99 * MS, replicaSet(), request(RouterFixture.NON_IDEMPOTENT_WRITE)));
         assertNotNull(admission.admit(SECOND + 100 * MS, replicaSet(), request(RouterFixture.NON_IDEMPOTENT_WRITE)));
--- a/src/test/java/mintstair/decision/EndpointTest.java
+++ b/src/test/java/mintstair/decision/EndpointTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the endpoint list says of an endpoint, its outlier statistics, and the endpoints of a replica set together. */
+/** Tests an endpoint's state by the endpoint list, its outlier statistics, and its membership of a replica set. */
 class EndpointTest {
     private static final long SECOND = 1_000 * RouterFixture.MS;
 
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void drainingEndpointStaysDrainingWhenItIsRemoved() {
+    void drainingEndpointIsNotServingOnceItIsRemoved() {
         Endpoint endpoint = member("a");
         endpoint.listed(0, EndpointState.SERVING, true);
         assertTrue(endpoint.isServing());
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void removedEndpointIsForgettableOnceItIsIdleAndLongGone() {
+    void removedEndpointIsForgettableOnceItIsIdleAndWasRemovedLongAgo() {
         Endpoint endpoint = member("a");
         endpoint.listed(0, EndpointState.REMOVED, false);
         endpoint.removed(SECOND, false);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void replicaSetForgetsItsPrimaryWithTheEndpoint() {
+    void replicaSetHasNoPrimaryOnceItsPrimaryLeftTheSet() {
         Endpoint endpoint = member("a");
         endpoint.listed(0, EndpointState.SERVING, false);
         replicaSet.primary = endpoint;
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void primaryThatDrainsIsNotUsable() {
+    void drainingPrimaryIsNotUsable() {
         Endpoint endpoint = member("a");
         replicaSet.primary = endpoint;
         endpoint.listed(0, EndpointState.DRAINING, false);
--- a/src/test/java/mintstair/decision/FailureDetectorTest.java
+++ b/src/test/java/mintstair/decision/FailureDetectorTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When an endpoint counts as unresponsive, and when no longer. */
+/** Tests when an endpoint becomes unresponsive, and when it becomes responsive again. */
 class FailureDetectorTest {
     private static final long MS = RouterFixture.MS;
     private static final long SECOND = 1_000 * MS;
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void answerBetweenTwoFailuresKeepsTheEndpointInUse() {
+    void answerBetweenTwoFailuresKeepsTheEndpointResponsive() {
         detector.unreachable(SECOND, endpoint);
         detector.answered(SECOND, endpoint, false);
         detector.unreachable(SECOND, endpoint);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void unreachableEndpointComesBackInSlowStart() {
+    void unreachableEndpointThatAnswersAgainIsInSlowStart() {
         detector.unreachable(SECOND, endpoint);
         detector.unreachable(SECOND, endpoint);
         detector.answered(2 * SECOND, endpoint, false);
@@ -63,6 +63,7 @@
         assertTrue(endpoint.slowStart.isActive());
     }
 
+    /** Leaves this many requests in flight without an answer for 5 s. */
     private void missAnswers(int inFlight) {
         endpoint.inFlight = inFlight;
         detector.accrue(0, endpoint);
@@ -77,13 +78,13 @@
     }
 
     @Test
-    void oneLongRequestProvesNothing() {
+    void singleUnansweredRequestDoesNotMakeAnEndpointUnresponsive() {
         missAnswers(1);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
     @Test
-    void primaryWhoseReplicasAdvanceIsSlowButNotLost() {
+    void primaryWhoseReplicasAdvanceIsNotUnresponsive() {
         replicaSet.primary = endpoint;
         replicaSet.newestPosition = 5 * SECOND;
         missAnswers(3);
@@ -91,14 +92,14 @@
     }
 
     @Test
-    void answersMissedWhileTheProcessWasPausedCountForNothing() {
+    void answersMissedDuringAPauseOfTheProcessAreNotCounted() {
         clock.timerFired(5 * SECOND, SECOND);
         missAnswers(3);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
     @Test
-    void hungEndpointThatAnswersHealthChecksStaysOutForAWhile() {
+    void hungEndpointThatAnswersHealthChecksStaysUnresponsiveFor5Seconds() {
         missAnswers(3);
         detector.answered(6 * SECOND, endpoint, false);
         assertTrue(endpoint.liveness.isUnresponsive());
@@ -107,7 +108,7 @@
     }
 
     @Test
-    void afterSignsOfLossOnlyEndpointsHeardOfLatelyAreTrusted() {
+    void afterAFailedConnectOnlyEndpointsThatAnsweredRecentlyAreTrusted() {
         assertTrue(detector.isTrusted(SECOND, endpoint));
         detector.unreachable(SECOND, endpoint);
         assertFalse(detector.isTrusted(SECOND, endpoint));
@@ -116,7 +117,7 @@
     }
 
     @Test
-    void lostHealthCheckProvesNothingAgainstAnEndpointThatAnsweredSince() {
+    void lostHealthCheckIsNotCountedIfTheEndpointAnsweredSinceItWasSent() {
         endpoint.healthCheck.sentAt = SECOND;
         endpoint.liveness.settle(SECOND);
         detector.healthCheckLost(2 * SECOND, endpoint);
--- a/src/test/java/mintstair/decision/InvariantMonitorTest.java
+++ b/src/test/java/mintstair/decision/InvariantMonitorTest.java
@@ -7,7 +7,7 @@
 import mintstair.decision.InvariantMonitor.Violation;
 import org.junit.jupiter.api.Test;
 
-/** The monitor finds each broken rule, and nothing where the rules are kept to their last moment. */
+/** Tests that the monitor reports each violated invariant, and nothing up to the limit of each invariant. */
 class InvariantMonitorTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
@@ -18,7 +18,7 @@
 
     private final InvariantMonitor monitor = new InvariantMonitor();
 
-    private void taken(Idempotency idempotency) {
+    private void takeRequest(Idempotency idempotency) {
         monitor.taken(
                 REQUEST,
                 new RequestClass(
@@ -35,80 +35,80 @@
                 2 * SECOND);
     }
 
-    private List<Violation> begun(long now, int attempt) {
-        return begun(now, attempt, SECOND);
+    private List<Violation> beginAttempt(long now, int attempt) {
+        return beginAttempt(now, attempt, SECOND);
     }
 
-    private List<Violation> begun(long now, int attempt, long wait) {
-        return monitor.begun(now, REQUEST, attempt, HOST, wait, GRACE).stream()
+    private List<Violation> beginAttempt(long now, int attempt, long timeout) {
+        return monitor.begun(now, REQUEST, attempt, HOST, timeout, GRACE).stream()
                 .map(Finding::violation)
                 .toList();
     }
 
     @Test
-    void unsafeRequestMayNotBeginAgainWhileItIsOutOrMayHaveRun() {
-        taken(Idempotency.NOT_IDEMPOTENT);
-        assertEquals(List.of(), begun(0, 0));
-        assertEquals(List.of(Violation.SENT_TWICE), begun(MS, 1));
+    void nonIdempotentRequestMayNotBeginAgainWhileAnAttemptIsInFlightOrMayHaveRun() {
+        takeRequest(Idempotency.NOT_IDEMPOTENT);
+        assertEquals(List.of(), beginAttempt(0, 0));
+        assertEquals(List.of(Violation.SENT_TWICE), beginAttempt(MS, 1));
         monitor.ended(REQUEST, 0, false);
         monitor.ended(REQUEST, 1, true);
-        assertEquals(List.of(Violation.SENT_TWICE), begun(2 * MS, 2));
+        assertEquals(List.of(Violation.SENT_TWICE), beginAttempt(2 * MS, 2));
     }
 
     @Test
-    void unsafeRequestThatNeverRanMayBeginAgain() {
-        taken(Idempotency.NOT_IDEMPOTENT);
-        begun(0, 0);
+    void nonIdempotentRequestThatDidNotRunMayBeginAgain() {
+        takeRequest(Idempotency.NOT_IDEMPOTENT);
+        beginAttempt(0, 0);
         monitor.ended(REQUEST, 0, false);
-        assertEquals(List.of(), begun(MS, 1));
+        assertEquals(List.of(), beginAttempt(MS, 1));
     }
 
     @Test
-    void keyedRequestMayBeginAgainWithinItsWindow() {
-        taken(Idempotency.IDEMPOTENCY_KEY);
-        begun(0, 0);
+    void requestWithIdempotencyKeyMayBeginAgainOnlyWithinItsDeduplicationWindow() {
+        takeRequest(Idempotency.IDEMPOTENCY_KEY);
+        beginAttempt(0, 0);
         monitor.ended(REQUEST, 0, true);
-        assertEquals(List.of(), begun(WINDOW, 1));
-        assertEquals(List.of(Violation.SENT_TWICE), begun(WINDOW + 250 * MS, 2));
+        assertEquals(List.of(), beginAttempt(WINDOW, 1));
+        assertEquals(List.of(Violation.SENT_TWICE), beginAttempt(WINDOW + 250 * MS, 2));
     }
 
     @Test
-    void safeRequestMayBeginAgain() {
-        taken(Idempotency.IDEMPOTENT);
-        begun(0, 0);
-        assertEquals(List.of(), begun(MS, 1));
+    void idempotentRequestMayBeginAgain() {
+        takeRequest(Idempotency.IDEMPOTENT);
+        beginAttempt(0, 0);
+        assertEquals(List.of(), beginAttempt(MS, 1));
     }
 
     @Test
-    void nothingBeginsOnceTheRequestIsOver() {
-        taken(Idempotency.IDEMPOTENT);
-        begun(0, 0);
+    void noAttemptMayBeginOnceItsRequestIsOver() {
+        takeRequest(Idempotency.IDEMPOTENT);
+        beginAttempt(0, 0);
         monitor.over(REQUEST);
-        assertEquals(List.of(Violation.SENT_AFTER_END), begun(MS, 1));
+        assertEquals(List.of(Violation.SENT_AFTER_END), beginAttempt(MS, 1));
     }
 
     @Test
-    void hostIsToldNoMoreTimeThanTheClientHas() {
-        taken(Idempotency.IDEMPOTENT);
-        assertEquals(List.of(), begun(SECOND, 0, SECOND + 150 * MS));
-        assertEquals(List.of(Violation.WAIT_TOO_LONG), begun(SECOND, 1, SECOND + 151 * MS));
+    void timeoutSentToAHostMayNotExceedTheRemainingTimeOfTheClient() {
+        takeRequest(Idempotency.IDEMPOTENT);
+        assertEquals(List.of(), beginAttempt(SECOND, 0, SECOND + 150 * MS));
+        assertEquals(List.of(Violation.WAIT_TOO_LONG), beginAttempt(SECOND, 1, SECOND + 151 * MS));
     }
 
     @Test
-    void nothingBeginsAtADrainingHostAfterItsGrace() {
-        taken(Idempotency.IDEMPOTENT);
+    void noAttemptMayBeginAtADrainingHostAfterTheGracePeriod() {
+        takeRequest(Idempotency.IDEMPOTENT);
         monitor.listed(0, HOST, true);
-        assertEquals(List.of(), begun(GRACE, 0, MS));
+        assertEquals(List.of(), beginAttempt(GRACE, 0, MS));
         monitor.listed(GRACE, HOST, true);
-        assertEquals(List.of(Violation.SENT_TO_DRAINING), begun(GRACE + 201 * MS, 1, MS));
+        assertEquals(List.of(Violation.SENT_TO_DRAINING), beginAttempt(GRACE + 201 * MS, 1, MS));
         monitor.listed(GRACE + 202 * MS, HOST, false);
-        assertEquals(List.of(), begun(GRACE + 203 * MS, 2, MS));
+        assertEquals(List.of(), beginAttempt(GRACE + 203 * MS, 2, MS));
     }
 
     @Test
-    void answersAreGivenOnceAndInTime() {
-        taken(Idempotency.IDEMPOTENT);
-        begun(0, 0);
+    void lateAnswerAndSecondAnswerAreViolations() {
+        takeRequest(Idempotency.IDEMPOTENT);
+        beginAttempt(0, 0);
         assertEquals(
                 List.of(new Finding(Violation.ANSWERED_LATE, REQUEST, "")),
                 monitor.answered(2 * SECOND + 501 * MS, REQUEST));
@@ -116,9 +116,9 @@
     }
 
     @Test
-    void requestsAreForgottenOnceTheyAndTheirAttemptsAreOver() {
-        taken(Idempotency.IDEMPOTENT);
-        begun(0, 0);
+    void requestIsForgottenOnceItAndItsAttemptsAreOver() {
+        takeRequest(Idempotency.IDEMPOTENT);
+        beginAttempt(0, 0);
         monitor.answered(MS, REQUEST);
         assertEquals(1, monitor.watched());
         monitor.ended(REQUEST, 0, true);
--- a/src/test/java/mintstair/decision/BudgetsTest.java
+++ b/src/test/java/mintstair/decision/RateLimitsTest.java
@@ -6,30 +6,31 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Token buckets, tenants' quotas and the part of the fleet. */
-class BudgetsTest {
+/** Tests token buckets, tenant quotas and the effective fleet size. */
+class RateLimitsTest {
     private static final long SECOND = 1_000 * RouterFixture.MS;
 
     @Test
-    void bucketNeverHoldsMoreThanASecondsRequestsAndTheInitialTokens() {
+    void bucketHoldsAtMostTheInitialTokensAndOneSecondOfRequests() {
         TokenBucket bucket = new TokenBucket(2, 20);
         for (int i = 0; i < 100; i++) {
             bucket.earn(0.5, 1);
         }
-        assertEquals(3, tokensIn(bucket));
+        assertEquals(3, drain(bucket));
     }
 
     @Test
-    void bucketNeverHoldsMoreThanItsCapacity() {
+    void bucketHoldsAtMostItsCapacity() {
         TokenBucket bucket = new TokenBucket(2, 20);
         for (int i = 0; i < 100; i++) {
             bucket.earn(0.5, 1_000);
         }
-        assertEquals(20, tokensIn(bucket));
+        assertEquals(20, drain(bucket));
         assertFalse(bucket.hasToken());
     }
 
-    private static int tokensIn(TokenBucket bucket) {
+    /** Takes all tokens and returns how many there were. */
+    private static int drain(TokenBucket bucket) {
         int count = 0;
         while (bucket.tryAcquire()) {
             count++;
@@ -38,7 +39,7 @@
     }
 
     @Test
-    void tenantMaySaveUpABurstAndThenItsQuota() {
+    void tenantMaySendABurstAndThenItsQuota() {
         TenantQuotas quotas = new TenantQuotas();
         quotas.apply(0, new RouterFixture().settings());
         for (int i = 0; i < 5; i++) {
@@ -58,7 +59,7 @@
     }
 
     @Test
-    void partIsThatOfTheConfiguredFleetUntilOneIsObserved() {
+    void fleetSizeIsTheConfiguredOneUntilAFleetSizeIsObserved() {
         RouterFixture fixture = new RouterFixture();
         fixture.fleetSize = 8;
         FleetShare share = new FleetShare();
--- a/src/test/java/mintstair/decision/SplitterTest.java
+++ b/src/test/java/mintstair/decision/ReadWriteSplitterTest.java
@@ -15,30 +15,33 @@
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
-/** The departures from the ordinary path, and the module's own limits. */
-class SplitterTest {
+/**
+ * Tests how the router handles lost and slow hosts, lost health checks, failed list calls and unexpected events, and
+ * the limits on the size of the module's source files.
+ */
+class ReadWriteSplitterTest {
     private static final long MS = RouterFixture.MS;
     private static final int MAX_LINES = 400;
     private static final int MAX_COLUMNS = 140;
 
     @Test
-    void readsSpreadAtRandomOverReplicas() {
+    void readsAreSpreadEvenlyOverReplicas() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 300; i++) {
             fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
             fixture.advance(60 * MS);
             fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
         }
-        for (String r : List.of("r1", "r2", "r3")) {
-            long n = fixture.sentAttempts.stream()
-                    .filter(s -> s.host().equals(r))
+        for (String replica : List.of("r1", "r2", "r3")) {
+            long count = fixture.sentAttempts.stream()
+                    .filter(sent -> sent.host().equals(replica))
                     .count();
-            assertTrue(n > 70 && n < 130, r + " got " + n);
+            assertTrue(count > 70 && count < 130, replica + " received " + count + " of 300 reads");
         }
     }
 
     @Test
-    void newestEvidenceOfThePrimaryWinsWhateverItsOrder() {
+    void newestReportDecidesWhichHostIsPrimaryInWhateverOrderReportsArrive() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.now += 1_000 * MS;
         fixture.answerHealthCheck("r1", fixture.now, ReplicationRole.PRIMARY);
@@ -48,7 +51,7 @@
     }
 
     @Test
-    void silentPrimaryIsFedNoMoreUnsafeWrites() {
+    void unresponsivePrimaryReceivesNoNonIdempotentWrites() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 6; i++) {
             fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE);
@@ -58,7 +61,7 @@
         fixture.sendRequest(50, RouterFixture.NON_IDEMPOTENT_WRITE);
         assertEquals(before, fixture.sentAttempts.size());
         assertTrue(
-                fixture.logLines.stream().anyMatch(l -> l.startsWith("unresponsive p (primary)")),
+                fixture.logLines.stream().anyMatch(line -> line.startsWith("unresponsive p (primary)")),
                 fixture.logLines.toString());
         fixture.answerHealthCheck("r1", fixture.now, ReplicationRole.PRIMARY);
         assertEquals(50, fixture.lastAttempt().requestId());
@@ -66,7 +69,7 @@
     }
 
     @Test
-    void readStuckAtASilentReplicaIsServedElsewhere() {
+    void readStuckAtAnUnresponsiveReplicaIsSentToAnotherHost() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
         String first = fixture.lastAttempt().host();
@@ -76,7 +79,7 @@
     }
 
     @Test
-    void whereReplicasCheckABoundedReadTriesTheLeastBehind() {
+    void misdirectedBoundedReadIsSentToAnotherHostWhereReplicasRejectStaleReads() {
         RouterFixture fixture = new RouterFixture();
         fixture.replicaReadCheck = ReplicaReadCheck.REJECT;
         fixture.start().listReplicaSet();
@@ -91,7 +94,7 @@
     }
 
     @Test
-    void listOutOfReachIsAskedAgainLaterAndLater() {
+    void failedSubscriptionIsRetriedWithBackoff() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         assertEquals(1, fixture.subscriptions);
         fixture.trace.setLength(0);
@@ -101,8 +104,8 @@
         long[] waits = fixture.trace
                 .toString()
                 .lines()
-                .filter(l -> l.startsWith("timer subscribe"))
-                .mapToLong(l -> Long.parseLong(l.split(" ")[2]))
+                .filter(line -> line.startsWith("timer subscribe"))
+                .mapToLong(line -> Long.parseLong(line.split(" ")[2]))
                 .toArray();
         assertEquals(3, waits.length);
         assertTrue(waits[0] >= 500 * MS && waits[2] >= 2_000 * MS);
@@ -114,10 +117,10 @@
 
     @Test
     void sameSeedAndEventsGiveTheSameActions() {
-        assertEquals(script(), script());
+        assertEquals(traceOfMixedRequests(), traceOfMixedRequests());
     }
 
-    private static String script() {
+    private static String traceOfMixedRequests() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 200; i++) {
             fixture.sendRequest(i, i % 5);
@@ -133,10 +136,10 @@
     }
 
     @Test
-    void hostsOutOfReachGetNoTrialTraffic() {
+    void unreachableHostReceivesFewTrialRequests() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.now += 500 * MS;
-        for (int i = 0; i < 20 && fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")); i++) {
+        for (int i = 0; i < 20 && fixture.logLines.stream().noneMatch(line -> line.startsWith("unresponsive")); i++) {
             fixture.sendRequest(1_000 + i, RouterFixture.EVENTUAL_READ);
             fixture.answerHealthChecksExcept("r1");
             fixture.now += 100 * MS;
@@ -156,18 +159,21 @@
             fixture.answerHealthChecksExcept("r1");
             fixture.now += 40 * MS;
             boolean lost = fixture.lastAttempt().host().equals("r1");
-            if (!fixture.attemptsOf(i).isEmpty())
+            if (!fixture.attemptsOf(i).isEmpty()) {
                 fixture.endAttempt(
                         fixture.lastAttempt(), 0, lost ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+            }
         }
-        assertTrue(fixture.sentAttempts.size() >= 195, "sent " + fixture.sentAttempts.size());
-        assertTrue(
-                fixture.sentAttempts.stream().filter(s -> s.host().equals("r1")).count() < 10);
+        assertTrue(fixture.sentAttempts.size() >= 195, "sent " + fixture.sentAttempts.size() + " of 200 requests");
+        assertTrue(fixture.sentAttempts.stream()
+                        .filter(sent -> sent.host().equals("r1"))
+                        .count()
+                < 10);
         fixture.router.onHealthCheckEnded(
                 fixture.now,
                 "r1",
                 AttemptOutcome.SUCCESS,
-                1 * MS,
+                MS,
                 new ReplicationStatus(fixture.now, ReplicationRole.REPLICA));
         assertTrue(
                 fixture.logLines.contains("slow start r1: capacity grows from its start on"),
@@ -175,7 +181,7 @@
     }
 
     @Test
-    void endOfASlowStartIsLoggedWithWhatWasSentAndHeldBack() {
+    void endOfASlowStartIsLoggedWithTheCountsOfAttemptsAndHeldBackRequests() {
         RouterFixture fixture = new RouterFixture();
         fixture.hasSharedSession = false;
         fixture.start().listReplicaSet();
@@ -190,7 +196,7 @@
                 fixture.logLines.toString());
         fixture.advance(9_100 * MS);
         String line = fixture.logLines.stream()
-                .filter(each -> each.startsWith("slow start p: over after 10.0 s, "))
+                .filter(logged -> logged.startsWith("slow start p: over after 10.0 s, "))
                 .findFirst()
                 .orElseThrow(() -> new AssertionError(fixture.logLines.toString()));
         String counts = fixture.sentAttempts.size() + " attempts sent, ([1-9]|1[0-9]) requests held back";
@@ -198,24 +204,24 @@
     }
 
     @Test
-    void connectionsNotMadeShowALostHostBeforeItsPollsDo() {
+    void failedConnectsMakeAHostUnresponsiveWithoutHealthChecks() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
-        for (int i = 0; i < 40 && fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")); i++) {
+        for (int i = 0; i < 40 && fixture.logLines.stream().noneMatch(line -> line.startsWith("unresponsive")); i++) {
             fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
             fixture.now += 10 * MS;
             fixture.endAttempt(
                     fixture.lastAttempt(),
                     fixture.attemptsOf(fixture.lastAttempt().requestId()).size() - 1,
                     fixture.lastAttempt().host().equals("r2") ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
-            // A poll that was not even sent is no sign of life.
+            // A health check that could not be sent is no sign of life.
             fixture.router.onHealthCheckEnded(fixture.now, "r2", AttemptOutcome.NOT_SENT, 0, null);
         }
         assertTrue(fixture.logLines.contains("unresponsive r2: unreachable"), fixture.logLines.toString());
     }
 
-    /** Guards against hosts that are taken for restarted, and fed as cold ones, as connections to them break. */
+    /** Guards against a host that is taken for restarted, and put into slow start, because connections to it break. */
     @Test
-    void brokenPollsLeaveAHostInUse() {
+    void hostWhoseHealthChecksAreResetStaysInUse() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 5; i++) {
             fixture.now += 100 * MS;
@@ -225,9 +231,9 @@
         assertTrue(fixture.logLines.stream().noneMatch(line -> line.contains("r1")), fixture.logLines.toString());
     }
 
-    /** Guards against growth over a long day, and against polls that become rarer with every host that has gone. */
+    /** Guards against memory that grows, and polls that become rarer, with every host that was ever removed. */
     @Test
-    void hostsThatStayAwayAreForgotten() {
+    void removedHostsAreForgottenAfterAWhile() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 50; i++) {
             fixture.updateEndpoints(EndpointUpdateType.DELTA, RouterFixture.servingEntry("new" + i));
@@ -239,12 +245,12 @@
         fixture.logLines.clear();
         fixture.router.onHealthCheckEnded(fixture.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
         fixture.router.onHealthCheckEnded(fixture.now, "new7", AttemptOutcome.UNREACHABLE, MS, null);
-        assertTrue(fixture.logLines.isEmpty(), "nothing is known of it any more");
+        assertTrue(fixture.logLines.isEmpty(), "a removed host is still tracked");
     }
 
-    /** Guards against refusals that come late for a request of which nothing was ever sent. */
+    /** Guards against rejections so late that the client has no time to retry a request that was never sent. */
     @Test
-    void whatWasNeverSentIsGivenUpInTheFirstHalfOfItsTime() {
+    void unsentRequestIsRejectedWithinHalfOfItsTimeout() {
         RouterFixture fixture = new RouterFixture().start();
         fixture.updateEndpoints(EndpointUpdateType.SNAPSHOT, RouterFixture.servingEntry("r1"));
         fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE, 1000 * MS, Positions.UNKNOWN);
@@ -253,26 +259,27 @@
     }
 
     @Test
-    void refusedClientsComeBackWithinTheirAimOrElseLate() {
+    void retryAfterIsWithinTheLatencyObjectiveOrElseTheMaximum() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.updateEndpoints(EndpointUpdateType.SNAPSHOT);
         fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
         fixture.advance(120 * MS);
         assertEquals(List.of(75 * MS), fixture.retryAfters);
-        RouterFixture late = new RouterFixture().start().listReplicaSet();
-        late.sendRequest(1, RouterFixture.EVENTUAL_READ);
-        late.now += 250 * MS;
-        late.endAttempt(late.lastAttempt(), 0, AttemptOutcome.TIMEOUT, ReplicationRole.UNKNOWN, Positions.UNKNOWN);
-        assertEquals(List.of(500 * MS), late.retryAfters);
+        RouterFixture lateFixture = new RouterFixture().start().listReplicaSet();
+        lateFixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        lateFixture.now += 250 * MS;
+        lateFixture.endAttempt(
+                lateFixture.lastAttempt(), 0, AttemptOutcome.TIMEOUT, ReplicationRole.UNKNOWN, Positions.UNKNOWN);
+        assertEquals(List.of(500 * MS), lateFixture.retryAfters);
     }
 
-    /** Guards against reads that are refused until some write comes to look for the group's new primary. */
+    /** Guards against reads that are rejected until some write causes a search for the new primary. */
     @Test
-    void readLooksForAPrimaryWhereTheOldOneDrains() {
+    void readSearchesForAPrimaryWhileTheOldOneDrains() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.now += 400 * MS;
-        for (String r : List.of("r1", "r2", "r3")) {
-            fixture.answerHealthCheck(r, fixture.now - 5_000 * MS, ReplicationRole.REPLICA);
+        for (String replica : List.of("r1", "r2", "r3")) {
+            fixture.answerHealthCheck(replica, fixture.now - 5_000 * MS, ReplicationRole.REPLICA);
         }
         fixture.updateState("p", EndpointState.DRAINING);
         fixture.healthChecks.clear();
@@ -282,9 +289,9 @@
         assertEquals("r2", fixture.lastAttempt().host());
     }
 
-    /** Guards against a read that meets the same fault at its primary again and again, with replicas unasked. */
+    /** Guards against a read that is retried at a failing primary without a poll of the replicas. */
     @Test
-    void readThatFailedAtThePrimaryIsProvenElsewhere() {
+    void readThatFailedAtThePrimaryIsSentToAReplicaAfterAPoll() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.now += 400 * MS;
         fixture.sendRequest(1, RouterFixture.BOUNDED_READ);
@@ -295,41 +302,29 @@
         assertEquals("p", fixture.lastAttempt().host());
         fixture.answerHealthChecks(300 * MS);
         fixture.now += 40 * MS;
-        int polls = fixture.healthChecks.size();
+        int healthChecks = fixture.healthChecks.size();
         fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.ERROR);
-        assertTrue(fixture.healthChecks.size() > polls);
+        assertTrue(fixture.healthChecks.size() > healthChecks);
         assertEquals(1, fixture.sentAttempts.size());
         fixture.answerHealthChecks(10 * MS);
         assertFalse(fixture.lastAttempt().host().equals("p"));
     }
 
     /**
-     * Of fifty reads that fall to a primary which was never asked, those sent there; another's answers took this
-     * long.
+     * Returns how many of 50 routers send a read at once to the primary of replica set 0, which has answered no request
+     * yet, after the primary of replica set 1 has answered 60 requests with this latency.
      */
-    private static int sentUnheard(long latency) {
+    private static int readsSentToUnusedPrimary(long latency) {
         int sent = 0;
-        for (int n = 0; n < 50; n++) {
+        for (int seed = 0; seed < 50; seed++) {
             RouterFixture fixture = new RouterFixture();
-            fixture.seed = n;
+            fixture.seed = seed;
             fixture.hasSharedSession = false;
             fixture.fleetSize = 14;
             fixture.start();
-            List<EndpointEntry> hosts = new ArrayList<>();
-            for (int g = 0; g < 2; g++) {
-                for (String h : List.of("p", "r1", "r2", "r3")) {
-                    hosts.add(new EndpointEntry(h + g, false, "z", g, EndpointState.SERVING, 1, 0));
-                }
-            }
-            fixture.updateEndpoints(EndpointUpdateType.SNAPSHOT, hosts.toArray(EndpointEntry[]::new));
-            hosts.forEach(h -> fixture.answerHealthCheck(
-                    h.host(),
-                    fixture.now - (h.host().startsWith("p") ? 0 : 9_000 * MS),
-                    h.host().startsWith("p") ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA));
+            listTwoReplicaSetsWithStaleReplicas(fixture);
             for (int i = 0; i < 60; i++) {
-                fixture.router.onRequest(
-                        fixture.now,
-                        new RoutingRequest(i, RouterFixture.SESSION_READ, 1, "s" + i, 0, false, 1200 * MS, 5 * MS));
+                fixture.router.onRequest(fixture.now, sessionRead(i, 1, "s" + i));
                 fixture.now += latency;
                 if (!fixture.sentAttempts.isEmpty() && fixture.lastAttempt().requestId() == i) {
                     fixture.router.onAttemptEnded(
@@ -345,25 +340,48 @@
                                     fixture.now));
                 }
             }
-            fixture.router.onRequest(
-                    fixture.now,
-                    new RoutingRequest(99, RouterFixture.SESSION_READ, 0, "of " + n, 0, false, 1200 * MS, 5 * MS));
+            fixture.router.onRequest(fixture.now, sessionRead(99, 0, "of " + seed));
             sent += fixture.lastAttempt().requestId() == 99 ? 1 : 0;
         }
         return sent;
     }
 
-    /** Guards against refusals by each of many proxies, none of which hears enough of one primary to trust it. */
+    /** Lists two replica sets, each with a primary and with replicas that are 9 s behind it. */
+    private static void listTwoReplicaSetsWithStaleReplicas(RouterFixture fixture) {
+        List<EndpointEntry> entries = new ArrayList<>();
+        for (int group = 0; group < 2; group++) {
+            for (String host : List.of("p", "r1", "r2", "r3")) {
+                entries.add(new EndpointEntry(host + group, false, "z", group, EndpointState.SERVING, 1, 0));
+            }
+        }
+        fixture.updateEndpoints(EndpointUpdateType.SNAPSHOT, entries.toArray(EndpointEntry[]::new));
+        for (EndpointEntry entry : entries) {
+            boolean primary = entry.host().startsWith("p");
+            fixture.answerHealthCheck(
+                    entry.host(),
+                    fixture.now - (primary ? 0 : 9_000 * MS),
+                    primary ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
+        }
+    }
+
+    private static RoutingRequest sessionRead(long id, int group, String session) {
+        return new RoutingRequest(id, RouterFixture.SESSION_READ, group, session, 0, false, 1200 * MS, 5 * MS);
+    }
+
+    /**
+     * Guards against rejections by each of many routers, none of which has enough replies of one primary to send it
+     * the reads that fall back from replicas.
+     */
     @Test
-    void swiftAnswersOfOtherPrimariesSpeakForOneThatWasHardlyAsked() {
-        int swift = sentUnheard(20 * MS);
-        int strained = sentUnheard(350 * MS);
-        assertTrue(swift >= 20, swift + " of 50");
-        assertTrue(strained <= 16, strained + " of 50");
+    void fastRepliesOfOnePrimaryAdmitMoreFallbackReadsAtAnUnusedOne() {
+        int afterFastReplies = readsSentToUnusedPrimary(20 * MS);
+        int afterSlowReplies = readsSentToUnusedPrimary(350 * MS);
+        assertTrue(afterFastReplies >= 20, afterFastReplies + " of 50 sent after fast replies");
+        assertTrue(afterSlowReplies <= 16, afterSlowReplies + " of 50 sent after slow replies");
     }
 
     @Test
-    void clockThatGoesBackIsTakenToStand() {
+    void clockThatGoesBackwardsIsTreatedAsStopped() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.router.onTimer(fixture.now + 1_000 * MS, "tick");
         fixture.now -= 500 * MS;
@@ -373,11 +391,11 @@
                 fixture.sentAttempts.stream()
                         .map(RouterFixture.SentAttempt::host)
                         .toList(),
-                "replicas known 1 s before the last time");
+                "replicas reported their position 1 s before the latest time");
     }
 
     @Test
-    void busyPrimaryWhoseReplicasAdvanceIsNotSilent() {
+    void slowPrimaryWhoseReplicasAdvanceIsNotUnresponsive() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 6; i++) {
             fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE);
@@ -387,21 +405,24 @@
             fixture.answerHealthCheck("r1", fixture.now - 10 * MS, ReplicationRole.REPLICA);
         }
         assertTrue(
-                fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive p")), fixture.logLines.toString());
+                fixture.logLines.stream().noneMatch(line -> line.startsWith("unresponsive p")),
+                fixture.logLines.toString());
         fixture.sendRequest(50, RouterFixture.NON_IDEMPOTENT_WRITE);
         assertEquals("p", fixture.lastAttempt().host());
     }
 
     @Test
-    void oneLongRequestIsNoSilence() {
+    void singleLongRequestDoesNotMakeAHostUnresponsive() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
         fixture.advance(2_500 * MS);
-        assertTrue(fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")), fixture.logLines.toString());
+        assertTrue(
+                fixture.logLines.stream().noneMatch(line -> line.startsWith("unresponsive")),
+                fixture.logLines.toString());
     }
 
     @Test
-    void sessionReadNeedsProofAsLongAsThePrimaryHasRoom() {
+    void sessionReadIsSentToAPossiblyStaleReplicaOnlyOnceThePrimaryIsFull() {
         RouterFixture fixture = new RouterFixture();
         fixture.replicaReadCheck = ReplicaReadCheck.REJECT;
         fixture.start().listReplicaSet();
@@ -415,11 +436,11 @@
     }
 
     @Test
-    void eventsOutOfPlaceDoNoHarm() {
+    void eventsForUnknownRequestsHostsAndTimersAreIgnored() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.router.onClientDisconnected(fixture.now, 99);
-        fixture.router.onTimer(fixture.now, "unheard of");
-        fixture.router.onHealthCheckEnded(fixture.now, "stranger", AttemptOutcome.SUCCESS, 1, null);
+        fixture.router.onTimer(fixture.now, "unknown");
+        fixture.router.onHealthCheckEnded(fixture.now, "unlisted", AttemptOutcome.SUCCESS, 1, null);
         fixture.router.onAttemptEnded(
                 fixture.now,
                 new AttemptResult(99, 0, "p", AttemptOutcome.SUCCESS, 1, true, ReplicationRole.PRIMARY, 0));
@@ -431,27 +452,29 @@
     }
 
     @Test
-    void impossibleSettingsAreRefusedByName() {
-        RouterFixture fixture = new RouterFixture();
-        fixture.fleetSize = 0;
-        assertTrue(assertThrows(IllegalArgumentException.class, fixture::start)
+    void invalidSettingsAreRejectedWithTheNameOfTheSetting() {
+        RouterFixture withoutRouters = new RouterFixture();
+        withoutRouters.fleetSize = 0;
+        assertTrue(assertThrows(IllegalArgumentException.class, withoutRouters::start)
                 .getMessage()
                 .contains("routers"));
-        RouterFixture other = new RouterFixture();
-        other.maxAttempts = 0;
-        assertTrue(assertThrows(IllegalArgumentException.class, other::start)
+        RouterFixture withoutAttempts = new RouterFixture();
+        withoutAttempts.maxAttempts = 0;
+        assertTrue(assertThrows(IllegalArgumentException.class, withoutAttempts::start)
                 .getMessage()
                 .contains("maxAttempts"));
     }
 
-    /** No file of the module may grow beyond what one person reviews in one go; the formatter holds the columns. */
+    /** Keeps each source file short enough to be reviewed in one session. */
     @Test
-    void noFileOfTheModuleIsTooLongToReview() throws IOException {
+    void sourceFilesOfTheModuleStayWithinTheirSizeLimits() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("src/main/java/mintstair/decision"))) {
             for (Path file : files.toList()) {
                 List<String> lines = Files.readAllLines(file);
                 assertTrue(lines.size() <= MAX_LINES, file + " has " + lines.size() + " lines");
-                assertTrue(lines.stream().allMatch(line -> line.length() <= MAX_COLUMNS), file + " has a longer line");
+                assertTrue(
+                        lines.stream().allMatch(line -> line.length() <= MAX_COLUMNS),
+                        file + " has a line of more than " + MAX_COLUMNS + " characters");
             }
         }
     }
--- a/src/test/java/mintstair/decision/RetryPolicyTest.java
+++ b/src/test/java/mintstair/decision/RetryPolicyTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which requests may be sent again, how long they may wait, and what a rejected client is told. */
+/** Tests which requests may be retried or hedged, how long they may wait, and the Retry-After of rejected requests. */
 class RetryPolicyTest {
     private static final long MS = RouterFixture.MS;
     private static final long TIMEOUT = 2_000 * MS;
@@ -29,8 +29,8 @@
         return new InFlightRequest(request, classes.get(classIndex), 0, Positions.UNKNOWN, false, 0.5, maxAttempts, 1);
     }
 
-    /** A request of this class with one attempt that has ended and may have run. */
-    private InFlightRequest afterOneThatMayHaveRun(int classIndex) {
+    /** Returns a request of this class with one attempt that has ended and may have run. */
+    private InFlightRequest requestThatMayHaveRun(int classIndex) {
         InFlightRequest request = request(classIndex);
         request.attemptStarted(0, endpoint);
         request.attemptEnded(0);
@@ -39,27 +39,27 @@
     }
 
     @Test
-    void onlyIdempotentRequestsAreSentAgainAfterOneThatMayHaveRun() {
-        assertTrue(retries.maySend(MS, afterOneThatMayHaveRun(RouterFixture.EVENTUAL_READ)));
-        assertFalse(retries.maySend(MS, afterOneThatMayHaveRun(RouterFixture.NON_IDEMPOTENT_WRITE)));
+    void onlyIdempotentRequestIsRetriedAfterAnAttemptThatMayHaveRun() {
+        assertTrue(retries.maySend(MS, requestThatMayHaveRun(RouterFixture.EVENTUAL_READ)));
+        assertFalse(retries.maySend(MS, requestThatMayHaveRun(RouterFixture.NON_IDEMPOTENT_WRITE)));
     }
 
     @Test
-    void requestWithIdempotencyKeyIsSentAgainWithinItsDeduplicationWindow() {
-        InFlightRequest request = afterOneThatMayHaveRun(RouterFixture.IDEMPOTENCY_KEY_WRITE);
+    void requestWithIdempotencyKeyIsRetriedOnlyWithinItsDeduplicationWindow() {
+        InFlightRequest request = requestThatMayHaveRun(RouterFixture.IDEMPOTENCY_KEY_WRITE);
         assertTrue(retries.maySend(884 * MS, request));
         assertFalse(retries.maySend(885 * MS, request));
         assertEquals(885 * MS, RetryPolicy.beginBy(MS, request));
     }
 
     @Test
-    void nothingIsSentRightBeforeTheDeadline() {
+    void noAttemptIsSentWithin15MillisecondsOfTheDeadline() {
         assertTrue(retries.maySend(TIMEOUT - 16 * MS, request(RouterFixture.EVENTUAL_READ)));
         assertFalse(retries.maySend(TIMEOUT - 15 * MS, request(RouterFixture.EVENTUAL_READ)));
     }
 
     @Test
-    void attemptsAreBounded() {
+    void numberOfAttemptsIsBounded() {
         InFlightRequest request = request(RouterFixture.EVENTUAL_READ);
         for (int attempt = 0; attempt < settings.limits().maxAttempts(); attempt++) {
             assertTrue(retries.maySend(MS, request));
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void onlyAttemptsThatCostSomethingArePaidFor() {
+    void retryTakesATokenOnlyIfTheFailedAttemptCausedLoad() {
         assertTrue(retries.tryAcquireAfter(AttemptOutcome.ERROR));
         assertTrue(retries.tryAcquireAfter(AttemptOutcome.TIMEOUT));
         assertFalse(retries.tryAcquireAfter(AttemptOutcome.ERROR));
@@ -79,21 +79,21 @@
     }
 
     @Test
-    void rejectionIsPromisedToBeHarmlessOnlyWhereItIs() {
+    void requestIsHarmlessToRepeatUnlessARepeatCouldTakeEffectTwice() {
         assertTrue(RetryPolicy.isHarmlessToRepeat(request(RouterFixture.NON_IDEMPOTENT_WRITE)));
-        assertFalse(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(RouterFixture.NON_IDEMPOTENT_WRITE)));
-        assertFalse(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(RouterFixture.IDEMPOTENCY_KEY_WRITE)));
-        assertTrue(RetryPolicy.isHarmlessToRepeat(afterOneThatMayHaveRun(RouterFixture.EVENTUAL_READ)));
+        assertFalse(RetryPolicy.isHarmlessToRepeat(requestThatMayHaveRun(RouterFixture.NON_IDEMPOTENT_WRITE)));
+        assertFalse(RetryPolicy.isHarmlessToRepeat(requestThatMayHaveRun(RouterFixture.IDEMPOTENCY_KEY_WRITE)));
+        assertTrue(RetryPolicy.isHarmlessToRepeat(requestThatMayHaveRun(RouterFixture.EVENTUAL_READ)));
     }
 
     @Test
-    void clientComesBackWithinItsObjectiveOrElseLate() {
+    void retryAfterIsWithinTheLatencyObjectiveOrElseTheMaximum() {
         assertEquals(75 * MS, retries.retryAfter(0, request(RouterFixture.EVENTUAL_READ)));
         assertEquals(500 * MS, retries.retryAfter(200 * MS, request(RouterFixture.EVENTUAL_READ)));
     }
 
     @Test
-    void unsentRequestIsHeldForLessThanHalfOfItsTime() {
+    void unsentRequestWaitsForLessThanHalfOfItsTimeout() {
         InFlightRequest write = request(RouterFixture.NON_IDEMPOTENT_WRITE);
         assertEquals(900 * MS, QueueingPolicy.waitUntil(write, false));
         write.attemptStarted(0, endpoint);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void pendingRequestsAreServedByPriorityAndThenInOrder() {
+    void pendingRequestsAreDrainedByPriorityAndThenInOrderOfArrival() {
         InFlightRequest low = request(RouterFixture.BOUNDED_READ);
         InFlightRequest firstHigh = request(RouterFixture.EVENTUAL_READ);
         InFlightRequest secondHigh = request(RouterFixture.EVENTUAL_READ);
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void attemptIsStuckFarPastTheMeanOfItsClass() {
+    void attemptIsStuckFourDeviationsAfterTheMeanLatencyOfItsClass() {
         RouterClock clock = new RouterClock(0);
         HedgingPolicy hedging = new HedgingPolicy(clock, new AnswerLossEstimator(pooled));
         InFlightRequest request = request(RouterFixture.EVENTUAL_READ);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void attemptIsStuckEarlierWhileAnswersGetLost() {
+    void attemptIsStuckEarlierWhileAnswersAreLost() {
         AnswerLossEstimator loss = new AnswerLossEstimator(pooled);
         for (int i = 0; i < 20; i++) {
             loss.record(true);
--- a/src/test/java/mintstair/decision/RulesTest.java
+++ b/src/test/java/mintstair/decision/RouterInvariantsTest.java
@@ -10,12 +10,15 @@
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
-/** The five rules, each able to fail without the bench. */
-class RulesTest {
+/**
+ * Tests the guarantees of the router: one final answer before the deadline, no repeated effect, nothing for draining
+ * hosts, a bounded slow start and reads that are recent enough.
+ */
+class RouterInvariantsTest {
     private static final long MS = RouterFixture.MS;
 
     @Test
-    void everyWaitingRequestIsAnsweredOnceBeforeItsDeadline() {
+    void waitingRequestIsAnsweredOnceBeforeItsDeadline() {
         RouterFixture fixture = new RouterFixture().start();
         fixture.updateEndpoints(EndpointUpdateType.SNAPSHOT, RouterFixture.servingEntry("r1"));
         fixture.answerHealthCheck("r1", fixture.now - 5_000 * MS, ReplicationRole.REPLICA);
@@ -43,7 +46,7 @@
     }
 
     @Test
-    void timeOutAtTheDeadlineIsAnsweredAtOnce() {
+    void requestWhoseAttemptTimesOutAtTheDeadlineFailsAtOnce() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE, 500 * MS, Positions.UNKNOWN);
         fixture.now += 500 * MS;
@@ -52,34 +55,34 @@
     }
 
     @Test
-    void unsafeWriteIsNeverResentNorRefusedOnceItMayHaveRun() {
-        for (AttemptOutcome e : new AttemptOutcome[] {
+    void nonIdempotentWriteIsNeitherResentNorRejectedOnceItMayHaveRun() {
+        for (AttemptOutcome outcome : new AttemptOutcome[] {
             AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECTION_RESET, AttemptOutcome.CANCELLED
         }) {
             RouterFixture fixture = new RouterFixture().start().listReplicaSet();
             fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
             fixture.now += 50 * MS;
-            fixture.endAttempt(fixture.lastAttempt(), 0, e);
-            assertEquals(1, fixture.sentAttempts.size(), e.name());
-            assertEquals(java.util.List.of(1L), fixture.failed, e.name());
-            assertTrue(fixture.rejected.isEmpty(), e.name());
+            fixture.endAttempt(fixture.lastAttempt(), 0, outcome);
+            assertEquals(1, fixture.sentAttempts.size(), outcome.name());
+            assertEquals(List.of(1L), fixture.failed, outcome.name());
+            assertTrue(fixture.rejected.isEmpty(), outcome.name());
         }
     }
 
     @Test
-    void unsafeWriteThatNeverRanGoesOutAgain() {
-        for (AttemptOutcome e : new AttemptOutcome[] {AttemptOutcome.OVERLOADED, AttemptOutcome.UNREACHABLE}) {
+    void nonIdempotentWriteThatDidNotRunIsResent() {
+        for (AttemptOutcome outcome : new AttemptOutcome[] {AttemptOutcome.OVERLOADED, AttemptOutcome.UNREACHABLE}) {
             RouterFixture fixture = new RouterFixture().start().listReplicaSet();
             fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
             fixture.now += 20 * MS;
-            fixture.endAttempt(fixture.lastAttempt(), 0, e);
+            fixture.endAttempt(fixture.lastAttempt(), 0, outcome);
             fixture.advance(100 * MS);
-            assertEquals(2, fixture.sentAttempts.size(), e.name());
+            assertEquals(2, fixture.sentAttempts.size(), outcome.name());
         }
     }
 
     @Test
-    void writeRefusedByAReplicaWaitsForTheNewPrimary() {
+    void writeThatWasMisdirectedToAReplicaWaitsForTheNewPrimary() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
         fixture.now += 20 * MS;
@@ -93,7 +96,7 @@
     }
 
     @Test
-    void keyedRepeatStaysInItsWindow() {
+    void writeWithIdempotencyKeyIsResentOnlyWithinItsDeduplicationWindow() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.sendRequest(1, RouterFixture.IDEMPOTENCY_KEY_WRITE);
         fixture.now += 400 * MS;
@@ -107,7 +110,7 @@
     }
 
     @Test
-    void keyedRepeatThatWaitedPastItsWindowIsNotSent() {
+    void writeThatWaitedPastItsDeduplicationWindowIsNotResent() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.sendRequest(1, RouterFixture.IDEMPOTENCY_KEY_WRITE, 4_000 * MS, Positions.UNKNOWN);
         RouterFixture.SentAttempt first = fixture.lastAttempt();
@@ -122,71 +125,81 @@
     }
 
     /**
-     * As short as settings may give: one answer each in time, nothing sent past it, no repeat past the window, none
-     * of an unsafe write.
+     * Guards against time arithmetic that fails at the shortest deadlines and deduplication windows that settings may
+     * have: each request gets one answer in time, no attempt is sent after the deadline, no write is repeated after its
+     * window, and a non-idempotent write is never repeated.
      */
     @Test
-    void shortestDeadlinesAndWindowsKeepTheRules() {
+    void invariantsHoldForTheShortestDeadlinesAndWindows() {
         for (long deadline : new long[] {1, 5, 20, 60, 300}) {
             for (long window : new long[] {1, 5, 50}) {
-                for (AttemptOutcome end : new AttemptOutcome[] {
+                for (AttemptOutcome outcome : new AttemptOutcome[] {
                     AttemptOutcome.ERROR,
                     AttemptOutcome.CONNECTION_RESET,
                     AttemptOutcome.OVERLOADED,
                     AttemptOutcome.TIMEOUT
                 }) {
-                    shortTimes(deadline * MS, window * MS, end);
+                    checkInvariants(deadline * MS, window * MS, outcome);
                 }
             }
         }
     }
 
-    private static void shortTimes(long deadline, long window, AttemptOutcome end) {
+    private static void checkInvariants(long deadline, long window, AttemptOutcome outcome) {
         RouterFixture fixture = new RouterFixture();
         fixture.deadlineOverride = deadline;
         fixture.deduplicationWindowOverride = window;
         fixture.start().listReplicaSet();
-        String what = deadline / MS + " ms, window " + window / MS + " ms, " + end;
-        long began = fixture.now;
-        for (int kind = 0; kind < 5; kind++) {
-            fixture.sendRequest(kind, kind, deadline, Positions.UNKNOWN);
+        String scenario = "deadline " + deadline / MS + " ms, window " + window / MS + " ms, " + outcome;
+        long startedAt = fixture.now;
+        for (int classIndex = 0; classIndex < 5; classIndex++) {
+            fixture.sendRequest(classIndex, classIndex, deadline, Positions.UNKNOWN);
         }
-        int[] told = new int[5];
-        for (int ended = 0; fixture.now <= began + deadline + 5 * MS; ) {
+        int[] endedAttempts = new int[5];
+        for (int ended = 0; fixture.now <= startedAt + deadline + 5 * MS; ) {
             fixture.now += MS;
             for (;
                     ended < fixture.sentAttempts.size()
-                            && fixture.now >= endOf(fixture.sentAttempts.get(ended), end, began + deadline);
+                            && fixture.now >= endOf(fixture.sentAttempts.get(ended), outcome, startedAt + deadline);
                     ended++) {
                 RouterFixture.SentAttempt sent = fixture.sentAttempts.get(ended);
-                fixture.endAttempt(sent, told[(int) sent.requestId()]++, end);
+                fixture.endAttempt(sent, endedAttempts[(int) sent.requestId()]++, outcome);
             }
             fixture.router.onTimer(fixture.now, "tick");
         }
         List<Long> answers = new ArrayList<>(fixture.rejected);
         answers.addAll(fixture.failed);
-        assertEquals(List.of(0L, 1L, 2L, 3L, 4L), answers.stream().sorted().toList(), what);
+        assertEquals(List.of(0L, 1L, 2L, 3L, 4L), answers.stream().sorted().toList(), scenario);
         assertTrue(
                 fixture.sentAttempts.stream()
-                        .allMatch(s -> s.sentAt() <= began + deadline && s.abandonAt() <= began + deadline),
-                what + ": " + fixture.sentAttempts);
-        if (end != AttemptOutcome.OVERLOADED) {
-            assertTrue(fixture.attemptsOf(RouterFixture.NON_IDEMPOTENT_WRITE).size() <= 1, what);
-            List<RouterFixture.SentAttempt> keyed = fixture.attemptsOf(RouterFixture.IDEMPOTENCY_KEY_WRITE);
-            assertTrue(keyed.stream().allMatch(s -> s.sentAt() <= keyed.get(0).sentAt() + window), what + ": " + keyed);
+                        .allMatch(sent ->
+                                sent.sentAt() <= startedAt + deadline && sent.abandonAt() <= startedAt + deadline),
+                scenario + ": " + fixture.sentAttempts);
+        if (outcome != AttemptOutcome.OVERLOADED) {
+            assertTrue(fixture.attemptsOf(RouterFixture.NON_IDEMPOTENT_WRITE).size() <= 1, scenario);
+            List<RouterFixture.SentAttempt> keyedAttempts = fixture.attemptsOf(RouterFixture.IDEMPOTENCY_KEY_WRITE);
+            assertTrue(
+                    keyedAttempts.stream()
+                            .allMatch(sent ->
+                                    sent.sentAt() <= keyedAttempts.get(0).sentAt() + window),
+                    scenario + ": " + keyedAttempts);
         }
     }
 
-    /** An attempt that is not abandoned before is over with its request. */
-    private static long endOf(RouterFixture.SentAttempt sent, AttemptOutcome end, long over) {
-        return end != AttemptOutcome.TIMEOUT ? sent.sentAt() + 2 * MS : sent.abandonAt() > 0 ? sent.abandonAt() : over;
+    /** Returns when the attempt ends; one without a time-out of its own times out with its request. */
+    private static long endOf(RouterFixture.SentAttempt sent, AttemptOutcome outcome, long requestEnd) {
+        if (outcome != AttemptOutcome.TIMEOUT) {
+            return sent.sentAt() + 2 * MS;
+        }
+        return sent.abandonAt() > 0 ? sent.abandonAt() : requestEnd;
     }
 
     /**
-     * It waits for its next attempt, for a second copy, or for a primary: whatever comes then, nothing begins for it.
+     * Guards against attempts for requests that wait for a hedged request, a retry or a primary when their clients
+     * disconnect.
      */
     @Test
-    void nothingBeginsForAClientThatHasGone() {
+    void noAttemptIsSentForADisconnectedClient() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
         RouterFixture.SentAttempt first = fixture.lastAttempt();
@@ -195,7 +208,7 @@
         fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.OVERLOADED);
         fixture.updateState("p", EndpointState.REMOVED);
         fixture.sendRequest(3, RouterFixture.NON_IDEMPOTENT_WRITE);
-        assertTrue(fixture.attemptsOf(3).isEmpty(), "there is no primary");
+        assertTrue(fixture.attemptsOf(3).isEmpty(), "a write was sent although no primary is known");
         int before = fixture.sentAttempts.size();
         for (long id = 1; id <= 3; id++) {
             fixture.router.onClientDisconnected(fixture.now, id);
@@ -205,11 +218,11 @@
         fixture.answerHealthCheck("r1", fixture.now, ReplicationRole.PRIMARY);
         fixture.advance(1_000 * MS);
         assertEquals(before, fixture.sentAttempts.size());
-        assertTrue(fixture.rejected.isEmpty() && fixture.failed.isEmpty(), "nobody is there to be told");
+        assertTrue(fixture.rejected.isEmpty() && fixture.failed.isEmpty(), "a disconnected client was answered");
     }
 
     @Test
-    void noSecondCopyWhereNoneIsAllowed() {
+    void requestIsNotHedgedWhereHedgingIsDisabled() {
         RouterFixture fixture = new RouterFixture();
         fixture.hedging = false;
         fixture.start().listReplicaSet();
@@ -223,7 +236,7 @@
     }
 
     @Test
-    void drainingHostsGetNothingMoreEvenForThoseWhoWait() {
+    void drainingAndRemovedHostsReceiveNoAttempts() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.updateState("p", EndpointState.DRAINING);
         fixture.updateState("r1", EndpointState.REMOVED);
@@ -238,7 +251,7 @@
     }
 
     @Test
-    void hostMissingFromAWholeListIsGone() {
+    void hostMissingFromASnapshotReceivesNoAttempts() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.updateEndpoints(
                 EndpointUpdateType.SNAPSHOT, RouterFixture.servingEntry("p"), RouterFixture.servingEntry("r2"));
@@ -250,15 +263,15 @@
     }
 
     @Test
-    void coldReplicaGetsAtMostItsRampedShare() {
+    void replicaInSlowStartReceivesAtMostItsRampedShare() {
         RouterFixture fixture = new RouterFixture();
         fixture.fleetSize = 4;
         fixture.start().listReplicaSet();
         fixture.updateEndpoints(
                 EndpointUpdateType.DELTA,
                 new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, fixture.now));
-        int cold = 0;
-        int all = 0;
+        int sentToStarted = 0;
+        int sentToAll = 0;
         for (int i = 0; i < 400; i++) {
             fixture.now += 5 * MS;
             if (i % 4 == 0) {
@@ -267,19 +280,21 @@
             int before = fixture.sentAttempts.size();
             fixture.sendRequest(100 + i, RouterFixture.EVENTUAL_READ);
             if (fixture.sentAttempts.size() > before) {
-                all++;
-                cold += fixture.lastAttempt().host().equals("r1") ? 1 : 0;
-                RouterFixture.SentAttempt s = fixture.lastAttempt();
+                sentToAll++;
+                sentToStarted += fixture.lastAttempt().host().equals("r1") ? 1 : 0;
+                RouterFixture.SentAttempt sent = fixture.lastAttempt();
                 fixture.now += 1;
-                fixture.endAttempt(s, 0, AttemptOutcome.SUCCESS);
+                fixture.endAttempt(sent, 0, AttemptOutcome.SUCCESS);
             }
         }
-        assertTrue(all > 300, "sent " + all);
-        assertTrue(cold < all * 0.15, "cold " + cold + " of " + all);
+        assertTrue(sentToAll > 300, "sent " + sentToAll + " of 400 requests");
+        assertTrue(
+                sentToStarted < sentToAll * 0.15,
+                "sent " + sentToStarted + " of " + sentToAll + " to the host in slow start");
     }
 
     @Test
-    void boundedReadComparesWithTheTimeOfEachSend() {
+    void boundedStalenessCountsFromTheTimeOfEachAttempt() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.sendRequest(1, RouterFixture.BOUNDED_READ);
         RouterFixture.SentAttempt first = fixture.lastAttempt();
@@ -288,11 +303,12 @@
         fixture.endAttempt(first, 0, AttemptOutcome.OVERLOADED, ReplicationRole.UNKNOWN, Positions.UNKNOWN);
         fixture.answerHealthChecks(250 * MS);
         assertEquals(2, fixture.sentAttempts.size());
-        assertEquals("p", fixture.lastAttempt().host(), "no replica is known within the bound of the second send");
+        assertEquals(
+                "p", fixture.lastAttempt().host(), "no replica is known to be within the bound at the second attempt");
     }
 
     @Test
-    void carriedTokenNeedsAReplicaPastIt() {
+    void sessionReadIsSentOnlyToAHostPastItsSessionToken() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.now += 1_000 * MS;
         fixture.sendRequest(1, RouterFixture.SESSION_READ, 1_200 * MS, 500 * MS);
@@ -305,7 +321,7 @@
     }
 
     @Test
-    void rememberedTokenIsTheCommitOfTheSessionsLastWrite() {
+    void rememberedSessionTokenIsThePositionOfTheLastWrite() {
         RouterFixture fixture = new RouterFixture();
         fixture.remembersSessionTokens = true;
         fixture.start().listReplicaSet();
@@ -321,7 +337,7 @@
     }
 
     @Test
-    void freshRouterSendsTokenReadsOnlyWhereProven() {
+    void restartedRouterSendsSessionReadsOnlyToHostsThatReportedTheirPosition() {
         RouterFixture fixture = new RouterFixture().start();
         fixture.updateEndpoints(
                 EndpointUpdateType.CACHED, RouterFixture.servingEntry("p"), RouterFixture.servingEntry("r1"));
@@ -331,9 +347,9 @@
         assertEquals("r1", fixture.lastAttempt().host());
     }
 
-    /** Guards against a cursor read on elsewhere, twice, or from stale data. */
+    /** Guards against a cursor that is continued at another host, twice, or on stale data. */
     @Test
-    void pinnedReadGoesToItsHostOnceOrNowhere() {
+    void stickyRequestIsSentOnceAndOnlyToItsHost() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.router.onRequest(
                 fixture.now,
@@ -344,7 +360,7 @@
                         "s",
                         -1,
                         false,
-                        1000 * RouterFixture.MS,
+                        1000 * MS,
                         Positions.UNKNOWN,
                         "r2"));
         assertEquals("r2", fixture.lastAttempt().host());
@@ -353,8 +369,8 @@
         fixture.router.onRequest(
                 fixture.now,
                 new RoutingRequest(
-                        2, RouterFixture.SESSION_READ, 0, "s", -1, false, 1000 * RouterFixture.MS, -5000, "r2"));
-        fixture.advance(500 * RouterFixture.MS);
+                        2, RouterFixture.SESSION_READ, 0, "s", -1, false, 1000 * MS, -5000, "r2"));
+        fixture.advance(500 * MS);
         assertEquals(List.of(2L), fixture.rejected);
         assertEquals(1, fixture.sentAttempts.size());
     }
--- a/src/test/java/mintstair/decision/RouterTimeTest.java
+++ b/src/test/java/mintstair/decision/RouterTimingTest.java
@@ -6,13 +6,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The clock, the tick timer and the request rate of a router. */
-class RouterTimeTest {
+/** Tests the clock, the tick timer and the request rate of a router. */
+class RouterTimingTest {
     private static final long MS = RouterFixture.MS;
     private static final long SECOND = 1_000 * MS;
 
     @Test
-    void clockStandsWhereItsReadingGoesBack() {
+    void clockDoesNotGoBackwards() {
         RouterClock clock = new RouterClock(0);
         assertEquals(SECOND, clock.advance(SECOND));
         assertEquals(SECOND, clock.advance(SECOND - 1));
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void onlyATimerThatIsFarTooLateShowsAPauseOfTheProcess() {
+    void timerMoreThan100MillisecondsLateIsTakenForAPauseOfTheProcess() {
         RouterClock clock = new RouterClock(7);
         clock.timerFired(SECOND + 100 * MS, SECOND);
         assertEquals(7, clock.runningSince());
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void tickIsScheduledOnceAndOnlyBroughtForward() {
+    void tickIsRescheduledOnlyToAnEarlierTime() {
         RouterFixture fixture = new RouterFixture();
         TickTimer ticks = new TickTimer(fixture);
         ticks.schedule(0, 50 * MS);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void tickThatWasBroughtForwardIsDueAtItsNewTimeAlone() {
+    void tickIsDueOnceAndOnlyAtItsScheduledTime() {
         TickTimer ticks = new TickTimer(new RouterFixture());
         ticks.schedule(0, 50 * MS);
         assertFalse(ticks.isDue(20 * MS, "tick"));
