--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -82,10 +82,10 @@
 
     /** Decides whether an attempt that is given up at {@code abandonAtMicros} may begin now. */
     public AttemptVerdict mayBegin(long nowMicros, RouterAction.Send attempt, Exchange exchange, long abandonAtMicros) {
-        return AttemptRules.rule(new AttemptRules.Facts(
+        return AttemptRules.evaluate(new AttemptRules.Facts(
                 nowMicros,
                 exchange.isOver(),
-                !exchange.isWanted(),
+                !exchange.isClientWaiting(),
                 abandonAtMicros,
                 attempt.beginByMicros(),
                 drainingHosts.contains(attempt.host())));
@@ -182,7 +182,7 @@
         }
 
         private void updateDraining(long nowMicros, EndpointList list) {
-            if (list.whole()) {
+            if (list.isSnapshot()) {
                 drainingHosts.clear();
             }
             for (EndpointList.Entry entry : list.entries()) {
--- a/src/test/java/mintstair/decision/AttemptVerdictTest.java
+++ b/src/test/java/mintstair/decision/AttemptVerdictTest.java
@@ -12,7 +12,7 @@
 
     private static AttemptVerdict verdict(
             boolean requestOver, boolean clientGone, long until, long beginBy, boolean hostDrains) {
-        return AttemptRules.rule(new AttemptRules.Facts(NOW, requestOver, clientGone, until, beginBy, hostDrains));
+        return AttemptRules.evaluate(new AttemptRules.Facts(NOW, requestOver, clientGone, until, beginBy, hostDrains));
     }
 
     @Test
--- a/src/test/java/mintstair/decision/EndpointSelectionTest.java
+++ b/src/test/java/mintstair/decision/EndpointSelectionTest.java
@@ -236,7 +236,7 @@
     @Test
     void fallbackReadIsRejectedWhileAllReadsFallBack() {
         for (int i = 0; i < 100; i++) {
-            admission.recordRead(replicaSet(), true);
+            admission.recordReadDecision(replicaSet(), true);
         }
         assertNull(admission.admit(SECOND, replicaSet(), request(RouterFixture.BOUNDED_READ)));
         assertNotNull(admission.admit(SECOND, replicaSet(), request(RouterFixture.NON_IDEMPOTENT_WRITE)));
