--- a/src/test/java/mintstair/decision/FailureDetectorTest.java
+++ b/src/test/java/mintstair/decision/FailureDetectorTest.java
@@ -39,47 +39,47 @@
 
     @Test
     void endpointThatIsUnreachableTwiceInARowIsUnresponsive() {
-        detector.unreachable(SECOND, endpoint);
+        detector.endpointUnreachable(SECOND, endpoint);
         assertFalse(endpoint.liveness.isUnresponsive());
-        detector.unreachable(SECOND, endpoint);
+        detector.endpointUnreachable(SECOND, endpoint);
         assertTrue(endpoint.liveness.isUnresponsive());
         assertEquals(List.of("a"), unresponsive);
     }
 
     @Test
-    void answerBetweenTwoFailuresKeepsTheEndpointResponsive() {
-        detector.unreachable(SECOND, endpoint);
-        detector.answered(SECOND, endpoint, false);
-        detector.unreachable(SECOND, endpoint);
+    void replyBetweenTwoFailuresKeepsTheEndpointResponsive() {
+        detector.endpointUnreachable(SECOND, endpoint);
+        detector.endpointReplied(SECOND, endpoint, false);
+        detector.endpointUnreachable(SECOND, endpoint);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
     @Test
     void unreachableEndpointThatAnswersAgainIsInSlowStart() {
-        detector.unreachable(SECOND, endpoint);
-        detector.unreachable(SECOND, endpoint);
-        detector.answered(2 * SECOND, endpoint, false);
+        detector.endpointUnreachable(SECOND, endpoint);
+        detector.endpointUnreachable(SECOND, endpoint);
+        detector.endpointReplied(2 * SECOND, endpoint, false);
         assertFalse(endpoint.liveness.isUnresponsive());
         assertTrue(endpoint.slowStart.isActive());
     }
 
-    /** Leaves this many requests in flight without an answer for 5 s. */
-    private void missAnswers(int inFlight) {
+    /** Leaves this many requests in flight without a reply for 5 s. */
+    private void missReplies(int inFlight) {
         endpoint.inFlight = inFlight;
-        detector.accrue(0, endpoint);
+        detector.accrueMissedReplies(0, endpoint);
         endpoint.inFlight = inFlight;
-        detector.checkForMissedAnswers(5 * SECOND, endpoint, classes.replyTimeout());
+        detector.checkForMissedReplies(5 * SECOND, endpoint, classes.replyTimeout());
     }
 
     @Test
     void endpointThatAnswersNoneOfSeveralRequestsIsUnresponsive() {
-        missAnswers(3);
+        missReplies(3);
         assertTrue(endpoint.liveness.isUnresponsive());
     }
 
     @Test
     void singleUnansweredRequestDoesNotMakeAnEndpointUnresponsive() {
-        missAnswers(1);
+        missReplies(1);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
@@ -87,43 +87,43 @@
     void primaryWhoseReplicasAdvanceIsNotUnresponsive() {
         replicaSet.primary = endpoint;
         replicaSet.newestPosition = 5 * SECOND;
-        missAnswers(3);
+        missReplies(3);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
     @Test
-    void answersMissedDuringAPauseOfTheProcessAreNotCounted() {
+    void repliesMissedDuringAPauseOfTheProcessAreNotCounted() {
         clock.timerFired(5 * SECOND, SECOND);
-        missAnswers(3);
+        missReplies(3);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
     @Test
     void hungEndpointThatAnswersHealthChecksStaysUnresponsiveFor5Seconds() {
-        missAnswers(3);
-        detector.answered(6 * SECOND, endpoint, false);
+        missReplies(3);
+        detector.endpointReplied(6 * SECOND, endpoint, false);
         assertTrue(endpoint.liveness.isUnresponsive());
-        detector.answered(11 * SECOND, endpoint, false);
+        detector.endpointReplied(11 * SECOND, endpoint, false);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
     @Test
     void afterAFailedConnectOnlyEndpointsThatAnsweredRecentlyAreTrusted() {
         assertTrue(detector.isTrusted(SECOND, endpoint));
-        detector.unreachable(SECOND, endpoint);
+        detector.endpointUnreachable(SECOND, endpoint);
         assertFalse(detector.isTrusted(SECOND, endpoint));
-        detector.answered(2 * SECOND, endpoint, false);
+        detector.endpointReplied(2 * SECOND, endpoint, false);
         assertTrue(detector.isTrusted(2 * SECOND, endpoint));
     }
 
     @Test
     void lostHealthCheckIsNotCountedIfTheEndpointAnsweredSinceItWasSent() {
         endpoint.healthCheck.sentAt = SECOND;
-        endpoint.liveness.settle(SECOND);
-        detector.healthCheckLost(2 * SECOND, endpoint);
-        assertEquals(0, endpoint.liveness.unreachableInARow);
+        endpoint.liveness.clearMissedReplies(SECOND);
+        detector.healthCheckUnanswered(2 * SECOND, endpoint);
+        assertEquals(0, endpoint.liveness.consecutiveUnreachable);
         endpoint.healthCheck.sentAt = SECOND + 1;
-        detector.healthCheckLost(2 * SECOND, endpoint);
-        assertEquals(1, endpoint.liveness.unreachableInARow);
+        detector.healthCheckUnanswered(2 * SECOND, endpoint);
+        assertEquals(1, endpoint.liveness.consecutiveUnreachable);
     }
 }
--- a/src/test/java/mintstair/decision/InvariantMonitorTest.java
+++ b/src/test/java/mintstair/decision/InvariantMonitorTest.java
@@ -18,8 +18,8 @@
 
     private final InvariantMonitor monitor = new InvariantMonitor();
 
-    private void takeRequest(Idempotency idempotency) {
-        monitor.taken(
+    private void acceptRequest(Idempotency idempotency) {
+        monitor.requestAccepted(
                 REQUEST,
                 new RequestClass(
                         "c",
@@ -35,93 +35,93 @@
                 2 * SECOND);
     }
 
-    private List<Violation> beginAttempt(long now, int attempt) {
-        return beginAttempt(now, attempt, SECOND);
+    private List<Violation> startAttempt(long now, int attempt) {
+        return startAttempt(now, attempt, SECOND);
     }
 
-    private List<Violation> beginAttempt(long now, int attempt, long timeout) {
-        return monitor.begun(now, REQUEST, attempt, HOST, timeout, GRACE).stream()
+    private List<Violation> startAttempt(long now, int attempt, long timeout) {
+        return monitor.attemptStarted(now, REQUEST, attempt, HOST, timeout, GRACE).stream()
                 .map(Finding::violation)
                 .toList();
     }
 
     @Test
-    void nonIdempotentRequestMayNotBeginAgainWhileAnAttemptIsInFlightOrMayHaveRun() {
-        takeRequest(Idempotency.NOT_IDEMPOTENT);
-        assertEquals(List.of(), beginAttempt(0, 0));
-        assertEquals(List.of(Violation.SENT_TWICE), beginAttempt(MS, 1));
-        monitor.ended(REQUEST, 0, false);
-        monitor.ended(REQUEST, 1, true);
-        assertEquals(List.of(Violation.SENT_TWICE), beginAttempt(2 * MS, 2));
+    void nonIdempotentRequestMayNotBeSentAgainWhileAnAttemptIsInFlightOrMayHaveRun() {
+        acceptRequest(Idempotency.NOT_IDEMPOTENT);
+        assertEquals(List.of(), startAttempt(0, 0));
+        assertEquals(List.of(Violation.SENT_TWICE), startAttempt(MS, 1));
+        monitor.attemptEnded(REQUEST, 0, false);
+        monitor.attemptEnded(REQUEST, 1, true);
+        assertEquals(List.of(Violation.SENT_TWICE), startAttempt(2 * MS, 2));
     }
 
     @Test
-    void nonIdempotentRequestThatDidNotRunMayBeginAgain() {
-        takeRequest(Idempotency.NOT_IDEMPOTENT);
-        beginAttempt(0, 0);
-        monitor.ended(REQUEST, 0, false);
-        assertEquals(List.of(), beginAttempt(MS, 1));
+    void nonIdempotentRequestThatDidNotRunMayBeSentAgain() {
+        acceptRequest(Idempotency.NOT_IDEMPOTENT);
+        startAttempt(0, 0);
+        monitor.attemptEnded(REQUEST, 0, false);
+        assertEquals(List.of(), startAttempt(MS, 1));
     }
 
     @Test
-    void requestWithIdempotencyKeyMayBeginAgainOnlyWithinItsDeduplicationWindow() {
-        takeRequest(Idempotency.IDEMPOTENCY_KEY);
-        beginAttempt(0, 0);
-        monitor.ended(REQUEST, 0, true);
-        assertEquals(List.of(), beginAttempt(WINDOW, 1));
-        assertEquals(List.of(Violation.SENT_TWICE), beginAttempt(WINDOW + 250 * MS, 2));
+    void requestWithIdempotencyKeyMayBeSentAgainOnlyWithinItsDeduplicationWindow() {
+        acceptRequest(Idempotency.IDEMPOTENCY_KEY);
+        startAttempt(0, 0);
+        monitor.attemptEnded(REQUEST, 0, true);
+        assertEquals(List.of(), startAttempt(WINDOW, 1));
+        assertEquals(List.of(Violation.SENT_TWICE), startAttempt(WINDOW + 250 * MS, 2));
     }
 
     @Test
-    void idempotentRequestMayBeginAgain() {
-        takeRequest(Idempotency.IDEMPOTENT);
-        beginAttempt(0, 0);
-        assertEquals(List.of(), beginAttempt(MS, 1));
+    void idempotentRequestMayBeSentAgain() {
+        acceptRequest(Idempotency.IDEMPOTENT);
+        startAttempt(0, 0);
+        assertEquals(List.of(), startAttempt(MS, 1));
     }
 
     @Test
-    void noAttemptMayBeginOnceItsRequestIsOver() {
-        takeRequest(Idempotency.IDEMPOTENT);
-        beginAttempt(0, 0);
-        monitor.over(REQUEST);
-        assertEquals(List.of(Violation.SENT_AFTER_END), beginAttempt(MS, 1));
+    void noAttemptMayStartOnceItsRequestIsOver() {
+        acceptRequest(Idempotency.IDEMPOTENT);
+        startAttempt(0, 0);
+        monitor.requestClosed(REQUEST);
+        assertEquals(List.of(Violation.SENT_AFTER_END), startAttempt(MS, 1));
     }
 
     @Test
     void timeoutSentToAHostMayNotExceedTheRemainingTimeOfTheClient() {
-        takeRequest(Idempotency.IDEMPOTENT);
-        assertEquals(List.of(), beginAttempt(SECOND, 0, SECOND + 150 * MS));
-        assertEquals(List.of(Violation.WAIT_TOO_LONG), beginAttempt(SECOND, 1, SECOND + 151 * MS));
+        acceptRequest(Idempotency.IDEMPOTENT);
+        assertEquals(List.of(), startAttempt(SECOND, 0, SECOND + 150 * MS));
+        assertEquals(List.of(Violation.WAIT_TOO_LONG), startAttempt(SECOND, 1, SECOND + 151 * MS));
     }
 
     @Test
-    void noAttemptMayBeginAtADrainingHostAfterTheGracePeriod() {
-        takeRequest(Idempotency.IDEMPOTENT);
-        monitor.listed(0, HOST, true);
-        assertEquals(List.of(), beginAttempt(GRACE, 0, MS));
-        monitor.listed(GRACE, HOST, true);
-        assertEquals(List.of(Violation.SENT_TO_DRAINING), beginAttempt(GRACE + 201 * MS, 1, MS));
-        monitor.listed(GRACE + 202 * MS, HOST, false);
-        assertEquals(List.of(), beginAttempt(GRACE + 203 * MS, 2, MS));
+    void noAttemptMayStartAtADrainingHostAfterTheGracePeriod() {
+        acceptRequest(Idempotency.IDEMPOTENT);
+        monitor.hostListed(0, HOST, true);
+        assertEquals(List.of(), startAttempt(GRACE, 0, MS));
+        monitor.hostListed(GRACE, HOST, true);
+        assertEquals(List.of(Violation.SENT_TO_DRAINING), startAttempt(GRACE + 201 * MS, 1, MS));
+        monitor.hostListed(GRACE + 202 * MS, HOST, false);
+        assertEquals(List.of(), startAttempt(GRACE + 203 * MS, 2, MS));
     }
 
     @Test
     void lateAnswerAndSecondAnswerAreViolations() {
-        takeRequest(Idempotency.IDEMPOTENT);
-        beginAttempt(0, 0);
+        acceptRequest(Idempotency.IDEMPOTENT);
+        startAttempt(0, 0);
         assertEquals(
                 List.of(new Finding(Violation.ANSWERED_LATE, REQUEST, "")),
-                monitor.answered(2 * SECOND + 501 * MS, REQUEST));
-        assertEquals(2, monitor.answered(2 * SECOND + 502 * MS, REQUEST).size());
+                monitor.requestAnswered(2 * SECOND + 501 * MS, REQUEST));
+        assertEquals(2, monitor.requestAnswered(2 * SECOND + 502 * MS, REQUEST).size());
     }
 
     @Test
     void requestIsForgottenOnceItAndItsAttemptsAreOver() {
-        takeRequest(Idempotency.IDEMPOTENT);
-        beginAttempt(0, 0);
-        monitor.answered(MS, REQUEST);
-        assertEquals(1, monitor.watched());
-        monitor.ended(REQUEST, 0, true);
-        assertEquals(0, monitor.watched());
+        acceptRequest(Idempotency.IDEMPOTENT);
+        startAttempt(0, 0);
+        monitor.requestAnswered(MS, REQUEST);
+        assertEquals(1, monitor.openRequests());
+        monitor.attemptEnded(REQUEST, 0, true);
+        assertEquals(0, monitor.openRequests());
     }
 }
--- a/src/test/java/mintstair/decision/SettingsReloadTest.java
+++ b/src/test/java/mintstair/decision/SettingsReloadTest.java
@@ -32,7 +32,7 @@
                 base.replicaReadCheck(),
                 base.positionsInResponses(),
                 base.listReportsRole(),
-                base.subscribe(),
+                base.subscribesToEndpoints(),
                 base.clientsMarkRetries(),
                 base.healthCheckCost(),
                 base.crossZoneCost(),
