--- a/src/test/java/mintstair/decision/FailureDetectorTest.java
+++ b/src/test/java/mintstair/decision/FailureDetectorTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When an endpoint counts as unresponsive, and when no longer. */
+/** Tests when an endpoint becomes unresponsive, and when it becomes responsive again. */
 class FailureDetectorTest {
     private static final long MS = RouterFixture.MS;
     private static final long SECOND = 1_000 * MS;
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void answerBetweenTwoFailuresKeepsTheEndpointInUse() {
+    void replyBetweenTwoFailuresKeepsTheEndpointResponsive() {
         detector.endpointUnreachable(SECOND, endpoint);
         detector.endpointReplied(SECOND, endpoint, false);
         detector.endpointUnreachable(SECOND, endpoint);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void unreachableEndpointComesBackInSlowStart() {
+    void unreachableEndpointThatAnswersAgainIsInSlowStart() {
         detector.endpointUnreachable(SECOND, endpoint);
         detector.endpointUnreachable(SECOND, endpoint);
         detector.endpointReplied(2 * SECOND, endpoint, false);
@@ -63,7 +63,8 @@
         assertTrue(endpoint.slowStart.isActive());
     }
 
-    private void missAnswers(int inFlight) {
+    /** Leaves this many requests in flight without a reply for 5 s. */
+    private void missReplies(int inFlight) {
         endpoint.inFlight = inFlight;
         detector.accrueMissedReplies(0, endpoint);
         endpoint.inFlight = inFlight;
@@ -72,34 +73,34 @@
 
     @Test
     void endpointThatAnswersNoneOfSeveralRequestsIsUnresponsive() {
-        missAnswers(3);
+        missReplies(3);
         assertTrue(endpoint.liveness.isUnresponsive());
     }
 
     @Test
-    void oneLongRequestProvesNothing() {
-        missAnswers(1);
+    void singleUnansweredRequestDoesNotMakeAnEndpointUnresponsive() {
+        missReplies(1);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
     @Test
-    void primaryWhoseReplicasAdvanceIsSlowButNotLost() {
+    void primaryWhoseReplicasAdvanceIsNotUnresponsive() {
         replicaSet.primary = endpoint;
         replicaSet.newestPosition = 5 * SECOND;
-        missAnswers(3);
+        missReplies(3);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
     @Test
-    void answersMissedWhileTheProcessWasPausedCountForNothing() {
+    void repliesMissedDuringAPauseOfTheProcessAreNotCounted() {
         clock.timerFired(5 * SECOND, SECOND);
-        missAnswers(3);
+        missReplies(3);
         assertFalse(endpoint.liveness.isUnresponsive());
     }
 
     @Test
-    void hungEndpointThatAnswersHealthChecksStaysOutForAWhile() {
-        missAnswers(3);
+    void hungEndpointThatAnswersHealthChecksStaysUnresponsiveFor5Seconds() {
+        missReplies(3);
         detector.endpointReplied(6 * SECOND, endpoint, false);
         assertTrue(endpoint.liveness.isUnresponsive());
         detector.endpointReplied(11 * SECOND, endpoint, false);
@@ -107,7 +108,7 @@
     }
 
     @Test
-    void afterSignsOfLossOnlyEndpointsHeardOfLatelyAreTrusted() {
+    void afterAFailedConnectOnlyEndpointsThatAnsweredRecentlyAreTrusted() {
         assertTrue(detector.isTrusted(SECOND, endpoint));
         detector.endpointUnreachable(SECOND, endpoint);
         assertFalse(detector.isTrusted(SECOND, endpoint));
@@ -116,7 +117,7 @@
     }
 
     @Test
-    void lostHealthCheckProvesNothingAgainstAnEndpointThatAnsweredSince() {
+    void lostHealthCheckIsNotCountedIfTheEndpointAnsweredSinceItWasSent() {
         endpoint.healthCheck.sentAt = SECOND;
         endpoint.liveness.clearMissedReplies(SECOND);
         detector.healthCheckUnanswered(2 * SECOND, endpoint);
