--- a/src/test/java/mintstair/decision/DecisionDigestTest.java
+++ b/src/test/java/mintstair/decision/DecisionDigestTest.java
@@ -17,30 +17,32 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pins the decisions: the actions of {@link DecisionSchedule} under each of {@link DecisionSettings} have to be those
- * whose digests stand in the resource, random draws included, so that a refactoring is known to decide as the code
- * before it did.
+ * Pins the decisions of the router: the digests of the actions recorded by {@link DecisionSchedule} with each of {@link
+ * DecisionSettings} must equal those in the resource file. A refactoring that changes a decision or a random draw fails
+ * this test.
  *
- * <p>A change that means to decide otherwise renews the resource with {@code mvn test -Dtest=DecisionDigestTest
- * -Ddecision.digests.renew=true} and says in its commit why. The records themselves go to {@code
- * target/decision-records} where {@code -Ddecision.records=true} is given, so that those of two builds can be
- * compared line by line.
+ * <p>A change that is meant to alter decisions rewrites the resource file with {@code mvn test
+ * -Dtest=DecisionDigestTest -Ddecision.digests.renew=true}, and its commit message gives the reason. With {@code
+ * -Ddecision.records=true} the records are written to {@code target/decision-records}, so that those of two builds can
+ * be compared line by line.
  */
 class DecisionDigestTest {
     private static final Path DIGESTS = Path.of("src/test/resources/mintstair/decision/decision-digests.txt");
     private static final Path RECORDS = Path.of("target/decision-records");
     private static final int SEEDS = 4;
-    private static final int LEAST_EVENTS = 5_000;
+    private static final int MIN_EVENTS = 5_000;
 
     @Test
-    void decisionsAreThoseOfThePinnedBuild() throws IOException {
+    void decisionsMatchPinnedDigests() throws IOException {
         List<String> digests = new ArrayList<>();
         for (DecisionSettings settings : DecisionSettings.values()) {
             for (int seed = 1; seed <= SEEDS; seed++) {
                 DecisionSchedule schedule = new DecisionSchedule(seed, settings.settings());
                 List<String> record = schedule.play();
-                assertTrue(schedule.played() >= LEAST_EVENTS, settings + " played " + schedule.played() + " events");
-                keep(settings + "-" + seed, record);
+                assertTrue(
+                        schedule.eventsPlayed() >= MIN_EVENTS,
+                        settings + ", seed " + seed + ": only " + schedule.eventsPlayed() + " events were played");
+                writeRecord(settings + "-" + seed, record);
                 digests.add(settings + " " + seed + " " + record.size() + " " + digest(record));
             }
         }
@@ -50,21 +52,21 @@
         assertEquals(String.join("\n", Files.readAllLines(DIGESTS)), String.join("\n", digests));
     }
 
-    /** Guards against schedules that pin nothing, as they never reach some of the module's actions. */
+    /** Guards against schedules whose digests pin less than intended because the router never takes some action. */
     @Test
-    void schedulesReachEveryAction() {
-        Set<String> reached = new TreeSet<>();
+    void schedulesContainEveryKindOfAction() {
+        Set<String> recorded = new TreeSet<>();
         for (DecisionSettings settings : DecisionSettings.values()) {
             for (String line : new DecisionSchedule(1, settings.settings()).play()) {
-                reached.add(line.split(" ")[1]);
+                recorded.add(line.split(" ")[1]);
             }
         }
         assertTrue(
-                reached.containsAll(List.of("send", "cancel", "refuse", "fail", "probe", "timer", "subscribe")),
-                reached.toString());
+                recorded.containsAll(List.of("send", "cancel", "refuse", "fail", "probe", "timer", "subscribe")),
+                recorded.toString());
     }
 
-    private static void keep(String name, List<String> record) throws IOException {
+    private static void writeRecord(String name, List<String> record) throws IOException {
         if (Boolean.getBoolean("decision.records")) {
             Files.createDirectories(RECORDS);
             Files.write(RECORDS.resolve(name + ".txt"), record);
--- a/src/test/java/mintstair/decision/DecisionSettings.java
+++ b/src/test/java/mintstair/decision/DecisionSettings.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** The settings under which {@link DecisionSchedule} plays: each one switches on other parts of the decision module. */
+/** The settings with which {@link DecisionSchedule} is played; each of them exercises other parts of the router. */
 enum DecisionSettings {
-    /** One router, replicas that check nothing, hedged requests allowed. */
+    /** One router, replicas that do not check read requirements, hedged requests allowed. */
     PLAIN {
         @Override
         RouterSettings settings() {
             return new Bed().settings();
         }
     },
-    /** Replicas refuse reads for which they are behind; session positions are remembered by the router. */
+    /** Replicas reject reads for which they lag too far; the router remembers session tokens. */
     CHECKED_READS {
         @Override
         RouterSettings settings() {
@@ -22,7 +22,7 @@
             return bed.settings();
         }
     },
-    /** Replicas wait until they are recent enough, and the list only advises that an endpoint is gone. */
+    /** Replicas delay reads until they have caught up; removal from the endpoint list is advisory. */
     WAITING_READS {
         @Override
         RouterSettings settings() {
@@ -33,7 +33,7 @@
             return bed.settings();
         }
     },
-    /** One of a hundred routers, cancellation in place of hedged requests, few attempts, short deadlines. */
+    /** One of a hundred routers, no hedged requests, few attempts, short deadlines. */
     LARGE_FLEET {
         @Override
         RouterSettings settings() {
@@ -46,15 +46,15 @@
             return bed.settings();
         }
     },
-    /** No polls, no cancellation, no Retry-After; the list tells the roles. */
+    /** No polls, no cancellation, no Retry-After; the endpoint list reports the replication roles. */
     LIST_ONLY {
         @Override
         RouterSettings settings() {
             AttemptLimits limits = new AttemptLimits(5, false, false, false, false, false, 0);
-            return altered(new Bed().settings(), limits, true);
+            return withLimits(new Bed().settings(), limits, true);
         }
     },
-    /** Several tenants over their quotas, a dear price of polls, a long slow start. */
+    /** Several tenants over their quotas, a high cost of polls, a long slow start. */
     TENANTS {
         @Override
         RouterSettings settings() {
@@ -85,10 +85,10 @@
         }
     };
 
-    /** A settings object of its own for each schedule. */
+    /** Returns new settings for one schedule. */
     abstract RouterSettings settings();
 
-    private static RouterSettings altered(RouterSettings base, AttemptLimits limits, boolean listTellsRole) {
+    private static RouterSettings withLimits(RouterSettings base, AttemptLimits limits, boolean listReportsRole) {
         return new RouterSettings(
                 base.fleetSize(),
                 0,
@@ -99,7 +99,7 @@
                 false,
                 base.replicaReadCheck(),
                 base.positionsInResponses(),
-                listTellsRole,
+                listReportsRole,
                 true,
                 false,
                 base.healthCheckCost(),
--- a/src/test/java/mintstair/decision/SimulatedDeployment.java
+++ b/src/test/java/mintstair/decision/SimulatedDeployment.java
@@ -13,37 +13,40 @@
 import mintstair.request.ReplicationRole;
 
 /**
- * Many routers that share nothing, the hosts of one replica set and their clients, in virtual time. Hosts work off what
- * they can, queue a little and reject the rest; clients come again when they are rejected. The same seed gives the same
- * play as long as the routers decide the same.
+ * Simulates routers that share no state, the hosts of one replica set and their clients, in virtual time. A host serves
+ * a few requests at a time, queues some more and rejects the rest; clients retry rejected requests. The same seed gives
+ * the same events as long as the routers make the same decisions. All times are microseconds.
  */
 final class SimulatedDeployment {
     static final long MS = 1_000;
     static final long SECOND = 1_000 * MS;
-    /** Requests a second that a warm host can do. */
-    static final double CAPACITY = 40;
-
-    private static final long START = 1_000_000_000L;
-    private static final int SLOTS = 4;
-    private static final int QUEUE = 16;
-    private static final long NETWORK = 1 * MS;
-    private static final long CONNECT_TIMEOUT = 250 * MS;
-    private static final long REPLICATION_LAG = 20 * MS;
-    private static final int CLIENT_RETRIES = 2;
-    private static final double HONOURS_RETRY_AFTER = 0.6;
-    /** One request in so many is a write. */
-    private static final int WRITE_EVERY = 8;
-    /** Of reads, one in so many is large where a play has such, and takes so many times the work of the others. */
-    private static final int LARGE_EVERY = 50;
-
-    private static final int LARGE_WORK = 16;
-
-    /** An attempt that arrived at a host, with its work as a multiple of the mean of all requests, and what held then. */
+    /** Requests of mean work that a warm host serves per second. */
+    static final double HOST_CAPACITY_PER_SECOND = 40;
+
+    private static final long START_MICROS = 1_000_000_000L;
+    private static final int WORKERS_PER_HOST = 4;
+    private static final int QUEUE_LIMIT = 16;
+    private static final long NETWORK_DELAY_MICROS = 1 * MS;
+    private static final long CONNECT_TIMEOUT_MICROS = 250 * MS;
+    private static final long REPLICATION_LAG_MICROS = 20 * MS;
+    private static final int MAX_CLIENT_RETRIES = 2;
+    private static final double RETRY_AFTER_HONOURED_PROBABILITY = 0.6;
+    private static final int REQUESTS_PER_WRITE = 8;
+    private static final int READS_PER_LARGE_READ = 50;
+    /** Work of a large read as a multiple of that of any other request. */
+    private static final int LARGE_READ_WORK = 16;
+
+    /**
+     * An attempt that arrived at a host.
+     *
+     * @param work its work as a multiple of the mean of all requests
+     * @param settings the settings in force when it arrived
+     */
     private record Arrival(long at, double work, ProtectionSettings settings) {}
 
     private record Event(long at, long number, Runnable action) {}
 
-    /** How a host treats what arrives. */
+    /** How a host treats the attempts that arrive. */
     enum Mode {
         SERVING,
         REJECTING,
@@ -51,23 +54,23 @@
         UNREACHABLE
     }
 
-    /** One database host, with what it was sent. */
+    /** One database host and the attempts that arrived at it. */
     final class Host {
         final String name;
         final List<Arrival> arrivals = new ArrayList<>();
         Mode mode = Mode.SERVING;
         boolean primary;
         long startedAt = Long.MIN_VALUE / 2;
-        long lag = REPLICATION_LAG;
-        private final ArrayList<Work> waiting = new ArrayList<>();
-        private int working;
+        long lag = REPLICATION_LAG_MICROS;
+        private final ArrayList<QueuedAttempt> queue = new ArrayList<>();
+        private int busyWorkers;
         private int incarnation;
 
         Host(String name) {
             this.name = name;
         }
 
-        /** It starts anew: what it had in work is gone, and it is cold. */
+        /** Restarts the host, which loses all attempts in progress and begins its slow start. */
         void restart() {
             mode = Mode.SERVING;
             startedAt = now;
@@ -75,7 +78,7 @@
             stop();
         }
 
-        /** It can't be reached from now on. */
+        /** Makes the host unreachable; all attempts in progress are lost. */
         void fail() {
             mode = Mode.UNREACHABLE;
             stop();
@@ -83,119 +86,128 @@
 
         private void stop() {
             incarnation++;
-            waiting.clear();
-            working = 0;
+            queue.clear();
+            busyWorkers = 0;
         }
 
-        double share(long at) {
-            return share(at, protection);
+        /** Returns the share of its capacity that the host has at a time. */
+        private double capacityShare(long at, ProtectionSettings protection) {
+            double initial = protection.slowStartInitialShare();
+            return Math.min(1, initial + (1 - initial) * (at - startedAt) / protection.slowStartMicros());
         }
 
-        private double share(long at, ProtectionSettings protection) {
-            double cold = protection.slowStartInitialShare();
-            return Math.min(1, cold + (1 - cold) * (at - startedAt) / protection.slowStartMicros());
-        }
-
-        private void take(int kind, Runnable answer, Runnable rejection) {
-            arrivals.add(new Arrival(now, workOf(kind) / meanWork(), protection));
-            if (mode == Mode.REJECTING || (working >= SLOTS && waiting.size() >= QUEUE)) {
-                after(NETWORK, rejection);
+        private void receive(int classIndex, Runnable onServed, Runnable onRejected) {
+            arrivals.add(new Arrival(now, workOf(classIndex) / meanWork(), protection));
+            if (mode == Mode.REJECTING || (busyWorkers >= WORKERS_PER_HOST && queue.size() >= QUEUE_LIMIT)) {
+                schedule(NETWORK_DELAY_MICROS, onRejected);
             } else if (mode == Mode.SERVING) {
-                waiting.add(new Work(workOf(kind), answer));
-                work();
+                queue.add(new QueuedAttempt(workOf(classIndex), onServed));
+                serveQueue();
             }
         }
 
-        private void work() {
-            while (working < SLOTS && !waiting.isEmpty()) {
-                Work next = waiting.remove(0);
-                working++;
-                int begunIn = incarnation;
-                double mean = next.size / meanWork() * SLOTS / CAPACITY * SECOND / share(now);
-                after((long) (mean * (0.5 + random.nextDouble())), () -> {
-                    if (begunIn == incarnation) {
-                        working--;
-                        next.answer.run();
-                        work();
+        private void serveQueue() {
+            while (busyWorkers < WORKERS_PER_HOST && !queue.isEmpty()) {
+                QueuedAttempt next = queue.remove(0);
+                busyWorkers++;
+                int servingIncarnation = incarnation;
+                double meanMicros = next.work
+                        / meanWork()
+                        * WORKERS_PER_HOST
+                        / HOST_CAPACITY_PER_SECOND
+                        * SECOND
+                        / capacityShare(now, protection);
+                schedule((long) (meanMicros * (0.5 + random.nextDouble())), () -> {
+                    if (servingIncarnation == incarnation) {
+                        busyWorkers--;
+                        next.onServed.run();
+                        serveQueue();
                     }
                 });
             }
         }
 
-        ReplicationStatus status() {
-            return new ReplicationStatus(
-                    primary ? now : now - lag, primary ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
+        private ReplicationRole role() {
+            return primary ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA;
+        }
+
+        private ReplicationStatus status() {
+            return new ReplicationStatus(primary ? now : now - lag, role());
         }
 
         /**
-         * The most by which a span of the settings' length was over the budget of N, as a multiple of what is left for
-         * chance: 2 x root of N + 2, or 3 x root of N + 3 for N under 30. Each span is judged by the settings that hold
-         * at its end: routers can't keep to those that they are given later.
+         * Returns the largest excess over the slow-start budget in any overload span, as a multiple of the random
+         * variation that is tolerated: for a budget of N requests, 2 * sqrt(N) + 2, or 3 * sqrt(N) + 3 if N is below
+         * 30. Each span is judged by the settings in force at its end, because routers cannot keep to settings that
+         * they receive later.
          */
         double worstExcess() {
             double worst = Double.NEGATIVE_INFINITY;
-            double work = 0;
-            int from = 0;
+            double workInSpan = 0;
+            int first = 0;
             for (Arrival last : arrivals) {
-                work += last.work;
-                while (last.at - arrivals.get(from).at >= last.settings.overloadSpanMicros()) {
-                    work -= arrivals.get(from).work;
-                    from++;
+                workInSpan += last.work;
+                while (last.at - arrivals.get(first).at >= last.settings.overloadSpanMicros()) {
+                    workInSpan -= arrivals.get(first).work;
+                    first++;
                 }
-                if (share(last.at, last.settings) < 1) {
+                if (capacityShare(last.at, last.settings) < 1) {
                     double budget = budget(last);
-                    double factor = budget < 30 ? 3 : 2;
-                    worst = Math.max(worst, (work - budget) / (factor * Math.sqrt(budget) + factor));
+                    double deviations = budget < 30 ? 3 : 2;
+                    worst = Math.max(worst, (workInSpan - budget) / (deviations * Math.sqrt(budget) + deviations));
                 }
             }
             return worst;
         }
 
-        /** Requests of mean work that the settings allow in a span that ends with this one. */
+        /** Returns the requests of mean work that the settings allow in the span that ends with this arrival. */
         private double budget(Arrival last) {
-            double capacity = CAPACITY * share(last.at, last.settings);
+            double capacity = HOST_CAPACITY_PER_SECOND * capacityShare(last.at, last.settings);
             return last.settings.overloadMultiple() * capacity * last.settings.overloadSpanMicros() / SECOND;
         }
     }
 
-    private record Work(double size, Runnable answer) {}
+    private record QueuedAttempt(double work, Runnable onServed) {}
 
+    /** A client that sends one request to one router, and retries it if it is rejected. */
     private static final class Client {
         final int router;
-        final int kind;
+        final int classIndex;
         int retries;
 
-        Client(int router, int kind) {
+        Client(int router, int classIndex) {
             this.router = router;
-            this.kind = kind;
+            this.classIndex = classIndex;
         }
     }
 
-    /** One router with the actions that it takes. */
-    private final class Proxy implements RouterActions {
-        final Map<Long, Client> open = new HashMap<>();
-        final Map<Long, Integer> attempts = new HashMap<>();
-        final Map<Long, Integer> kinds = new HashMap<>();
+    /** A process with one router, which carries out the actions of that router. */
+    private final class RouterProcess implements RouterActions {
+        final Map<Long, Client> openRequests = new HashMap<>();
+        final Map<Long, Integer> attemptsSent = new HashMap<>();
+        final Map<Long, Integer> classIndexes = new HashMap<>();
         private final Set<String> endedAttempts = new HashSet<>();
         Router router;
         int incarnation;
 
-        Proxy() {
+        RouterProcess() {
             start();
         }
 
+        /** Starts the process, or restarts it without any state. */
         void start() {
             incarnation++;
-            open.clear();
-            attempts.clear();
-            kinds.clear();
+            openRequests.clear();
+            attemptsSent.clear();
+            classIndexes.clear();
             router = new ReadWriteSplitter(now, random.nextLong(), settings, this);
         }
 
-        private void later(long delay, Runnable action) {
-            int begunIn = incarnation;
-            after(delay, () -> {
-                if (begunIn == incarnation) {
+        /** Schedules an action that is dropped if the process has restarted by then. */
+        private void scheduleInProcess(long delay, Runnable action) {
+            int schedulingIncarnation = incarnation;
+            schedule(delay, () -> {
+                if (schedulingIncarnation == incarnation) {
                     action.run();
                 }
             });
@@ -203,76 +215,90 @@
 
         @Override
         public void send(long id, String name, long abandonAt, long beginBy) {
-            int attempt = attempts.merge(id, 1, Integer::sum) - 1;
+            int attempt = attemptsSent.merge(id, 1, Integer::sum) - 1;
             Host host = hosts.get(name);
             long sentAt = now;
             if (host.mode == Mode.UNREACHABLE) {
-                later(NETWORK, () -> ended(id, attempt, host, AttemptOutcome.UNREACHABLE, sentAt));
+                scheduleInProcess(
+                        NETWORK_DELAY_MICROS, () -> endAttempt(id, attempt, host, AttemptOutcome.UNREACHABLE, sentAt));
                 return;
             }
-            later(
-                    NETWORK,
-                    () -> host.take(
-                            kinds.get(id),
-                            () -> later(NETWORK, () -> ended(id, attempt, host, AttemptOutcome.SUCCESS, sentAt)),
-                            () -> later(0, () -> ended(id, attempt, host, AttemptOutcome.OVERLOADED, sentAt))));
-            long giveUpAt = abandonAt > 0 ? abandonAt : now + Bed.DEADLINE;
-            later(giveUpAt - now, () -> ended(id, attempt, host, AttemptOutcome.TIMEOUT, sentAt));
-        }
-
-        private void ended(long id, int attempt, Host host, AttemptOutcome outcome, long sentAt) {
+            scheduleInProcess(
+                    NETWORK_DELAY_MICROS,
+                    () -> host.receive(
+                            classIndexes.get(id),
+                            () -> scheduleInProcess(
+                                    NETWORK_DELAY_MICROS,
+                                    () -> endAttempt(id, attempt, host, AttemptOutcome.SUCCESS, sentAt)),
+                            () -> scheduleInProcess(
+                                    0, () -> endAttempt(id, attempt, host, AttemptOutcome.OVERLOADED, sentAt))));
+            long timeoutAt = abandonAt > 0 ? abandonAt : now + Bed.DEADLINE;
+            scheduleInProcess(timeoutAt - now, () -> endAttempt(id, attempt, host, AttemptOutcome.TIMEOUT, sentAt));
+        }
+
+        private void endAttempt(long id, int attempt, Host host, AttemptOutcome outcome, long sentAt) {
             if (!endedAttempts.add(incarnation + "/" + id + "/" + attempt)) {
                 return;
             }
-            boolean served = outcome == AttemptOutcome.SUCCESS;
-            boolean told = served || outcome == AttemptOutcome.OVERLOADED;
-            ReplicationRole role =
-                    !told ? ReplicationRole.UNKNOWN : host.primary ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA;
-            if (served && open.remove(id) != null) {
+            boolean isServed = outcome == AttemptOutcome.SUCCESS;
+            boolean hasReply = isServed || outcome == AttemptOutcome.OVERLOADED;
+            ReplicationRole role = hasReply ? host.role() : ReplicationRole.UNKNOWN;
+            if (isServed && openRequests.remove(id) != null) {
                 servedRequests++;
             }
             router.onAttemptEnded(
                     now,
-                    new AttemptResult(id, attempt, host.name, outcome, now - sentAt, served, role, Positions.UNKNOWN));
+                    new AttemptResult(
+                            id, attempt, host.name, outcome, now - sentAt, isServed, role, Positions.UNKNOWN));
         }
 
         @Override
         public void cancel(long id, int attempt) {
-            later(0, () -> ended(id, attempt, hosts.get("p"), AttemptOutcome.CANCELLED, now));
+            scheduleInProcess(0, () -> endAttempt(id, attempt, hosts.get("p"), AttemptOutcome.CANCELLED, now));
         }
 
         @Override
         public void reject(long id, long retryAfterMicros) {
-            Client client = open.remove(id);
-            if (client != null && client.retries++ < CLIENT_RETRIES) {
-                boolean honours = retryAfterMicros > 0 && random.nextDouble() < HONOURS_RETRY_AFTER;
-                after(honours ? retryAfterMicros : (15 + random.nextInt(100)) * MS, () -> ask(client));
+            Client client = openRequests.remove(id);
+            if (client != null && client.retries++ < MAX_CLIENT_RETRIES) {
+                boolean isHonoured = retryAfterMicros > 0 && random.nextDouble() < RETRY_AFTER_HONOURED_PROBABILITY;
+                long delay = isHonoured ? retryAfterMicros : (15 + random.nextInt(100)) * MS;
+                schedule(delay, () -> sendRequest(client));
             }
         }
 
         @Override
         public void fail(long id) {
-            open.remove(id);
+            openRequests.remove(id);
         }
 
         @Override
         public void checkHealth(String name) {
             Host host = hosts.get(name);
             switch (host.mode) {
-                case UNREACHABLE -> later(NETWORK, () -> checked(name, AttemptOutcome.UNREACHABLE, NETWORK, null));
+                case UNREACHABLE ->
+                    scheduleInProcess(
+                            NETWORK_DELAY_MICROS,
+                            () -> endHealthCheck(name, AttemptOutcome.UNREACHABLE, NETWORK_DELAY_MICROS, null));
                 case HANGING ->
-                    later(CONNECT_TIMEOUT, () -> checked(name, AttemptOutcome.TIMEOUT, CONNECT_TIMEOUT, null));
-                default -> later(2 * NETWORK, () -> checked(name, AttemptOutcome.SUCCESS, 2 * NETWORK, host.status()));
+                    scheduleInProcess(
+                            CONNECT_TIMEOUT_MICROS,
+                            () -> endHealthCheck(name, AttemptOutcome.TIMEOUT, CONNECT_TIMEOUT_MICROS, null));
+                default ->
+                    scheduleInProcess(
+                            2 * NETWORK_DELAY_MICROS,
+                            () -> endHealthCheck(
+                                    name, AttemptOutcome.SUCCESS, 2 * NETWORK_DELAY_MICROS, host.status()));
             }
         }
 
-        private void checked(String name, AttemptOutcome outcome, long latency, ReplicationStatus status) {
+        private void endHealthCheck(String name, AttemptOutcome outcome, long latency, ReplicationStatus status) {
             router.onHealthCheckEnded(now, name, outcome, latency, status);
         }
 
         @Override
         public void startTimer(String name, long delayMicros) {
-            later(delayMicros, () -> router.onTimer(now, name));
+            scheduleInProcess(delayMicros, () -> router.onTimer(now, name));
         }
 
         @Override
@@ -286,24 +312,31 @@
     }
 
     final Map<String, Host> hosts = new LinkedHashMap<>();
-    /** Whether some reads take many times the work of others. */
+    /** Whether one read in {@value READS_PER_LARGE_READ} is a large one. */
     boolean hasLargeReads;
 
     long servedRequests;
-    long askedRequests;
+    /** Requests sent by clients, not counting their retries. */
+    long sentRequests;
+
     private final Random random;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
-    private final List<Proxy> proxies = new ArrayList<>();
-    private final double[] traffic;
+    private final List<RouterProcess> processes = new ArrayList<>();
+    /** The share of the requests that each router receives. */
+    private final double[] trafficShares;
+
     private RouterSettings settings;
     private ProtectionSettings protection;
     private double requestsPerSecond;
-    private long now = START;
-    private long nextEvent;
-    private long nextRequest;
-
-    /** Routers of uneven traffic, the first with a third of all, in front of a primary p and replicas r1 to r3. */
+    private long now = START_MICROS;
+    private long nextEventNumber;
+    private long lastRequestId;
+
+    /**
+     * Creates routers with uneven traffic in front of a primary p and the replicas r1 to r3. Of many routers, the first
+     * receives about a third of all requests.
+     */
     SimulatedDeployment(int routers, long seed) {
         random = new Random(seed);
         Bed bed = new Bed();
@@ -314,26 +347,26 @@
             hosts.put(name, new Host(name));
         }
         hosts.get("p").primary = true;
-        traffic = new double[routers];
+        trafficShares = new double[routers];
         double sum = 0;
         for (int i = 0; i < routers; i++) {
-            traffic[i] = 0.2 + random.nextDouble() + (i == 0 ? routers / 3.0 : 0);
-            sum += traffic[i];
-            proxies.add(new Proxy());
+            trafficShares[i] = 0.2 + random.nextDouble() + (i == 0 ? routers / 3.0 : 0);
+            sum += trafficShares[i];
+            processes.add(new RouterProcess());
         }
         for (int i = 0; i < routers; i++) {
-            traffic[i] /= sum;
+            trafficShares[i] /= sum;
         }
-        tell(EndpointUpdateType.SNAPSHOT, List.copyOf(hosts.keySet()), EndpointState.SERVING);
-        after(0, this::arrival);
+        announce(EndpointUpdateType.SNAPSHOT, List.copyOf(hosts.keySet()), EndpointState.SERVING);
+        schedule(0, this::generateRequest);
     }
 
-    /** The time since the play's start. */
-    long time() {
-        return now - START;
+    /** Returns the time since the start of the simulation. */
+    long elapsedMicros() {
+        return now - START_MICROS;
     }
 
-    /** By how much the host that was most over its budget was so, as {@link Host#worstExcess} tells. */
+    /** Returns the largest excess over the slow-start budget of any host, as {@link Host#worstExcess} defines it. */
     double worstExcess() {
         return hosts.values().stream().mapToDouble(Host::worstExcess).max().orElseThrow();
     }
@@ -342,40 +375,40 @@
         return hosts.get(name);
     }
 
-    /** Clients ask so many times what all four warm hosts can do from now on, retries not counted. */
-    void load(double ofCapacity) {
-        requestsPerSecond = ofCapacity * CAPACITY * hosts.size();
+    /** Sets the rate of requests, without retries, as a multiple of the capacity of all hosts when they are warm. */
+    void setLoad(double multipleOfCapacity) {
+        requestsPerSecond = multipleOfCapacity * HOST_CAPACITY_PER_SECOND * hosts.size();
     }
 
-    /** From so long from now on, and for so long, clients ask so many times as much. */
-    void crowd(long from, long length, double factor) {
-        after(from, () -> requestsPerSecond *= factor);
-        after(from + length, () -> requestsPerSecond /= factor);
+    /** Multiplies the rate of requests by a factor for a time, after a delay. */
+    void scheduleSurge(long delay, long duration, double factor) {
+        schedule(delay, () -> requestsPerSecond *= factor);
+        schedule(delay + duration, () -> requestsPerSecond /= factor);
     }
 
-    /** The list names these hosts with this state, and their starts, to all routers within 50 ms. */
-    void tell(EndpointUpdateType type, List<String> names, EndpointState state) {
+    /** Sends an update with these hosts, in this state and with their start times, to all routers within 50 ms. */
+    void announce(EndpointUpdateType type, List<String> names, EndpointState state) {
         List<EndpointEntry> entries = new ArrayList<>();
         for (String name : names) {
             long start = Math.max(0, hosts.get(name).startedAt);
             entries.add(new EndpointEntry(name, false, "z", 0, state, 1, start));
         }
-        for (Proxy proxy : proxies) {
-            after(random.nextInt(50) * MS, () -> proxy.router.onEndpoints(now, type, entries));
+        for (RouterProcess process : processes) {
+            schedule(random.nextInt(50) * MS, () -> process.router.onEndpoints(now, type, entries));
         }
     }
 
-    /** All routers start again, with nothing remembered, and the list as it is. */
+    /** Restarts all routers without any state, and sends them the endpoint list. */
     void restartRouters() {
-        for (Proxy proxy : proxies) {
-            proxy.start();
+        for (RouterProcess process : processes) {
+            process.start();
         }
-        tell(EndpointUpdateType.SNAPSHOT, List.copyOf(hosts.keySet()), EndpointState.SERVING);
+        announce(EndpointUpdateType.SNAPSHOT, List.copyOf(hosts.keySet()), EndpointState.SERVING);
     }
 
-    /** All routers take other figures of the slow start. */
-    void reload(ProtectionSettings changed) {
-        protection = changed;
+    /** Reloads all routers with other protection settings. */
+    void reload(ProtectionSettings newProtection) {
+        protection = newProtection;
         settings = new RouterSettings(
                 settings.fleetSize(),
                 settings.instanceIndex(),
@@ -391,14 +424,14 @@
                 settings.clientsMarkRetries(),
                 settings.healthCheckCost(),
                 settings.crossZoneCost(),
-                changed,
+                newProtection,
                 settings.limits());
-        for (Proxy proxy : proxies) {
-            proxy.router.onSettings(now, settings);
+        for (RouterProcess process : processes) {
+            process.router.onSettings(now, settings);
         }
     }
 
-    /** Lets so much time pass. */
+    /** Runs the simulation for a time. */
     void run(long micros) {
         long end = now + micros;
         while (!events.isEmpty() && events.peek().at() <= end) {
@@ -409,55 +442,56 @@
         now = end;
     }
 
-    private void after(long delay, Runnable action) {
-        events.add(new Event(now + Math.max(0, delay), nextEvent++, action));
+    private void schedule(long delay, Runnable action) {
+        events.add(new Event(now + Math.max(0, delay), nextEventNumber++, action));
     }
 
-    private void arrival() {
+    /** Sends the request of a new client, and schedules the next one; the intervals are exponentially distributed. */
+    private void generateRequest() {
         if (requestsPerSecond > 0) {
-            ask(new Client(drawRouter(), drawKind()));
-            askedRequests++;
+            sendRequest(new Client(drawRouter(), drawClass()));
+            sentRequests++;
         }
-        double mean = SECOND / Math.max(1, requestsPerSecond);
-        after((long) (-mean * Math.log(1 - random.nextDouble())), this::arrival);
+        double meanInterval = SECOND / Math.max(1, requestsPerSecond);
+        schedule((long) (-meanInterval * Math.log(1 - random.nextDouble())), this::generateRequest);
     }
 
     private int drawRouter() {
-        double left = random.nextDouble();
+        double remainder = random.nextDouble();
         int router = 0;
-        while (router < traffic.length - 1 && left >= traffic[router]) {
-            left -= traffic[router];
+        while (router < trafficShares.length - 1 && remainder >= trafficShares[router]) {
+            remainder -= trafficShares[router];
             router++;
         }
         return router;
     }
 
-    private int drawKind() {
-        if (random.nextInt(WRITE_EVERY) == 0) {
+    private int drawClass() {
+        if (random.nextInt(REQUESTS_PER_WRITE) == 0) {
             return Bed.UNSAFE_WRITE;
         }
-        if (hasLargeReads && random.nextInt(LARGE_EVERY) == 0) {
+        if (hasLargeReads && random.nextInt(READS_PER_LARGE_READ) == 0) {
             return Bed.SESSION;
         }
         return random.nextBoolean() ? Bed.ANY : Bed.BOUNDED;
     }
 
-    private static double workOf(int kind) {
-        return kind == Bed.SESSION ? LARGE_WORK : 1;
+    private static double workOf(int classIndex) {
+        return classIndex == Bed.SESSION ? LARGE_READ_WORK : 1;
     }
 
     private double meanWork() {
-        double large = hasLargeReads ? (1 - 1.0 / WRITE_EVERY) / LARGE_EVERY : 0;
-        return 1 + large * (LARGE_WORK - 1);
+        double largeShare = hasLargeReads ? (1 - 1.0 / REQUESTS_PER_WRITE) / READS_PER_LARGE_READ : 0;
+        return 1 + largeShare * (LARGE_READ_WORK - 1);
     }
 
-    private void ask(Client client) {
-        Proxy proxy = proxies.get(client.router);
-        long id = ++nextRequest;
-        proxy.open.put(id, client);
-        proxy.kinds.put(id, client.kind);
+    private void sendRequest(Client client) {
+        RouterProcess process = processes.get(client.router);
+        long id = ++lastRequestId;
+        process.openRequests.put(id, client);
+        process.classIndexes.put(id, client.classIndex);
         String session = "session " + random.nextInt(1_000_000);
-        proxy.router.onRequest(
-                now, new RoutingRequest(id, client.kind, 0, session, 0, false, Bed.DEADLINE, Positions.UNKNOWN));
+        process.router.onRequest(
+                now, new RoutingRequest(id, client.classIndex, 0, session, 0, false, Bed.DEADLINE, Positions.UNKNOWN));
     }
 }
--- a/src/test/java/mintstair/decision/SlowStartBudgetTest.java
+++ b/src/test/java/mintstair/decision/SlowStartBudgetTest.java
@@ -11,306 +11,318 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What hosts in slow start are sent by all routers together, which share nothing, in virtual time: within any span of
- * the settings' length no more than the budget, and what is left for chance. The routers are few or many and of uneven
- * traffic; the clients ask for four fifths of what all hosts can do, or suddenly for twice as much as they can.
+ * Checks the work that all routers together send to hosts in slow start, in virtual time. The routers share no state,
+ * yet within any overload span a host must not be sent more than its budget and a margin for random variation. The
+ * number of routers varies and their traffic is uneven; the load is below the capacity of all hosts, or a multiple of
+ * it.
  *
- * <p>Most ways begin with a calm time, in which routers learn what hosts do. Routers that are started under an overload
- * have no such time.
+ * <p>Most scenarios begin with a time of moderate load in which the routers observe the throughput of the hosts.
+ * Routers that start under overload have no such time.
  */
 class SlowStartBudgetTest {
     private static final int[] ROUTERS = {2, 8, 30, 120};
-    private static final double[] LOADS = {0.8, 2};
     private static final int SEEDS = Integer.getInteger("slowstart.seeds", 2);
-    private static final double CALM_LOAD = 0.8;
-    /** Routers learn for so long what hosts do, before the fault begins. */
-    private static final long CALM = 12 * SECOND;
 
-    private static final double[] UNLEARNED_LOADS = {0.8, 2, 4};
-    /** Routers that start under load have so long before the fault, and clients ask for twice as much from then on. */
-    private static final long UNLEARNED = 2 * SECOND;
+    /** Loads during the fault, as multiples of the capacity of all hosts. */
+    private static final double[] LOADS = {0.8, 2};
 
-    private static final long CROWD = 2 * SECOND;
+    private static final double OBSERVATION_LOAD = 0.8;
+    private static final long OBSERVATION_MICROS = 12 * SECOND;
 
-    private static void start(SimulatedDeployment play, String name) {
-        play.host(name).restart();
-        play.tell(EndpointUpdateType.DELTA, List.of(name), EndpointState.SERVING);
-    }
+    /** Loads of routers that start under load; they double when the fault begins. */
+    private static final double[] STARTUP_LOADS = {0.8, 2, 4};
 
-    private static void fail(SimulatedDeployment play, String... names) {
-        for (String name : names) {
-            play.host(name).fail();
-        }
-    }
+    private static final long STARTUP_MICROS = 2 * SECOND;
+    private static final double SURGE_FACTOR = 2;
+    private static final long SURGE_MICROS = 2 * SECOND;
 
-    private static void promote(SimulatedDeployment play, String name) {
-        play.run(700 * MS);
-        play.hosts.values().forEach(host -> host.primary = false);
-        play.host(name).primary = true;
+    /** What precedes the fault. */
+    private enum Beginning {
+        OBSERVATION,
+        STARTUP_UNDER_LOAD
     }
 
-    /** One play, or what came of it. */
-    private record Play(double load, int routers, long seed, double excess, double served) {
-        Play(double load, int routers, long seed) {
-            this(load, routers, seed, 0, 0);
-        }
-
-        Play play(Beginning beginning, Consumer<SimulatedDeployment> fault) {
+    /** One simulation of a fault, without the fault itself. */
+    private record Scenario(double load, int routers, long seed) {
+        Result run(Beginning beginning, Consumer<SimulatedDeployment> fault) {
             SimulatedDeployment deployment = new SimulatedDeployment(routers, seed * 31 + routers);
-            if (beginning == Beginning.CALM) {
-                deployment.load(CALM_LOAD);
-                deployment.run(CALM);
-                deployment.load(load);
+            if (beginning == Beginning.OBSERVATION) {
+                deployment.setLoad(OBSERVATION_LOAD);
+                deployment.run(OBSERVATION_MICROS);
+                deployment.setLoad(load);
             } else {
-                deployment.load(load);
-                deployment.crowd(UNLEARNED, CROWD, 2);
-                deployment.run(UNLEARNED);
+                deployment.setLoad(load);
+                deployment.scheduleSurge(STARTUP_MICROS, SURGE_MICROS, SURGE_FACTOR);
+                deployment.run(STARTUP_MICROS);
             }
             long servedBefore = deployment.servedRequests;
-            long askedBefore = deployment.askedRequests;
+            long sentBefore = deployment.sentRequests;
             fault.accept(deployment);
-            double served =
-                    (double) (deployment.servedRequests - servedBefore) / (deployment.askedRequests - askedBefore);
-            return new Play(load, routers, seed, deployment.worstExcess(), served);
+            double servedShare =
+                    (double) (deployment.servedRequests - servedBefore) / (deployment.sentRequests - sentBefore);
+            return new Result(this, deployment.worstExcess(), servedShare);
         }
+    }
 
+    /**
+     * The result of one simulation.
+     *
+     * @param excess the largest excess over the budget, as a multiple of the tolerated one
+     * @param servedShare the share of the requests that were served, from the fault on
+     */
+    private record Result(Scenario scenario, double excess, double servedShare) {
         @Override
         public String toString() {
             return String.format(
                     Locale.ROOT,
-                    "%d routers, load %.1f, seed %d: %.1f times the chance over, served %.3f",
-                    routers,
-                    load,
-                    seed,
+                    "%d routers, load %.1f, seed %d: excess is %.1f times the tolerated one, served %.3f",
+                    scenario.routers,
+                    scenario.load,
+                    scenario.seed,
                     excess,
-                    served);
+                    servedShare);
         }
     }
 
-    /** How a play begins: with a time to learn in, or with routers that start into the load, which doubles soon. */
-    private enum Beginning {
-        CALM,
-        UNDER_LOAD
+    private static void assertBudgetKept(Consumer<SimulatedDeployment> fault) {
+        assertBudgetKept(Beginning.OBSERVATION, LOADS, fault);
     }
 
-    private static void holds(Consumer<SimulatedDeployment> fault) {
-        holds(Beginning.CALM, LOADS, fault);
+    private static void assertBudgetKeptAfterStartup(Consumer<SimulatedDeployment> fault) {
+        assertBudgetKept(Beginning.STARTUP_UNDER_LOAD, STARTUP_LOADS, fault);
     }
 
-    private static void holdsWithoutCalm(Consumer<SimulatedDeployment> fault) {
-        holds(Beginning.UNDER_LOAD, UNLEARNED_LOADS, fault);
-    }
-
-    private static void holds(Beginning beginning, double[] loads, Consumer<SimulatedDeployment> fault) {
-        List<Play> plays = new ArrayList<>();
+    private static void assertBudgetKept(Beginning beginning, double[] loads, Consumer<SimulatedDeployment> fault) {
+        List<Scenario> scenarios = new ArrayList<>();
         for (double load : loads) {
             for (int routers : ROUTERS) {
                 for (long seed = 0; seed < SEEDS; seed++) {
-                    plays.add(new Play(load, routers, seed));
+                    scenarios.add(new Scenario(load, routers, seed));
                 }
             }
         }
-        List<Play> played =
-                plays.parallelStream().map(play -> play.play(beginning, fault)).toList();
+        List<Result> results = scenarios.parallelStream()
+                .map(scenario -> scenario.run(beginning, fault))
+                .toList();
         if (Boolean.getBoolean("slowstart.print")) {
-            played.forEach(System.out::println);
+            results.forEach(System.out::println);
+        }
+        assertEquals(
+                List.of(), results.stream().filter(result -> result.excess > 1).toList());
+    }
+
+    private static void start(SimulatedDeployment deployment, String name) {
+        deployment.host(name).restart();
+        deployment.announce(EndpointUpdateType.DELTA, List.of(name), EndpointState.SERVING);
+    }
+
+    private static void fail(SimulatedDeployment deployment, String... names) {
+        for (String name : names) {
+            deployment.host(name).fail();
         }
-        assertEquals(List.of(), played.stream().filter(play -> play.excess > 1).toList());
+    }
+
+    /** Makes a host the only primary after the time that a failover takes. */
+    private static void promote(SimulatedDeployment deployment, String name) {
+        deployment.run(700 * MS);
+        deployment.hosts.values().forEach(host -> host.primary = false);
+        deployment.host(name).primary = true;
     }
 
     @Test
-    void replicaThatStartsInCalm() {
-        holds(play -> {
-            start(play, "r1");
-            play.run(12 * SECOND);
+    void budgetIsKeptWhenReplicaStarts() {
+        assertBudgetKept(deployment -> {
+            start(deployment, "r1");
+            deployment.run(12 * SECOND);
         });
     }
 
     @Test
-    void replicaThatStartsAndIsPromoted() {
-        holds(play -> {
-            start(play, "r1");
-            play.run(SECOND);
-            fail(play, "p");
-            promote(play, "r1");
-            play.run(10 * SECOND);
+    void budgetIsKeptWhenReplicaIsPromotedDuringSlowStart() {
+        assertBudgetKept(deployment -> {
+            start(deployment, "r1");
+            deployment.run(SECOND);
+            fail(deployment, "p");
+            promote(deployment, "r1");
+            deployment.run(10 * SECOND);
         });
     }
 
     @Test
-    void replicaWhoseSetBecomesUnreachable() {
-        holds(SlowStartBudgetTest::loseSet);
+    void budgetIsKeptWhenAllPeersBecomeUnreachable() {
+        assertBudgetKept(SlowStartBudgetTest::startReplicaThenLosePeers);
     }
 
     @Test
-    void replicaWhoseSetIsRemovedFromTheList() {
-        holds(SlowStartBudgetTest::removeSet);
+    void budgetIsKeptWhenAllPeersAreRemoved() {
+        assertBudgetKept(SlowStartBudgetTest::startReplicaThenRemovePeers);
     }
 
     @Test
-    void replicaWhosePeersDrainAndWhosePrimaryIsLost() {
-        holds(play -> {
-            start(play, "r1");
-            play.run(SECOND);
-            play.tell(EndpointUpdateType.DELTA, List.of("r2", "r3"), EndpointState.DRAINING);
-            play.run(SECOND);
-            fail(play, "p");
-            promote(play, "r1");
-            play.run(8 * SECOND);
+    void budgetIsKeptWhenReplicasDrainAndPrimaryIsLost() {
+        assertBudgetKept(deployment -> {
+            start(deployment, "r1");
+            deployment.run(SECOND);
+            deployment.announce(EndpointUpdateType.DELTA, List.of("r2", "r3"), EndpointState.DRAINING);
+            deployment.run(SECOND);
+            fail(deployment, "p");
+            promote(deployment, "r1");
+            deployment.run(8 * SECOND);
         });
     }
 
     @Test
-    void primaryThatStartsBeforeAllRoutersDo() {
-        holds(SlowStartBudgetTest::restartPrimaryAndRouters);
+    void budgetIsKeptWhenRoutersRestartDuringSlowStartOfPrimary() {
+        assertBudgetKept(SlowStartBudgetTest::restartPrimaryThenRouters);
     }
 
     @Test
-    void setThatReturnsAtOnce() {
-        holds(play -> {
-            fail(play, "p", "r1", "r2", "r3");
-            play.run(3 * SECOND);
-            play.hosts.values().forEach(SimulatedDeployment.Host::restart);
-            play.run(300 * MS);
-            play.tell(EndpointUpdateType.DELTA, List.copyOf(play.hosts.keySet()), EndpointState.SERVING);
-            play.run(10 * SECOND);
+    void budgetIsKeptWhenReplicaSetRestarts() {
+        assertBudgetKept(deployment -> {
+            fail(deployment, "p", "r1", "r2", "r3");
+            deployment.run(3 * SECOND);
+            deployment.hosts.values().forEach(SimulatedDeployment.Host::restart);
+            deployment.run(300 * MS);
+            List<String> names = List.copyOf(deployment.hosts.keySet());
+            deployment.announce(EndpointUpdateType.DELTA, names, EndpointState.SERVING);
+            deployment.run(10 * SECOND);
         });
     }
 
     @Test
-    void setThatReturnsWithAllRouters() {
-        holds(play -> {
-            fail(play, "p", "r1", "r2", "r3");
-            play.run(3 * SECOND);
-            play.hosts.values().forEach(SimulatedDeployment.Host::restart);
-            play.restartRouters();
-            play.run(10 * SECOND);
+    void budgetIsKeptWhenReplicaSetAndRoutersRestart() {
+        assertBudgetKept(deployment -> {
+            fail(deployment, "p", "r1", "r2", "r3");
+            deployment.run(3 * SECOND);
+            deployment.hosts.values().forEach(SimulatedDeployment.Host::restart);
+            deployment.restartRouters();
+            deployment.run(10 * SECOND);
         });
     }
 
     @Test
-    void setThatReturnsUnannounced() {
-        holds(play -> {
-            fail(play, "p", "r1", "r2", "r3");
-            play.run(3 * SECOND);
-            play.hosts.values().forEach(SimulatedDeployment.Host::restart);
-            play.run(10 * SECOND);
+    void budgetIsKeptWhenReplicaSetRestartsWithoutEndpointUpdate() {
+        assertBudgetKept(deployment -> {
+            fail(deployment, "p", "r1", "r2", "r3");
+            deployment.run(3 * SECOND);
+            deployment.hosts.values().forEach(SimulatedDeployment.Host::restart);
+            deployment.run(10 * SECOND);
         });
     }
 
     @Test
-    void replicaWhosePeersReject() {
-        holds(play -> {
-            start(play, "r1");
-            play.run(SECOND);
-            List.of("r2", "r3").forEach(name -> play.host(name).mode = SimulatedDeployment.Mode.REJECTING);
-            play.run(10 * SECOND);
+    void budgetIsKeptWhenOtherReplicasReject() {
+        assertBudgetKept(deployment -> {
+            start(deployment, "r1");
+            deployment.run(SECOND);
+            List.of("r2", "r3").forEach(name -> deployment.host(name).mode = SimulatedDeployment.Mode.REJECTING);
+            deployment.run(10 * SECOND);
         });
     }
 
     @Test
-    void replicaWhoseSetHangs() {
-        holds(play -> {
-            start(play, "r1");
-            play.run(SECOND);
-            List.of("p", "r2", "r3").forEach(name -> play.host(name).mode = SimulatedDeployment.Mode.HANGING);
-            play.run(10 * SECOND);
+    void budgetIsKeptWhenAllPeersHang() {
+        assertBudgetKept(deployment -> {
+            start(deployment, "r1");
+            deployment.run(SECOND);
+            List.of("p", "r2", "r3").forEach(name -> deployment.host(name).mode = SimulatedDeployment.Mode.HANGING);
+            deployment.run(10 * SECOND);
         });
     }
 
     @Test
-    void primaryThatStartsWhileReplicasLag() {
-        holds(play -> {
-            start(play, "p");
-            play.run(SECOND);
-            List.of("r1", "r2", "r3").forEach(name -> play.host(name).lag = 5 * SECOND);
-            play.run(10 * SECOND);
+    void budgetIsKeptWhenReplicasLagDuringSlowStartOfPrimary() {
+        assertBudgetKept(deployment -> {
+            start(deployment, "p");
+            deployment.run(SECOND);
+            List.of("r1", "r2", "r3").forEach(name -> deployment.host(name).lag = 5 * SECOND);
+            deployment.run(10 * SECOND);
         });
     }
 
     @Test
-    void replicaWhoseSetIsLostAfterOtherSettings() {
-        holds(play -> {
-            start(play, "r1");
-            play.run(3 * SECOND);
-            play.reload(new ProtectionSettings(250 * MS, 0.1, 15 * SECOND, 3, 1_500 * MS, false));
-            fail(play, "p", "r2", "r3");
-            promote(play, "r1");
-            play.run(10 * SECOND);
+    void budgetIsKeptWhenPeersBecomeUnreachableAfterReload() {
+        assertBudgetKept(deployment -> {
+            start(deployment, "r1");
+            deployment.run(3 * SECOND);
+            deployment.reload(new ProtectionSettings(250 * MS, 0.1, 15 * SECOND, 3, 1_500 * MS, false));
+            fail(deployment, "p", "r2", "r3");
+            promote(deployment, "r1");
+            deployment.run(10 * SECOND);
         });
     }
 
-    /** A handful of large requests is all that the host can take in the span. */
+    /** With large reads the budget of a span is a handful of requests. */
     @Test
-    void replicaWhosePeersAreRemovedUnderReadsOfUnevenWork() {
-        holds(play -> {
-            play.hasLargeReads = true;
-            play.run(5 * SECOND);
-            start(play, "r1");
-            play.run(SECOND);
-            fail(play, "p", "r2", "r3");
-            play.tell(EndpointUpdateType.DELTA, List.of("p", "r2", "r3"), EndpointState.REMOVED);
-            promote(play, "r1");
-            play.run(10 * SECOND);
+    void budgetIsKeptUnderReadsOfUnevenWorkWhenAllPeersAreRemoved() {
+        assertBudgetKept(deployment -> {
+            deployment.hasLargeReads = true;
+            deployment.run(5 * SECOND);
+            start(deployment, "r1");
+            deployment.run(SECOND);
+            fail(deployment, "p", "r2", "r3");
+            deployment.announce(EndpointUpdateType.DELTA, List.of("p", "r2", "r3"), EndpointState.REMOVED);
+            promote(deployment, "r1");
+            deployment.run(10 * SECOND);
         });
     }
 
-    private static void loseSet(SimulatedDeployment play) {
-        start(play, "r1");
-        play.run(SECOND);
-        fail(play, "p", "r2", "r3");
-        promote(play, "r1");
-        play.run(10 * SECOND);
+    private static void startReplicaThenLosePeers(SimulatedDeployment deployment) {
+        start(deployment, "r1");
+        deployment.run(SECOND);
+        fail(deployment, "p", "r2", "r3");
+        promote(deployment, "r1");
+        deployment.run(10 * SECOND);
     }
 
-    private static void removeSet(SimulatedDeployment play) {
-        start(play, "r1");
-        play.run(SECOND);
-        fail(play, "p", "r2", "r3");
-        play.run(300 * MS);
-        play.tell(EndpointUpdateType.DELTA, List.of("p", "r2", "r3"), EndpointState.REMOVED);
-        promote(play, "r1");
-        play.run(10 * SECOND);
+    private static void startReplicaThenRemovePeers(SimulatedDeployment deployment) {
+        start(deployment, "r1");
+        deployment.run(SECOND);
+        fail(deployment, "p", "r2", "r3");
+        deployment.run(300 * MS);
+        deployment.announce(EndpointUpdateType.DELTA, List.of("p", "r2", "r3"), EndpointState.REMOVED);
+        promote(deployment, "r1");
+        deployment.run(10 * SECOND);
     }
 
-    private static void restartPrimaryAndRouters(SimulatedDeployment play) {
-        start(play, "p");
-        play.run(SECOND);
-        play.restartRouters();
-        play.run(10 * SECOND);
+    private static void restartPrimaryThenRouters(SimulatedDeployment deployment) {
+        start(deployment, "p");
+        deployment.run(SECOND);
+        deployment.restartRouters();
+        deployment.run(10 * SECOND);
     }
 
     @Test
-    void replicaThatStartsBeforeRoutersHaveLearned() {
-        holdsWithoutCalm(play -> {
-            start(play, "r1");
-            play.run(12 * SECOND);
+    void budgetIsKeptAfterRouterStartupWhenReplicaStarts() {
+        assertBudgetKeptAfterStartup(deployment -> {
+            start(deployment, "r1");
+            deployment.run(12 * SECOND);
         });
     }
 
     @Test
-    void replicaWhoseSetIsUnreachableBeforeRoutersHaveLearned() {
-        holdsWithoutCalm(SlowStartBudgetTest::loseSet);
+    void budgetIsKeptAfterRouterStartupWhenAllPeersBecomeUnreachable() {
+        assertBudgetKeptAfterStartup(SlowStartBudgetTest::startReplicaThenLosePeers);
     }
 
     @Test
-    void replicaWhoseSetIsRemovedBeforeRoutersHaveLearned() {
-        holdsWithoutCalm(SlowStartBudgetTest::removeSet);
+    void budgetIsKeptAfterRouterStartupWhenAllPeersAreRemoved() {
+        assertBudgetKeptAfterStartup(SlowStartBudgetTest::startReplicaThenRemovePeers);
     }
 
     @Test
-    void primaryThatStartsBeforeRoutersHaveLearned() {
-        holdsWithoutCalm(SlowStartBudgetTest::restartPrimaryAndRouters);
+    void budgetIsKeptAfterRouterStartupWhenRoutersRestartDuringSlowStartOfPrimary() {
+        assertBudgetKeptAfterStartup(SlowStartBudgetTest::restartPrimaryThenRouters);
     }
 
     @Test
-    void setThatReturnsBeforeRoutersHaveLearned() {
-        holdsWithoutCalm(play -> {
-            fail(play, "p", "r1", "r2", "r3");
-            play.run(SECOND);
-            play.hosts.values().forEach(SimulatedDeployment.Host::restart);
-            play.restartRouters();
-            play.run(10 * SECOND);
+    void budgetIsKeptAfterRouterStartupWhenReplicaSetAndRoutersRestart() {
+        assertBudgetKeptAfterStartup(deployment -> {
+            fail(deployment, "p", "r1", "r2", "r3");
+            deployment.run(SECOND);
+            deployment.hosts.values().forEach(SimulatedDeployment.Host::restart);
+            deployment.restartRouters();
+            deployment.run(10 * SECOND);
         });
     }
 }
