--- a/src/test/java/mintstair/decision/WrongClockTest.java
+++ b/src/test/java/mintstair/decision/ClockSkewTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * This machine's clock was wrong when the router started, while positions and start times of hosts are told by a
- * right one. A wrong clock may cost reads their replica; it must neither make a stale read, nor wipe a slow start or
- * begin one, nor hide a new primary.
+ * Tests a router whose own clock is wrong, while hosts report positions and start times by a right clock. A wrong clock
+ * may keep reads from being sent to replicas, but it must not lead to stale reads, must neither hide a slow start nor
+ * cause one, and must not hide a new primary.
  */
-class WrongClockTest {
+class ClockSkewTest {
     private static final long MS = Bed.MS;
     private static final long SECOND = 1_000 * MS;
     private static final long HOUR = 3_600 * SECOND;
@@ -23,7 +23,10 @@
     private final Bed bed = new Bed();
 
     /**
-     * Group 0 as the right clock, which is so far ahead of the router's, has it; {@code lag} is that of all replicas.
+     * Starts the router and reports the state of replica set 0.
+     *
+     * @param ahead by how much the clock of the hosts is ahead of that of the router
+     * @param lag the replication lag of all replicas
      */
     private void start(long ahead, long lag) {
         bed.now = 100 * HOUR;
@@ -35,25 +38,27 @@
         bed.poll("p", bed.now + ahead, ReplicationRole.PRIMARY);
     }
 
-    private void pollAll(long ahead, long lag) {
+    /** Answers all open polls, as {@link #start} reports the state. */
+    private void answerPolls(long ahead, long lag) {
         for (; bed.answered < bed.probes.size(); bed.answered++) {
-            boolean primary = bed.probes.get(bed.answered).equals("p");
+            boolean isPrimary = bed.probes.get(bed.answered).equals("p");
             bed.now += MS;
             bed.poll(
                     bed.probes.get(bed.answered),
-                    bed.now + ahead - (primary ? 0 : lag),
-                    primary ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
+                    bed.now + ahead - (isPrimary ? 0 : lag),
+                    isPrimary ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
         }
     }
 
-    private Set<String> hostsOfReads(int reads, int kind, long ahead, long lag) {
+    /** Sends reads of one class and returns the hosts that they were sent to. */
+    private Set<String> hostsOfReads(int reads, int classIndex, long ahead, long lag) {
         Set<String> hosts = new HashSet<>();
         for (long id = 1; id <= reads; id++) {
             bed.now += 5 * MS;
-            int sent = bed.sends.size();
-            bed.request(id, kind);
-            pollAll(ahead, lag);
-            if (bed.sends.size() > sent) {
+            int sentBefore = bed.sends.size();
+            bed.request(id, classIndex);
+            answerPolls(ahead, lag);
+            if (bed.sends.size() > sentBefore) {
                 hosts.add(bed.last().host());
                 bed.outcome(bed.last(), bed.sendsOf(id).size() - 1, AttemptOutcome.SUCCESS);
             }
@@ -62,34 +67,35 @@
     }
 
     /**
-     * The bound is 200 ms: replicas that are 5 s behind are too old, though by a clock that is an hour behind they
-     * come from its future.
+     * The staleness bound is 200 ms. Replicas that lag by 5 s are too old, although their positions are in the future
+     * of a clock that is an hour behind.
      */
     @Test
-    void clockThatIsBehindMakesNoStaleRead() {
+    void clockBehindCausesNoStaleReads() {
         start(HOUR, 5 * SECOND);
         assertEquals(Set.of("p"), hostsOfReads(100, Bed.BOUNDED, HOUR, 5 * SECOND));
     }
 
-    /** Two seconds behind, and replicas that lag by as much: the smallest step that hides a lag. */
+    /** A clock that is behind by exactly the replication lag makes the replicas seem up to date. */
     @Test
-    void clockThatIsBehindByAsMuchAsReplicasLagMakesNoStaleRead() {
+    void clockBehindByTheReplicationLagCausesNoStaleReads() {
         start(2 * SECOND, 2 * SECOND);
         assertEquals(Set.of("p"), hostsOfReads(100, Bed.BOUNDED, 2 * SECOND, 2 * SECOND));
     }
 
-    /** Its own answers show what replicas lag: the clock is right there, and those that keep up are used. */
+    /**
+     * The positions of the primary reveal the error of the clock, so that replicas with little lag are still
+     * recognized.
+     */
     @Test
-    void replicasThatKeepUpAreUsedWhereTheClockIsBehind() {
+    void replicasWithLittleLagAreUsedWhenTheClockIsBehind() {
         start(HOUR, 10 * MS);
         assertTrue(hostsOfReads(100, Bed.BOUNDED, HOUR, 10 * MS).size() > 2);
     }
 
-    /**
-     * Started 10 minutes ago, which is 50 minutes ahead of this clock: they are warm, and have the room of warm ones.
-     */
+    /** The hosts started 10 minutes ago, which is 50 minutes ahead of the clock of the router. They are warm. */
     @Test
-    void clockThatIsBehindStartsNoSlowStart() {
+    void clockBehindCausesNoSlowStart() {
         start(HOUR, 10 * MS);
         long started = bed.now + HOUR - 600 * SECOND;
         for (String host : List.of("p", "r1", "r2", "r3")) {
@@ -101,11 +107,11 @@
     }
 
     /**
-     * The list comes before the first poll: a slow start that rests on the wrong clock alone is over when positions
-     * show it wrong.
+     * The endpoint list arrives before the first poll: the slow start that follows from the wrong clock ends when
+     * positions reveal the error.
      */
     @Test
-    void slowStartOfAWrongClockEndsWithTheFirstPositions() {
+    void slowStartCausedByAClockBehindEndsWithTheFirstPositions() {
         bed.now = 100 * HOUR;
         bed.start();
         long started = bed.now + HOUR - 600 * SECOND;
@@ -115,17 +121,17 @@
                 new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, started));
         bed.poll("p", bed.now + HOUR, ReplicationRole.PRIMARY);
         bed.poll("r1", bed.now + HOUR, ReplicationRole.REPLICA);
-        // 40 at once: a cold replica would be given its fifth of them at most.
-        int sent = bed.sends.size();
+        // A replica in slow start would get only a fifth of the requests.
+        int sentBefore = bed.sends.size();
         for (long id = 1; id <= 12; id++) {
             bed.request(id, Bed.ANY);
         }
-        assertTrue(bed.sends.size() - sent >= 10, "sent " + (bed.sends.size() - sent));
+        assertTrue(bed.sends.size() - sentBefore >= 10, "sent " + (bed.sends.size() - sentBefore) + " of 12");
     }
 
-    /** Started a second ago by the right clock; this one is an hour ahead. */
+    /** The host started a second ago by the right clock, while the clock of the router is an hour ahead. */
     @Test
-    void clockThatIsAheadWipesNoSlowStart() {
+    void clockAheadHidesNoSlowStart() {
         start(-HOUR, 10 * MS);
         bed.list(
                 EndpointUpdateType.DELTA,
@@ -134,11 +140,11 @@
     }
 
     /**
-     * Listed as started a second ago before any position is known; the first positions show that the clock is an hour
-     * ahead.
+     * The host is listed as started a second ago before any position is known; the first positions reveal that the
+     * clock of the router is an hour ahead.
      */
     @Test
-    void slowStartThatAClockAheadHidBeginsWithTheFirstPositions() {
+    void slowStartHiddenByAClockAheadBeginsWithTheFirstPositions() {
         bed.now = 100 * HOUR;
         bed.start();
         bed.list(
@@ -151,11 +157,11 @@
     }
 
     /**
-     * An answer of the old primary stands at this clock's time, a poll of the new one at the right clock's, an hour
-     * before.
+     * The reply of the old primary is dated by the clock of the router, the report of the new one by the right clock,
+     * which is an hour earlier.
      */
     @Test
-    void newPrimaryThatAPollTellsOfIsFoundWhereTheClockIsAhead() {
+    void newPrimaryReportedByAPollIsFoundWhenTheClockIsAhead() {
         start(-HOUR, 10 * MS);
         bed.request(1, Bed.UNSAFE_WRITE);
         bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS, ReplicationRole.PRIMARY, Positions.UNKNOWN);
@@ -166,24 +172,24 @@
     }
 
     /**
-     * A primary unheard of for long is polled before a write: positions in this clock's future are no sign of life
-     * for an hour.
+     * A primary that has not replied for long is polled before a write. Positions in the future of a clock that is an
+     * hour behind must not count as recent replies.
      */
     @Test
-    void lostPrimaryIsNotTakenToLiveWhereTheClockIsBehind() {
+    void primaryWithoutRecentReplyIsPolledWhenTheClockIsBehind() {
         start(HOUR, 10 * MS);
         bed.now += 10 * SECOND;
         bed.probes.clear();
         bed.answered = 0;
-        int sent = bed.sends.size();
+        int sentBefore = bed.sends.size();
         bed.request(1, Bed.UNSAFE_WRITE);
-        assertEquals(sent, bed.sends.size(), "a write goes to a primary that was not heard of for 10 s");
+        assertEquals(sentBefore, bed.sends.size(), "write was sent to a primary that has not replied for 10 s");
         assertTrue(bed.probes.contains("p"));
     }
 
-    /** Nothing of this concerns a clock that is right to within what machines' clocks differ by. */
+    /** A clock that differs by no more than synchronized clocks usually do counts as right. */
     @Test
-    void readsAreSpreadByARightClock() {
+    void readsAreSpreadOverReplicasWhenTheClockIsRight() {
         start(2 * MS, 10 * MS);
         assertTrue(hostsOfReads(100, Bed.BOUNDED, 2 * MS, 10 * MS).size() > 2);
     }
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -11,17 +11,21 @@
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
-/** What routers that know of each other take of the bounds that they share, while the fleet breaks and heals. */
+/**
+ * Tests the shares that routers with an observed fleet size take of limits that all routers have in common, while
+ * members fail, are partitioned and recover.
+ */
 class FleetShareTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND = 1_000_000;
     private static final int ROUTERS = 100;
     private final Bed[] beds = new Bed[ROUTERS];
-    private SimulatedFleet play;
-    private double most;
+    private SimulatedFleet fleet;
+    private double maxSum;
 
-    private void fleet(int running, long seed) {
-        play = new SimulatedFleet(ROUTERS, ROUTERS, 0.02, seed);
-        play.nodes.subList(0, running).forEach(play::start);
+    /** Creates a fleet that is configured for 100 routers, of which some run. */
+    private void startFleet(int running, long seed) {
+        fleet = new SimulatedFleet(ROUTERS, ROUTERS, 0.02, seed);
+        fleet.nodes.subList(0, running).forEach(fleet::start);
         for (int i = 0; i < ROUTERS; i++) {
             beds[i] = new Bed();
             beds[i].routers = ROUTERS;
@@ -29,121 +33,132 @@
         }
     }
 
-    /** The parts of all that run and do not stand still, of one. */
-    private double sum() {
+    /** Returns the sum of the shares of all routers that run and are not stalled. */
+    private double sumOfShares() {
         double sum = 0;
-        for (SimulatedFleet.Node node : play.running()) {
-            ClusterSizeEstimate s = node.swim.sizeEstimate();
+        for (SimulatedFleet.Node node : fleet.running()) {
+            ClusterSizeEstimate estimate = node.swim.sizeEstimate();
             ReadWriteSplitter router = (ReadWriteSplitter) beds[node.number].router;
-            router.onFleetSize(play.now, new FleetSize(s.largest(), s.counted(), s.settled()));
+            router.onFleetSize(fleet.now, new FleetSize(estimate.largest(), estimate.counted(), estimate.settled()));
             sum += node.isStalled() ? 0 : 1 / router.effectiveFleetSize();
         }
         return sum;
     }
 
-    /** Lets time pass; at no moment may all parts together be more than the whole. */
+    /** Lets time pass and checks every 200 ms that the shares add up to no more than 1. */
     private void pass(long time) {
-        for (long end = play.now + time; play.now < end; play.pass(200_000)) {
-            most = Math.max(most, sum());
-            assertTrue(most <= 1 + 1e-9, "parts add up to " + most + " at " + play.now / 1e6);
+        for (long end = fleet.now + time; fleet.now < end; fleet.pass(200_000)) {
+            maxSum = Math.max(maxSum, sumOfShares());
+            assertTrue(maxSum <= 1 + 1e-9, "shares add up to " + maxSum + " by " + fleet.now / 1e6 + " s");
         }
     }
 
     @Test
-    void allThatRunShareTheWholeOnceTheyAreSettled() {
-        fleet(ROUTERS, 1);
-        pass(60 * S);
-        assertEquals(1, sum(), 1e-9);
+    void settledRoutersUseTheWholeLimit() {
+        startFleet(ROUTERS, 1);
+        pass(60 * SECOND);
+        assertEquals(1, sumOfShares(), 1e-9);
     }
 
-    /** Told of 100 where 60 run: alone they would leave two fifths of every bound idle. */
+    /** With the configured size of 100 alone, 60 running routers would leave two fifths of every limit unused. */
     @Test
-    void fleetThatIsSmallerThanToldUsesMoreThanEachAloneWould() {
-        fleet(60, 2);
-        pass(60 * S);
-        assertEquals(0.8, sum(), 1e-9);
+    void fleetSmallerThanConfiguredUsesMoreThanTheConfiguredShares() {
+        startFleet(60, 2);
+        pass(60 * SECOND);
+        assertEquals(0.8, sumOfShares(), 1e-9);
     }
 
-    /** 1 / alive on both sides of the cut would add up to 2 here. */
+    /**
+     * If each router took an equal share among the members that it sees alive, the shares on both sides of the
+     * partition would add up to 2.
+     */
     @Test
-    void sidesOfACutTogetherKeepTheBound() {
-        fleet(ROUTERS, 3);
-        pass(60 * S);
-        play.network = SimulatedFleet.partitioned(0.02, 40);
-        pass(150 * S);
-        assertEquals(1, sum(), 1e-9);
-        play.network = SimulatedFleet.lossy(0.02);
-        pass(60 * S);
-        assertEquals(1, sum(), 1e-9);
+    void sidesOfAPartitionTogetherKeepTheLimit() {
+        startFleet(ROUTERS, 3);
+        pass(60 * SECOND);
+        fleet.network = SimulatedFleet.partitioned(0.02, 40);
+        pass(150 * SECOND);
+        assertEquals(1, sumOfShares(), 1e-9);
+        fleet.network = SimulatedFleet.lossy(0.02);
+        pass(60 * SECOND);
+        assertEquals(1, sumOfShares(), 1e-9);
     }
 
     /**
-     * Seventy of a hundred die at once: the rest can't tell it from a cut, and are whole again when others have
-     * started.
+     * The other routers cannot distinguish the failure of 70 members at once from a partition, so their shares stay
+     * small until those members are restarted.
      */
     @Test
-    void seventyOfAHundredThatAreKilledLeaveTheBoundKept() {
-        fleet(ROUTERS, 4);
-        pass(60 * S);
-        play.nodes.subList(30, 100).forEach(play::kill);
-        pass(20 * S);
-        assertEquals(0.15, sum(), 1e-9);
-        play.nodes.subList(30, 100).forEach(play::start);
-        pass(60 * S);
-        assertEquals(1, sum(), 1e-9);
+    void limitIsKeptWhenSeventyOfAHundredAreKilled() {
+        startFleet(ROUTERS, 4);
+        pass(60 * SECOND);
+        fleet.nodes.subList(30, 100).forEach(fleet::kill);
+        pass(20 * SECOND);
+        assertEquals(0.15, sumOfShares(), 1e-9);
+        fleet.nodes.subList(30, 100).forEach(fleet::start);
+        pass(60 * SECOND);
+        assertEquals(1, sumOfShares(), 1e-9);
     }
 
-    /** Thirty that end in order are counted out at once; thirty machines that are lost once they must have noticed. */
+    /**
+     * Thirty members that leave are excluded from the count at once; thirty whose machines fail are excluded when their
+     * failure has been detected.
+     */
     @Test
-    void fleetThatShrinksTakesUpWhatIsLeft() {
-        fleet(ROUTERS, 5);
-        pass(60 * S);
-        play.nodes.subList(0, 30).forEach(n -> {
-            n.swim.leave();
-            play.kill(n);
+    void fleetThatShrinksUsesTheSharesOfMembersThatLeftOrFailed() {
+        startFleet(ROUTERS, 5);
+        pass(60 * SECOND);
+        fleet.nodes.subList(0, 30).forEach(node -> {
+            node.swim.leave();
+            fleet.kill(node);
         });
-        pass(30 * S);
-        assertEquals(0.5 * 0.7 + 0.5, sum(), 1e-9);
-        play.nodes.subList(30, 60).forEach(play::lose);
-        pass(150 * S);
-        assertEquals(0.5 * 0.4 + 0.5, sum(), 1e-9);
+        pass(30 * SECOND);
+        assertEquals(0.5 * 0.7 + 0.5, sumOfShares(), 1e-9);
+        fleet.nodes.subList(30, 60).forEach(fleet::lose);
+        pass(150 * SECOND);
+        assertEquals(0.5 * 0.4 + 0.5, sumOfShares(), 1e-9);
     }
 
-    /** Cuts, losses, stalls and restarts in a row. */
+    /** Partitions, lost messages, stalls and restarts in random order. */
     @Test
-    void randomFaultsNeverBreakTheBound() {
+    void limitIsKeptUnderRandomFaults() {
         for (int seed = 10; seed < 13; seed++) {
-            fleet(ROUTERS, seed);
-            Random chance = new Random(seed);
-            pass(30 * S);
+            startFleet(ROUTERS, seed);
+            Random random = new Random(seed);
+            pass(30 * SECOND);
             for (int i = 0; i < 12; i++) {
-                int some = 1 + chance.nextInt(40);
-                switch (chance.nextInt(5)) {
-                    case 0 -> play.network = SimulatedFleet.partitioned(0.05, 1 + chance.nextInt(99));
-                    case 1 -> play.network = SimulatedFleet.lossy(0.1);
-                    case 2 -> play.nodes.subList(some, some + 30).forEach(play::kill);
+                int first = 1 + random.nextInt(40);
+                switch (random.nextInt(5)) {
+                    case 0 -> fleet.network = SimulatedFleet.partitioned(0.05, 1 + random.nextInt(99));
+                    case 1 -> fleet.network = SimulatedFleet.lossy(0.1);
+                    case 2 -> fleet.nodes.subList(first, first + 30).forEach(fleet::kill);
                     case 3 ->
-                        play.nodes
-                                .subList(some, some + 30)
-                                .forEach(n -> play.stall(n, play.now + chance.nextInt(60) * S));
-                    default -> play.nodes.stream().filter(n -> !n.runs).toList().forEach(play::start);
+                        fleet.nodes
+                                .subList(first, first + 30)
+                                .forEach(node -> fleet.stall(node, fleet.now + random.nextInt(60) * SECOND));
+                    default ->
+                        fleet.nodes.stream().filter(node -> !node.runs).toList().forEach(fleet::start);
                 }
-                pass(chance.nextInt(60) * S);
+                pass(random.nextInt(60) * SECOND);
             }
         }
     }
 
-    /** Writes that reach a new primary in the 16 s after it came up, when it had been looked for in vain for 24 s. */
-    private static long served(List<Bed> running) {
+    /**
+     * Returns how many writes reach a new primary within 16 s of its promotion, after a search of 24 s in which there
+     * was no primary.
+     */
+    private static long writesToNewPrimary(List<Bed> running) {
         for (Bed bed : running) {
             bed.state("p", EndpointState.DRAINING);
             for (int i = 0; i < 2000; i++) {
                 for (; bed.answered < bed.probes.size(); bed.answered++) {
-                    boolean up = i >= 1200 && bed.probes.get(bed.answered).equals("r1");
+                    boolean isPromoted =
+                            i >= 1200 && bed.probes.get(bed.answered).equals("r1");
                     bed.poll(
                             bed.probes.get(bed.answered),
-                            up ? bed.now : bed.now - 5 * S,
-                            up ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
+                            isPromoted ? bed.now : bed.now - 5 * SECOND,
+                            isPromoted ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
                 }
                 if (i % 20 == 0) {
                     bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, Positions.UNKNOWN);
@@ -157,58 +172,74 @@
         return running.stream().mapToLong(b -> b.sends.size()).sum();
     }
 
-    /** The part of the polls that lies idle otherwise finds the primary sooner. */
+    /** The polls that the missing routers do not send are used by the others, which find the primary sooner. */
     @Test
-    void smallFleetServesMoreThanEachAloneWould() {
-        long small = served(beds(60, 0, 60));
-        long alone = served(beds(60, 0, 0));
-        assertTrue(small > 1.05 * alone, small + " writes served, each alone " + alone);
+    void fleetSmallerThanConfiguredFindsANewPrimarySooner() {
+        long observed = writesToNewPrimary(routers(60, 0, 60));
+        long configured = writesToNewPrimary(routers(60, 0, 0));
+        assertTrue(
+                observed > 1.05 * configured,
+                observed + " writes sent with the observed size, " + configured + " with the configured one");
     }
 
-    /** A cold host's part goes by the requests of each router, so no view of the fleet changes it. */
+    /**
+     * The requests that a host in slow start gets depend on the traffic of each router, so no view of the fleet changes
+     * their share.
+     */
     @Test
-    void coldHostGetsItsPartWhateverTheViews() {
-        for (List<Bed> fleet : List.of(beds(100, 0, 100), beds(60, 40, 60), beds(0, 100, 100), beds(30, 0, 30))) {
-            long cold = 0;
-            for (Bed bed : fleet) {
+    void shareOfAHostInSlowStartIsIndependentOfTheFleetSize() {
+        for (List<Bed> routers :
+                List.of(routers(100, 0, 100), routers(60, 40, 60), routers(0, 100, 100), routers(30, 0, 30))) {
+            long sent = 0;
+            for (Bed bed : routers) {
                 bed.list(
                         EndpointUpdateType.DELTA,
                         new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now));
                 bed.request(1, Bed.ANY);
-                cold += bed.sendsOf(1).stream()
+                sent += bed.sendsOf(1).stream()
                         .filter(s -> s.host().equals("r1"))
                         .count();
             }
-            // One in three at random would be 0.33 of them; cold, it may have a fifth of that at first.
-            assertTrue(cold < 0.17 * fleet.size(), cold + " of " + fleet.size());
+            // A warm replica gets a third of the reads, a replica whose slow start begins a fifth of that.
+            assertTrue(sent < 0.17 * routers.size(), sent + " of " + routers.size());
         }
     }
 
-    /** Polls a second at one host of a group without a primary, from all that run, after the first have backed off. */
-    private static double polls(List<Bed> running) {
+    /**
+     * Returns the polls per second that a host of a replica set without a primary gets from all routers, after their
+     * backoff has grown for 24 s.
+     */
+    private static double pollsPerSecond(List<Bed> running) {
         long polls = 0;
         for (Bed bed : running) {
             bed.state("p", EndpointState.DRAINING);
             for (int i = 0; i < 2400; i++) {
                 for (; bed.answered < bed.probes.size(); bed.answered++) {
-                    bed.poll(bed.probes.get(bed.answered), bed.now - 5 * S, ReplicationRole.REPLICA);
+                    bed.poll(bed.probes.get(bed.answered), bed.now - 5 * SECOND, ReplicationRole.REPLICA);
                 }
                 if (i % 20 == 0) {
                     bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, Positions.UNKNOWN);
                 }
                 bed.pass(20_000);
-                polls += i < 1200
-                        ? 0
-                        : bed.probes.subList(bed.answered, bed.probes.size()).stream()
-                                .filter("r1"::equals)
-                                .count();
+                if (i >= 1200) {
+                    polls += bed.probes.subList(bed.answered, bed.probes.size()).stream()
+                            .filter("r1"::equals)
+                            .count();
+                }
             }
         }
         return polls / 24.0;
     }
 
-    private static List<Bed> beds(int settled, int others, int counted) {
-        List<Bed> beds = new ArrayList<>();
+    /**
+     * Starts routers that are configured for a fleet of 100.
+     *
+     * @param settled the number of routers that are settled
+     * @param others the number of routers that are not
+     * @param counted the number of members that each router counts, or 0 if it has not observed the fleet
+     */
+    private static List<Bed> routers(int settled, int others, int counted) {
+        List<Bed> routers = new ArrayList<>();
         for (int i = 0; i < settled + others; i++) {
             Bed bed = new Bed();
             bed.routers = ROUTERS;
@@ -218,21 +249,23 @@
             if (counted > 0) {
                 bed.router.onFleetSize(bed.now, new FleetSize(ROUTERS, counted, i < settled));
             }
-            beds.add(bed);
+            routers.add(bed);
         }
-        return beds;
+        return routers;
     }
 
     /**
-     * A host's polls by those that look for a primary: within the bound in a cut fleet, and more of it used in a
-     * small one.
+     * The polls of all routers that search for a primary stay within the limit of a host in a partitioned fleet, and
+     * use more of it in a fleet smaller than configured.
      */
     @Test
-    void pollsAtAHostFollowTheShares() {
-        double cut = polls(beds(60, 40, 60));
-        assertTrue(cut <= 11, "cut 60 and 40: " + cut + " polls a second");
-        double small = polls(beds(60, 0, 60));
-        double alone = polls(beds(60, 0, 0));
-        assertTrue(small <= 11 && small > 1.15 * alone, "60 of 100: " + small + " polls a second, each alone " + alone);
+    void pollsOfAHostFollowTheShares() {
+        double partitioned = pollsPerSecond(routers(60, 40, 60));
+        assertTrue(partitioned <= 11, "partitioned into 60 and 40: " + partitioned + " polls per second");
+        double observed = pollsPerSecond(routers(60, 0, 60));
+        double configured = pollsPerSecond(routers(60, 0, 0));
+        assertTrue(
+                observed <= 11 && observed > 1.15 * configured,
+                "60 of 100: " + observed + " polls per second, " + configured + " with the configured size");
     }
 }
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -10,7 +10,10 @@
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
-/** Many routers with a trickle of traffic each, and routers that are told what is not so. */
+/**
+ * Tests what many routers with little traffic each do together, and how a router acts on missing, late or wrong
+ * information.
+ */
 class FleetTest {
     private static final long MS = Bed.MS;
 
@@ -26,6 +29,7 @@
         return fleet;
     }
 
+    /** Returns how many attempts all routers sent to a host. */
     private static long sentTo(List<Bed> fleet, String host) {
         return fleet.stream()
                 .flatMap(b -> b.sends.stream())
@@ -33,33 +37,39 @@
                 .count();
     }
 
-    private static EndpointEntry started(String host, long at) {
+    private static EndpointEntry startedEntry(String host, long at) {
         return new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, at);
     }
 
-    /** One read at each router: with a floor of one a router, all 300 would be let through to the cold host. */
+    /**
+     * Each router sends one read: if each of them might send at least one request to a host in slow start, all 300
+     * would.
+     */
     @Test
-    void coldHostGetsItsPartOfAllRoutersTogether() {
+    void hostInSlowStartGetsALimitedShareOfTheRequestsOfAllRouters() {
         List<Bed> fleet = fleet(300);
         for (Bed bed : fleet) {
-            bed.list(EndpointUpdateType.DELTA, started("r1", bed.now));
+            bed.list(EndpointUpdateType.DELTA, startedEntry("r1", bed.now));
             bed.request(1, Bed.ANY);
         }
-        long cold = sentTo(fleet, "r1");
-        assertTrue(cold > 5 && cold < 50, "cold host got " + cold + " of 300");
+        long sent = sentTo(fleet, "r1");
+        assertTrue(sent > 5 && sent < 50, "host in slow start got " + sent + " of 300");
     }
 
-    /** A zone restarts at once: no warm peer is left, so most is shed early instead of pushing the cold ones over. */
+    /**
+     * When all hosts of a replica set restart at once, no warm host is left, so most requests are shed instead of
+     * overloading the hosts in slow start.
+     */
     @Test
-    void groupThatIsColdAltogetherShedsEarly() {
+    void replicaSetInSlowStartShedsPartOfTheLoad() {
         List<Bed> fleet = fleet(300);
         for (Bed bed : fleet) {
             bed.list(
                     EndpointUpdateType.DELTA,
-                    started("p", bed.now),
-                    started("r1", bed.now),
-                    started("r2", bed.now),
-                    started("r3", bed.now));
+                    startedEntry("p", bed.now),
+                    startedEntry("r1", bed.now),
+                    startedEntry("r2", bed.now),
+                    startedEntry("r3", bed.now));
             bed.request(1, Bed.ANY);
             bed.request(2, Bed.UNSAFE_WRITE);
         }
@@ -71,53 +81,68 @@
         }
     }
 
-    /** Guards a group without a primary against polls that each of many routers sends for want of one. */
+    /** Guards a replica set without a primary against the polls of many routers that search for one. */
     @Test
-    void routersThatLookForAPrimaryStayWithinAHostsPollsTogether() {
+    void searchForAPrimaryLoadsAHostWithFewPollsFromAllRouters() {
         for (int routers : new int[] {3, 14, 48}) {
             List<Bed> fleet = fleet(routers);
-            long[] polls = new long[2];
+            long polls = 0;
             for (Bed bed : fleet) {
-                bed.state("p", EndpointState.DRAINING);
-                for (int i = 0; i < 1600; i++) {
-                    for (; bed.answered < bed.probes.size(); bed.answered++) {
-                        bed.poll(bed.probes.get(bed.answered), bed.now - 5_000 * MS, ReplicationRole.REPLICA);
-                    }
-                    if (i % 20 == 0) {
-                        bed.request(i, Bed.UNSAFE_WRITE, 1200 * MS, Positions.UNKNOWN);
-                    }
-                    bed.pass(20 * MS);
-                    polls[i < 800 ? 0 : 1] += bed.probes.subList(bed.answered, bed.probes.size()).stream()
-                            .filter("r1"::equals)
-                            .count();
-                }
+                polls += pollsInLastSixteenSecondsOfSearch(bed);
             }
-            // Writes, as reads have polls on demand as well, which their price bounds. What each router sends at first
-            // soon ends.
-            assertTrue(polls[1] / 16 <= 11, routers + " routers: " + polls[1] / 16 + " polls a second");
-            assertTrue(polls[1] > 0, "they go on looking");
+            assertTrue(polls / 16 <= 11, routers + " routers: " + polls / 16 + " polls per second");
+            assertTrue(polls > 0, routers + " routers: the search must go on");
         }
     }
 
-    /** Trial reads go to a silent host as a share of the traffic, not one from each router. */
+    /**
+     * Returns the polls of the replica r1 in the second half of a search for a primary that takes 32 s. In the first
+     * half a router sends more polls, until its backoff has grown. All requests are writes, because reads also cause
+     * polls on demand, which their cost limits.
+     */
+    private static long pollsInLastSixteenSecondsOfSearch(Bed bed) {
+        long polls = 0;
+        bed.state("p", EndpointState.DRAINING);
+        for (int i = 0; i < 1600; i++) {
+            for (; bed.answered < bed.probes.size(); bed.answered++) {
+                bed.poll(bed.probes.get(bed.answered), bed.now - 5_000 * MS, ReplicationRole.REPLICA);
+            }
+            if (i % 20 == 0) {
+                bed.request(i, Bed.UNSAFE_WRITE, 1200 * MS, Positions.UNKNOWN);
+            }
+            bed.pass(20 * MS);
+            if (i >= 800) {
+                polls += bed.probes.subList(bed.answered, bed.probes.size()).stream()
+                        .filter("r1"::equals)
+                        .count();
+            }
+        }
+        return polls;
+    }
+
+    /** Trial requests to an unresponsive host are a share of the traffic, not one for each router. */
     @Test
-    void silentHostGetsAShareOfTrialsFromAllRoutersTogether() {
+    void unresponsiveHostGetsTrialRequestsFromFewRouters() {
         List<Bed> fleet = fleet(200);
         for (Bed bed : fleet) {
             for (int i = 0; i < 60 && bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive r1")); i++) {
                 bed.request(1_000 + i, Bed.ANY);
-                if (bed.sendsOf(1_000 + i).isEmpty()) bed.answerPolls(10 * MS);
-                if (bed.sendsOf(1_000 + i).isEmpty()) continue;
-                boolean lost = bed.last().host().equals("r1");
-                bed.outcome(bed.last(), 0, lost ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+                if (bed.sendsOf(1_000 + i).isEmpty()) {
+                    bed.answerPolls(10 * MS);
+                }
+                if (bed.sendsOf(1_000 + i).isEmpty()) {
+                    continue;
+                }
+                boolean isUnreachable = bed.last().host().equals("r1");
+                bed.outcome(bed.last(), 0, isUnreachable ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             }
             bed.sends.clear();
             bed.request(1, Bed.ANY);
         }
-        assertTrue(sentTo(fleet, "r1") < 10, "silent host got " + sentTo(fleet, "r1") + " of 200");
+        assertTrue(sentTo(fleet, "r1") < 10, "unresponsive host got " + sentTo(fleet, "r1") + " of 200");
     }
 
-    /** An idle router sets no timer: 650 of them with a tick each would cost more than all requests. */
+    /** With 650 idle routers, a regular timer in each would cost more than all requests. */
     @Test
     void idleRouterSetsNoTimersAndSendsNoPolls() {
         Bed bed = new Bed().start().group();
@@ -128,51 +153,53 @@
     }
 
     /**
-     * A router with few requests asks a few members when a read needs it and the primary is full, and sends where one
-     * is proven.
+     * When no replica is known to be recent enough and the primary is full, a router with few requests polls a few
+     * replicas and sends the read to one that is recent enough.
      */
     @Test
-    void readThatNoReplicaIsProvenForPollsAFewWhereThePrimaryIsFullAndGoesToOneOfThem() {
+    void readIsSentToAPolledReplicaWhenThePrimaryIsFull() {
         Bed bed = new Bed().start().group();
         bed.now += 5_000 * MS;
         bed.poll("p", bed.now, ReplicationRole.PRIMARY);
-        int polls = bed.probes.size();
+        int pollsBefore = bed.probes.size();
         for (int id = 100; id < 160; id++) {
             bed.request(id, Bed.UNSAFE_WRITE);
         }
         bed.request(1, Bed.BOUNDED);
-        assertEquals(polls + 2, bed.probes.size());
+        assertEquals(pollsBefore + 2, bed.probes.size());
         assertTrue(bed.sendsOf(1).isEmpty());
         bed.answerPolls(30 * MS);
         assertNotEquals("p", bed.sendsOf(1).get(0).host());
     }
 
     /**
-     * Guards against a poll on demand for each read of a router that hears little, where the primary has room for it:
-     * in a fleet of 100 the polls cost more than the reads are worth on a replica.
+     * Guards against a poll on demand for each read of a router with little traffic while the primary has capacity: in
+     * a fleet of 100 routers the polls would cost more than is gained by reading from a replica.
      */
     @Test
-    void readsThatNoReplicaIsProvenForGoUnpolledToAPrimaryWithRoom() {
+    void readsOfRoutersWithLittleTrafficFallBackToThePrimaryWithoutPolls() {
         List<Bed> fleet = fleet(100);
         long polls = 0;
         for (Bed bed : fleet) {
             bed.now += 5_000 * MS;
-            int before = bed.probes.size();
+            int pollsBefore = bed.probes.size();
             bed.request(1, Bed.BOUNDED);
-            if (!bed.sends.isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+            if (!bed.sends.isEmpty()) {
+                bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+            }
             bed.request(2, Bed.SESSION, 1200 * MS, 5 * MS);
-            polls += bed.probes.size() - before;
+            polls += bed.probes.size() - pollsBefore;
         }
         assertEquals(0, polls, "polls on demand");
         assertEquals(200, sentTo(fleet, "p"), "reads sent to the primary");
     }
 
     /**
-     * Guards against loading the primary with reads that a poll, shared by many of them, brings to replicas: at a
-     * router that hears a group often, with a primary that has room.
+     * Guards against falling back to the primary, though it has capacity, at a router with so much traffic that many
+     * reads share the result of one poll.
      */
     @Test
-    void readsOfARouterThatHearsManyArePolledForBeforeThePrimary() {
+    void routerWithMuchTrafficPollsReplicasBeforeFallingBackToThePrimary() {
         Bed bed = new Bed();
         bed.oneSession = false;
         bed.start().group();
@@ -181,17 +208,19 @@
             bed.request(i, Bed.BOUNDED);
             bed.answerPolls(30 * MS);
             bed.pass(5 * MS);
-            if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+            if (!bed.sendsOf(i).isEmpty()) {
+                bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+            }
         }
-        long primary = bed.sends.stream()
+        long sentToPrimary = bed.sends.stream()
                 .filter(s -> s.id() >= 100 && s.host().equals("p"))
                 .count();
-        assertTrue(primary < 60, "the primary got " + primary + " of 300 reads");
+        assertTrue(sentToPrimary < 60, "the primary got " + sentToPrimary + " of 300 reads");
     }
 
-    /** Replicas behind: the many reads that fall back must not drown the primary, by all routers together. */
+    /** When all replicas lag, the reads of all routers fall back and would overload the primary. */
     @Test
-    void readsThatFallBackInMassReachThePrimaryOnlyInPart() {
+    void fallbackReadsAreAdmittedInPartWhenAllReplicasLag() {
         List<Bed> fleet = fleet(100);
         for (Bed bed : fleet) {
             for (int i = 0; i < 60; i++) {
@@ -199,37 +228,49 @@
                 bed.request(i, Bed.BOUNDED);
                 bed.answerPolls(5_000 * MS);
                 bed.answerPolls(5_000 * MS);
-                if (i == 30) bed.sends.clear();
-                if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+                if (i == 30) {
+                    bed.sends.clear();
+                }
+                if (!bed.sendsOf(i).isEmpty()) {
+                    bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+                }
                 bed.pass(200 * MS);
             }
         }
-        long fell = sentTo(fleet, "p");
-        assertTrue(fell > 100 && fell < 1_800, "primary got " + fell + " of 2900");
+        long sent = sentTo(fleet, "p");
+        assertTrue(sent > 100 && sent < 1_800, "primary got " + sent + " of 2900");
     }
 
     /**
-     * Guards against refusing reads of high worth while those of little worth are taken: the primary is all there is.
+     * Guards against rejecting reads of high priority while those of low priority are served, when the primary is the
+     * only host.
      */
     @Test
-    void readsOfMoreWorthFillMoreOfThePrimary() {
-        long[] sent = new long[2];
-        for (int i = 0; i < 2; i++) {
-            Bed bed = new Bed();
-            bed.oneSession = false;
-            bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
-            bed.poll("p", bed.now, ReplicationRole.PRIMARY);
-            for (int id = 0; id < 200; id++) {
-                bed.request(id, i == 0 ? Bed.BOUNDED : Bed.ANY);
-            }
-            sent[i] = bed.sends.size();
+    void readsOfHigherPriorityMayFillMoreOfThePrimary() {
+        long low = sentToOnlyHost(Bed.BOUNDED);
+        long high = sentToOnlyHost(Bed.ANY);
+        assertTrue(
+                low > 5 && high > low * 4 / 3, "sent " + low + " reads of low priority, " + high + " of high priority");
+    }
+
+    /** Returns how many of 200 reads of a class are sent at once to a primary without replicas. */
+    private static long sentToOnlyHost(int classIndex) {
+        Bed bed = new Bed();
+        bed.oneSession = false;
+        bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
+        bed.poll("p", bed.now, ReplicationRole.PRIMARY);
+        for (int id = 0; id < 200; id++) {
+            bed.request(id, classIndex);
         }
-        assertTrue(sent[0] > 5 && sent[1] > sent[0] * 4 / 3, "little worth " + sent[0] + ", much " + sent[1]);
+        return bed.sends.size();
     }
 
-    /** Of those who wait for room the ones of most worth for their time go first, whenever they came. */
+    /**
+     * Of the waiting requests, the one with the highest ratio of priority weight to latency objective is sent first,
+     * regardless of the order of arrival.
+     */
     @Test
-    void roomThatAppearsGoesToThoseOfMostWorth() {
+    void freedCapacityGoesToTheRequestOfMostPriorityPerLatencyObjective() {
         Bed bed = new Bed();
         bed.oneSession = false;
         bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
@@ -237,35 +278,38 @@
         for (int id = 0; id < 60; id++) {
             bed.request(id, Bed.UNSAFE_WRITE);
         }
-        int full = bed.sends.size();
+        int sentUntilFull = bed.sends.size();
         bed.request(100, Bed.UNSAFE_WRITE);
         bed.request(101, Bed.KEYED_WRITE);
-        assertEquals(full, bed.sends.size());
+        assertEquals(sentUntilFull, bed.sends.size());
         bed.outcome(bed.sends.get(0), 0, AttemptOutcome.SUCCESS);
-        assertTrue(bed.sends.size() > full);
-        assertEquals(101, bed.sends.get(full).id(), "4 in 0.75 s before 4 in 1 s");
+        assertTrue(bed.sends.size() > sentUntilFull);
+        assertEquals(101, bed.sends.get(sentUntilFull).id(), "a weight of 4 in 0.75 s precedes a weight of 4 in 1 s");
     }
 
-    /** Other settings: an open request keeps its class, a new one has the new class's rules, and the fewer attempts. */
+    /**
+     * After a reload, open requests keep their class, while new requests are subject to the new classes; the new limit
+     * of attempts applies to both.
+     */
     @Test
     void openRequestsKeepTheirClassThroughOtherSettings() {
         Bed bed = new Bed().start().group();
         bed.request(1, Bed.ANY);
-        RouterSettings old = bed.settings();
-        List<RequestClass> unsafe = old.classes().stream()
-                .map(c -> new RequestClass(
-                        c.name(),
-                        c.consistency(),
+        RouterSettings initial = bed.settings();
+        List<RequestClass> notIdempotent = initial.classes().stream()
+                .map(requestClass -> new RequestClass(
+                        requestClass.name(),
+                        requestClass.consistency(),
                         Idempotency.NOT_IDEMPOTENT,
-                        c.deduplicationScope(),
-                        c.maxStalenessMicros(),
-                        c.latencyObjectiveMicros(),
-                        c.deadlineMicros(),
-                        c.deduplicationWindowMicros(),
-                        c.priorityWeight(),
-                        c.lateWeight()))
+                        requestClass.deduplicationScope(),
+                        requestClass.maxStalenessMicros(),
+                        requestClass.latencyObjectiveMicros(),
+                        requestClass.deadlineMicros(),
+                        requestClass.deduplicationWindowMicros(),
+                        requestClass.priorityWeight(),
+                        requestClass.lateWeight()))
                 .toList();
-        bed.router.onSettings(bed.now, with(old, unsafe, old.limits()));
+        bed.router.onSettings(bed.now, with(initial, notIdempotent, initial.limits()));
         bed.outcome(bed.sendsOf(1).get(0), 0, AttemptOutcome.CONNECTION_RESET);
         assertEquals(2, bed.sendsOf(1).size());
         bed.request(2, Bed.ANY);
@@ -274,41 +318,48 @@
         assertEquals(List.of(2L), bed.failed);
         bed.request(3, Bed.ANY);
         bed.router.onSettings(
-                bed.now, with(old, old.classes(), new AttemptLimits(1, true, true, false, true, true, 500 * MS)));
+                bed.now,
+                with(initial, initial.classes(), new AttemptLimits(1, true, true, false, true, true, 500 * MS)));
         bed.outcome(bed.sendsOf(3).get(0), 0, AttemptOutcome.UNREACHABLE);
         assertEquals(1, bed.sendsOf(3).size());
         assertThrows(
                 IllegalArgumentException.class,
                 () -> bed.router.onSettings(
                         bed.now,
-                        with(old, old.classes(), new AttemptLimits(0, true, true, false, true, true, 500 * MS))));
+                        with(
+                                initial,
+                                initial.classes(),
+                                new AttemptLimits(0, true, true, false, true, true, 500 * MS))));
         bed.request(4, Bed.ANY);
-        assertEquals(1, bed.sendsOf(4).size(), "what makes no sense changes nothing");
+        assertEquals(1, bed.sendsOf(4).size(), "invalid settings must not be applied");
     }
 
-    private static RouterSettings with(RouterSettings s, List<RequestClass> classes, AttemptLimits limits) {
+    private static RouterSettings with(RouterSettings settings, List<RequestClass> classes, AttemptLimits limits) {
         return new RouterSettings(
-                s.fleetSize(),
-                s.instanceIndex(),
-                s.zone(),
+                settings.fleetSize(),
+                settings.instanceIndex(),
+                settings.zone(),
                 classes,
-                s.tenants(),
-                s.overQuotaWeight(),
-                s.remembersSessionTokens(),
-                s.replicaReadCheck(),
-                s.positionsInResponses(),
-                s.listReportsRole(),
-                s.subscribe(),
-                s.clientsMarkRetries(),
-                s.healthCheckCost(),
-                s.crossZoneCost(),
-                s.protection(),
+                settings.tenants(),
+                settings.overQuotaWeight(),
+                settings.remembersSessionTokens(),
+                settings.replicaReadCheck(),
+                settings.positionsInResponses(),
+                settings.listReportsRole(),
+                settings.subscribe(),
+                settings.clientsMarkRetries(),
+                settings.healthCheckCost(),
+                settings.crossZoneCost(),
+                settings.protection(),
                 limits);
     }
 
-    /** What the people on call are told is what the decisions go by. */
+    /**
+     * The number of unavailable endpoints that is reported to operators agrees with the states that decisions are based
+     * on.
+     */
     @Test
-    void drainingAndSilentHostsAreAvoided() {
+    void drainingAndUnresponsiveHostsAreCountedAsUnavailable() {
         Bed bed = new Bed().start().group();
         assertEquals(0, bed.router.unavailableEndpoints(bed.now));
         bed.state("r1", EndpointState.DRAINING);
@@ -319,19 +370,17 @@
             bed.loseOrAnswerPolls("r2");
             bed.now += 100 * MS;
             if (!bed.sendsOf(1_000 + i).isEmpty()) {
-                bed.outcome(
-                        bed.last(),
-                        0,
-                        bed.last().host().equals("r2") ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+                boolean isUnreachable = bed.last().host().equals("r2");
+                bed.outcome(bed.last(), 0, isUnreachable ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             }
         }
         assertEquals(2, bed.router.unavailableEndpoints(bed.now));
         bed.state("r1", EndpointState.REMOVED);
-        assertEquals(1, bed.router.unavailableEndpoints(bed.now), "what is gone is not on the list");
+        assertEquals(1, bed.router.unavailableEndpoints(bed.now), "a removed endpoint must not be counted");
     }
 
     @Test
-    void hostListedGoneIsUsedWhileItServesWhereGoneIsAdvice() {
+    void removedHostIsUsedWhileItServesIfRemovalIsAdvisory() {
         Bed bed = new Bed();
         bed.goneIsAdvice = true;
         bed.start().group();
@@ -349,25 +398,29 @@
     }
 
     @Test
-    void goneBindsWhereItIsNoAdviceAndDrainingBindsEverywhere() {
-        Bed bound = new Bed().start().group();
-        bound.list(EndpointUpdateType.SNAPSHOT);
-        bound.request(1, Bed.ANY);
-        assertTrue(bound.sends.isEmpty());
-        Bed advice = new Bed();
-        advice.goneIsAdvice = true;
-        advice.start().group();
-        for (String h : List.of("p", "r1", "r2", "r3")) advice.state(h, EndpointState.DRAINING);
-        advice.list(EndpointUpdateType.SNAPSHOT);
-        advice.request(1, Bed.ANY);
-        for (String h : List.of("p", "r1", "r2", "r3")) advice.state(h, EndpointState.REMOVED);
-        advice.request(2, Bed.UNSAFE_WRITE);
-        advice.pass(300 * MS);
-        assertTrue(advice.sends.isEmpty());
+    void removalBindsUnlessAdvisoryAndDrainingAlwaysBinds() {
+        Bed binding = new Bed().start().group();
+        binding.list(EndpointUpdateType.SNAPSHOT);
+        binding.request(1, Bed.ANY);
+        assertTrue(binding.sends.isEmpty());
+        Bed advisory = new Bed();
+        advisory.goneIsAdvice = true;
+        advisory.start().group();
+        for (String host : List.of("p", "r1", "r2", "r3")) {
+            advisory.state(host, EndpointState.DRAINING);
+        }
+        advisory.list(EndpointUpdateType.SNAPSHOT);
+        advisory.request(1, Bed.ANY);
+        for (String host : List.of("p", "r1", "r2", "r3")) {
+            advisory.state(host, EndpointState.REMOVED);
+        }
+        advisory.request(2, Bed.UNSAFE_WRITE);
+        advisory.pass(300 * MS);
+        assertTrue(advisory.sends.isEmpty());
     }
 
     @Test
-    void listThatNamesAHostTwiceOrMovesItDoesNoHarm() {
+    void endpointUpdateMayRepeatAHostOrMoveItToAnotherReplicaSet() {
         Bed bed = new Bed().start().group();
         bed.list(
                 EndpointUpdateType.DELTA,
@@ -382,13 +435,15 @@
     }
 
     @Test
-    void pollsThatFailWhileRequestsAreServedSilenceNoHostAndAreNotAskedOftener() {
+    void failedPollsDoNotMakeAServingHostUnresponsiveNorIncreasePolls() {
         Bed bed = new Bed();
         bed.start().group();
         int polls = 0;
         for (int i = 0; i < 400; i++) {
             bed.request(i, Bed.ANY);
-            if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+            if (!bed.sendsOf(i).isEmpty()) {
+                bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+            }
             bed.pass(20 * MS);
             for (; bed.answered < bed.probes.size(); bed.answered++, polls++) {
                 bed.router.onHealthCheckEnded(bed.now, bed.probes.get(bed.answered), AttemptOutcome.ERROR, MS, null);
@@ -399,98 +454,120 @@
         assertTrue(polls < 400, polls + " polls for 400 requests");
     }
 
-    /** A quarter of the answers never come, the rest are swift: no overload, so nothing is refused for it. */
+    /**
+     * A quarter of the replies are lost and the others are fast: this is no overload, so it must not lead to
+     * rejections.
+     */
     @Test
-    void lostAnswersShrinkNoLimitAndReadsAreTriedAgainInTime() {
+    void lostRepliesDoNotReduceLimitsAndReadsAreRetriedInTime() {
         Bed bed = new Bed().start().group();
         int inTime = 0;
         for (int i = 0; i < 400; i++) {
             bed.request(i, Bed.BOUNDED, 2_500 * MS, Positions.UNKNOWN);
-            int good = -1;
-            for (int wait = 0; wait < 29 && good < 0; wait++) {
-                bed.answerPolls(20 * MS);
-                bed.pass(20 * MS);
-                List<Bed.Sent> mine = bed.sendsOf(i);
-                for (int k = 0; k < mine.size() && good < 0; k++) {
-                    boolean lost = bed.sends.indexOf(mine.get(k)) % 4 == 3;
-                    good = !lost && bed.now - mine.get(k).at() >= 60 * MS ? k : -1;
+            int served = waitForServedAttempt(bed, i);
+            List<Bed.Sent> attempts = bed.sendsOf(i);
+            if (served >= 0) {
+                bed.outcome(attempts.get(served), served, AttemptOutcome.SUCCESS);
+            }
+            for (int k = 0; k < attempts.size(); k++) {
+                if (k != served) {
+                    bed.outcome(attempts.get(k), k, served < 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.CANCELLED);
                 }
             }
-            List<Bed.Sent> mine = bed.sendsOf(i);
-            if (good >= 0) bed.outcome(mine.get(good), good, AttemptOutcome.SUCCESS);
-            for (int k = 0; k < mine.size(); k++) {
-                if (k != good)
-                    bed.outcome(mine.get(k), k, good < 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.CANCELLED);
+            inTime += i >= 200 && served >= 0 ? 1 : 0;
+        }
+        assertTrue(inTime > 175, inTime + " of 200 in time, " + bed.refused.size() + " rejected");
+    }
+
+    /**
+     * Lets up to 580 ms pass until an attempt of a request is served, which takes at least 60 ms; the reply to every
+     * fourth attempt is lost. Returns the index of the attempt among those of the request, or -1 if none was served.
+     */
+    private static int waitForServedAttempt(Bed bed, long id) {
+        for (int wait = 0; wait < 29; wait++) {
+            bed.answerPolls(20 * MS);
+            bed.pass(20 * MS);
+            List<Bed.Sent> attempts = bed.sendsOf(id);
+            for (int k = 0; k < attempts.size(); k++) {
+                boolean isLost = bed.sends.indexOf(attempts.get(k)) % 4 == 3;
+                if (!isLost && bed.now - attempts.get(k).at() >= 60 * MS) {
+                    return k;
+                }
             }
-            inTime += i >= 200 && good >= 0 ? 1 : 0;
         }
-        assertTrue(inTime > 175, inTime + " of 200 in time, " + bed.refused.size() + " refused");
+        return -1;
     }
 
-    /** After a stall nothing of its span counts: neither silence of hosts nor reads stuck. */
+    /** The time during which the router stalls counts neither as time without replies nor as latency of reads. */
     @Test
-    void stallOfTheRouterBlamesNoHost() {
+    void stallOfTheRouterMakesNoHostUnresponsive() {
         Bed bed = new Bed().start().group();
-        for (int i = 0; i < 12; i++) bed.request(i, i % 3 == 0 ? Bed.UNSAFE_WRITE : Bed.ANY);
+        for (int i = 0; i < 12; i++) {
+            bed.request(i, i % 3 == 0 ? Bed.UNSAFE_WRITE : Bed.ANY);
+        }
         bed.pass(40 * MS);
-        int before = bed.sends.size();
+        int sentBefore = bed.sends.size();
         bed.now += 2_000 * MS;
         bed.router.onTimer(bed.now, "tick");
         assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")), bed.logs.toString());
-        assertEquals(before, bed.sends.size());
+        assertEquals(sentBefore, bed.sends.size());
     }
 
-    /** A host that ages answers later and later: it loses its share before it dies. */
+    /** A host whose latency grows gets fewer requests before it fails. */
     @Test
-    void hostThatGrowsSlowerThanItsPeersLosesItsShare() {
+    void hostThatIsSlowerThanItsPeersGetsFewerRequests() {
         Bed bed = new Bed().start().group();
         for (int i = 0; i < 600; i++) {
             bed.request(i, Bed.ANY);
-            Bed.Sent s = bed.last();
-            long time = s.host().equals("r1") ? 150 * MS : 30 * MS;
+            Bed.Sent attempt = bed.last();
+            long latency = attempt.host().equals("r1") ? 150 * MS : 30 * MS;
             bed.now += 30 * MS;
             bed.router.onAttemptEnded(
                     bed.now,
                     new AttemptResult(
                             i,
                             0,
-                            s.host(),
+                            attempt.host(),
                             AttemptOutcome.SUCCESS,
-                            time,
+                            latency,
                             true,
                             ReplicationRole.REPLICA,
                             Positions.UNKNOWN));
-            if (i == 300) bed.sends.clear();
+            if (i == 300) {
+                bed.sends.clear();
+            }
         }
-        long slow = bed.sends.stream().filter(s -> s.host().equals("r1")).count();
-        assertTrue(slow < 50, "slow host got " + slow + " of 300");
+        long sent = bed.sends.stream().filter(s -> s.host().equals("r1")).count();
+        assertTrue(sent < 50, "slow host got " + sent + " of 300");
     }
 
-    /** Restarted with nothing but its old list: it serves from the first request on. */
+    /** A restarted router that has nothing but the cached list serves from the first request on. */
     @Test
-    void freshRouterServesFromItsOldListAtOnce() {
+    void restartedRouterServesFromTheCachedListAtOnce() {
         Bed bed = new Bed().start();
         bed.list(EndpointUpdateType.CACHED, Bed.ready("p"), Bed.ready("r1"), Bed.ready("r2"), Bed.ready("r3"));
         bed.request(1, Bed.ANY);
         bed.request(2, Bed.BOUNDED);
         bed.request(3, Bed.UNSAFE_WRITE);
         bed.answerPolls(20 * MS);
-        for (int i = 1; i <= 3; i++) assertEquals(1, bed.sendsOf(i).size(), "request " + i);
+        for (int i = 1; i <= 3; i++) {
+            assertEquals(1, bed.sendsOf(i).size(), "request " + i);
+        }
         assertEquals("p", bed.sendsOf(3).get(0).host());
     }
 
-    /** A client may come with no time left; it is owed an answer all the same, and at once. */
+    /** A request that arrives without time left still gets exactly one final response, immediately. */
     @Test
-    void requestWithoutTimeIsAnsweredAtOnce() {
+    void requestWithoutTimeLeftIsAnsweredAtOnce() {
         Bed bed = new Bed().start();
         bed.list(EndpointUpdateType.CACHED, Bed.ready("p"), Bed.ready("r1"));
         bed.request(1, Bed.KEYED_WRITE, 0, Positions.UNKNOWN);
         assertEquals(1, bed.refused.size() + bed.failed.size());
     }
 
-    /** No unsafe write is lost on a primary that has not been heard of for long and is gone. */
+    /** Guards against losing a non-idempotent write on a primary that has failed since its last reply. */
     @Test
-    void primaryUnheardOfIsPolledBeforeAWriteIsRisked() {
+    void primaryWithoutRecentReplyIsPolledBeforeAWrite() {
         Bed bed = new Bed().start().group();
         bed.now += 10_000 * MS;
         bed.request(1, Bed.UNSAFE_WRITE);
@@ -503,36 +580,40 @@
     }
 
     /**
-     * Guards against a limit that slow answers alone cut below one in flight: a router that hears little then held back
-     * writes from a primary that had none of its requests, and refused them unsent after 0.8 of their aim.
+     * Guards against a concurrency limit that slow replies alone reduce below one: a router with little traffic then
+     * held back writes from a primary with none of its requests in flight, and rejected them unsent after 0.8 of their
+     * latency objective.
      */
     @Test
-    void slowAnswersLeaveRoomForOneWriteOfEachRouter() {
+    void slowRepliesLeaveCapacityForOneWriteOfEachRouter() {
         List<Bed> fleet = fleet(100);
         long sent = 0;
         for (Bed bed : fleet) {
             for (int i = 0; i < 10; i++) {
                 bed.request(i, Bed.UNSAFE_WRITE);
                 bed.now += 600 * MS;
-                if (!bed.sendsOf(i).isEmpty()) bed.outcome(bed.sendsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
+                if (!bed.sendsOf(i).isEmpty()) {
+                    bed.outcome(bed.sendsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
+                }
                 bed.poll("p", bed.now, ReplicationRole.PRIMARY);
             }
             bed.sends.clear();
             bed.request(99, Bed.UNSAFE_WRITE);
             sent += bed.sends.size();
         }
-        assertEquals(100, sent, "writes sent at once to a primary with none of their router's in flight");
+        assertEquals(100, sent, "writes sent at once to a primary without requests in flight");
     }
 
-    /** Full replicas: to come again at once from hundreds of routers is what keeps them full. */
+    /** Immediate retries from hundreds of routers would keep overloaded replicas overloaded. */
     @Test
-    void routersWhoseRequestsAreTurnedAwayAsFullSendLess() {
+    void routersSendLessToOverloadedReplicas() {
         List<Bed> fleet = fleet(100);
         for (Bed bed : fleet) {
             for (int i = 0; i < 12; i++) {
                 bed.request(i, Bed.ANY);
-                for (int k = 0; k < bed.sendsOf(i).size(); k++)
+                for (int k = 0; k < bed.sendsOf(i).size(); k++) {
                     bed.outcome(bed.sendsOf(i).get(k), k, AttemptOutcome.OVERLOADED);
+                }
                 bed.pass(120 * MS);
             }
             bed.sends.clear();
@@ -542,11 +623,11 @@
                 .flatMap(b -> b.sends.stream())
                 .filter(s -> !s.host().equals("p"))
                 .count();
-        assertTrue(sent < 85, "sent " + sent + " of 100 to the full replicas");
+        assertTrue(sent < 85, "sent " + sent + " of 100 to the overloaded replicas");
     }
 
     @Test
-    void wordsOfPeersDoNoHarm() {
+    void malformedPeerMessagesAreIgnored() {
         Bed bed = new Bed().start().group();
         for (String text : List.of("", "v9 nonsense", "primary nobody -1", "\u0000")) {
             bed.router.onPeerMessage(bed.now, 77, text);
--- a/src/test/java/mintstair/decision/SimulatedDeployment.java
+++ b/src/test/java/mintstair/decision/SimulatedDeployment.java
@@ -111,12 +111,9 @@
                 QueuedAttempt next = queue.remove(0);
                 busyWorkers++;
                 int servingIncarnation = incarnation;
-                double meanMicros = next.work
-                        / meanWork()
-                        * WORKERS_PER_HOST
-                        / HOST_CAPACITY_PER_SECOND
-                        * SECOND
-                        / capacityShare(now, protection);
+                double relativeWork = next.work / meanWork();
+                double meanMicrosWhenWarm = relativeWork * WORKERS_PER_HOST / HOST_CAPACITY_PER_SECOND * SECOND;
+                double meanMicros = meanMicrosWhenWarm / capacityShare(now, protection);
                 schedule((long) (meanMicros * (0.5 + random.nextDouble())), () -> {
                     if (servingIncarnation == incarnation) {
                         busyWorkers--;
@@ -312,7 +309,7 @@
     }
 
     final Map<String, Host> hosts = new LinkedHashMap<>();
-    /** Whether one read in {@value READS_PER_LARGE_READ} is a large one. */
+    /** Whether some of the reads are large. */
     boolean hasLargeReads;
 
     long servedRequests;
--- a/src/test/java/mintstair/decision/SlowStartPartsTest.java
+++ b/src/test/java/mintstair/decision/SlowStartComponentsTest.java
@@ -7,13 +7,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the budget of a host in slow start is made of, and what passes through it. */
-class SlowStartPartsTest {
+/**
+ * Tests the estimates from which the budget of a host in slow start is computed, and which attempts count against it.
+ */
+class SlowStartComponentsTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
 
     @Test
-    void windowSumsWhatIsYoungerThanTheSpan() {
+    void windowSumsAmountsYoungerThanTheSpan() {
         SlidingWindow window = new SlidingWindow();
         window.add(0, 2, SECOND);
         window.add(600 * MS, 3, SECOND);
@@ -24,7 +26,7 @@
     }
 
     @Test
-    void rateLeansOnWhatIsAssumedUntilItWasObserved() {
+    void rateStartsNearTheAssumedRateAndFollowsTheObservedOne() {
         DecayingRate rate = new DecayingRate(20 * SECOND);
         rate.add(0, 1);
         assertEquals(4.5, rate.perSecond(0, 4), 0.01);
@@ -36,46 +38,49 @@
     }
 
     @Test
-    void throughputIsThatOfTheAnswersAndStaysWhileNoHostIsThere() {
+    void throughputFollowsRepliesAndIsKeptWhileThereAreNoHosts() {
         HostThroughput throughput = new HostThroughput();
         for (long at = 0; at <= 120 * SECOND; at += 100 * MS) {
             throughput.answered(2);
             throughput.advance(at, 4, 4, 4);
         }
-        double known = throughput.perHostSecond(1, 0);
-        assertEquals(5, known, 0.3);
+        double observed = throughput.perHostSecond(1, 0);
+        assertEquals(5, observed, 0.3);
         throughput.advance(180 * SECOND, 0, 0, 0);
-        assertEquals(known, throughput.perHostSecond(1, 0), 1e-9);
-        assertEquals(known / 2, throughput.perHostSecond(0.5, 0), 1e-9, "a host of half the mean size");
-        assertEquals(known, throughput.perHostSecond(3, 0), 1e-9, "no more than a mean one");
+        assertEquals(observed, throughput.perHostSecond(1, 0), 1e-9);
+        assertEquals(observed / 2, throughput.perHostSecond(0.5, 0), 1e-9, "host of half the mean size");
+        assertEquals(observed, throughput.perHostSecond(3, 0), 1e-9, "host of three times the mean size");
     }
 
     @Test
-    void throughputThatHasNotShownIsTakenFromTheDemand() {
+    void throughputIsAssumedToEqualDemandBeforeAnyReply() {
         HostThroughput throughput = new HostThroughput();
         throughput.advance(0, 10, 10, 10);
         throughput.advance(MS, 10, 10, 10);
         assertEquals(10, throughput.perHostSecond(1, 100), 0.2);
     }
 
-    /** Clients may ask for any multiple of what hosts do: soon only what was answered counts. */
+    /**
+     * Clients may ask for any multiple of the capacity of the hosts, so replies alone must soon determine the
+     * throughput.
+     */
     @Test
-    void throughputIsThatOfTheAnswersHalfASecondLaterHoweverMuchIsAskedFor() {
+    void throughputIsIndependentOfDemandHalfASecondAfterStart() {
         HostThroughput throughput = new HostThroughput();
         throughput.advance(0, 10, 10, 10);
         for (long at = 100 * MS; at <= 3 * SECOND; at += 100 * MS) {
             throughput.answered(10);
             throughput.advance(at, 10, 10, 10);
             if (at >= 500 * MS) {
-                double known = throughput.perHostSecond(1, 100_000);
-                assertTrue(known <= 10, "ten hosts answer 100 a second, at " + at + ": " + known);
+                double observed = throughput.perHostSecond(1, 100_000);
+                assertTrue(observed <= 10, "each host serves 10 per second, but at " + at + " us got " + observed);
             }
         }
         assertEquals(10, throughput.perHostSecond(1, 100_000), 1);
     }
 
     @Test
-    void riseOfTheDemandShowsWithinSeconds() {
+    void demandFollowsARiseWithinSeconds() {
         Bed bed = new Bed().start();
         ReplicaSetDemand demand = new ReplicaSetDemand();
         InFlightRequest read = request(bed, Bed.ANY, 1);
@@ -83,24 +88,28 @@
         for (; at < 60 * SECOND; at += 250 * MS) {
             demand.requestArrived(at, read);
         }
-        double usual = demand.readsPerSecond(at, 0);
+        double rateBefore = demand.readsPerSecond(at, 0);
         for (; at < 63 * SECOND; at += 50 * MS) {
             demand.requestArrived(at, read);
         }
-        assertTrue(demand.readsPerSecond(at, 0) > 2.5 * usual, "five times as many came for 3 s");
+        assertTrue(demand.readsPerSecond(at, 0) > 2.5 * rateBefore, "the rate is five times as high for 3 s");
         assertEquals(0, demand.primaryOnlyPerSecond(at, 0));
     }
 
-    private static InFlightRequest request(Bed bed, int kind, long id) {
+    private static InFlightRequest request(Bed bed, int classIndex, long id) {
         ClassStatistics statistics =
-                new ClassStatistics(bed.settings().classes().get(kind));
-        RoutingRequest request = new RoutingRequest(id, kind, 0, "session", -1, false, Bed.DEADLINE, Positions.UNKNOWN);
+                new ClassStatistics(bed.settings().classes().get(classIndex));
+        RoutingRequest request =
+                new RoutingRequest(id, classIndex, 0, "session", -1, false, Bed.DEADLINE, Positions.UNKNOWN);
         return new InFlightRequest(request, statistics, 0, Positions.UNKNOWN, false, 0.5, 6, 1);
     }
 
-    /** What a host was sent before it was told to have started counts as well: it started a moment ago. */
+    /**
+     * Attempts that were sent before the endpoint list reported the start count too, because the host had already
+     * started then.
+     */
     @Test
-    void whatWasSentRightBeforeTheStartIsCounted() {
+    void attemptsSentBeforeTheStartIsListedAreCounted() {
         Bed bed = new Bed();
         bed.oneSession = false;
         bed.start().group();
@@ -109,35 +118,40 @@
             bed.now += 10 * MS;
             bed.sendsOf(i).forEach(sent -> bed.outcome(sent, 0, AttemptOutcome.SUCCESS));
         }
-        int before = bed.sends.size();
-        bed.list(EndpointUpdateType.DELTA, started("r1", bed.now));
+        int sentBefore = bed.sends.size();
+        bed.list(EndpointUpdateType.DELTA, startedEntry("r1", bed.now));
         for (int i = 1_000; i < 1_020; i++) {
             bed.request(i, Bed.ANY);
             bed.now += 10 * MS;
             bed.sendsOf(i).forEach(sent -> bed.outcome(sent, 0, AttemptOutcome.SUCCESS));
         }
-        List<Bed.Sent> after = bed.sends.subList(before, bed.sends.size());
+        List<Bed.Sent> after = bed.sends.subList(sentBefore, bed.sends.size());
         assertEquals(20, after.size());
         assertTrue(after.stream().noneMatch(sent -> sent.host().equals("r1")), after.toString());
     }
 
-    /** Each way to a host passes through the gate: further attempts, trials and what only that host can serve too. */
+    /**
+     * Every path to a host in slow start must respect the budget: retries, trial requests and requests that only this
+     * host can serve.
+     */
     @Test
-    void stickyRequestsAreCountedToo() {
+    void stickyRequestsAreSubjectToTheBudget() {
         Bed bed = new Bed();
         bed.oneSession = false;
         bed.start().group();
-        bed.list(EndpointUpdateType.DELTA, started("p", bed.now));
+        bed.list(EndpointUpdateType.DELTA, startedEntry("p", bed.now));
         for (int i = 0; i < 50; i++) {
             bed.router.onRequest(
                     bed.now,
                     new RoutingRequest(i, Bed.ANY, 0, "session " + i, -1, false, Bed.DEADLINE, Positions.UNKNOWN, "p"));
         }
         assertFalse(bed.sends.isEmpty());
-        assertTrue(bed.sends.size() < 10, "sent " + bed.sends.size() + " of 50 at once to a host that just started");
+        assertTrue(
+                bed.sends.size() < 10,
+                "sent " + bed.sends.size() + " of 50 requests at once to a host that has just started");
     }
 
-    private static EndpointEntry started(String host, long at) {
+    private static EndpointEntry startedEntry(String host, long at) {
         return new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, at);
     }
 }
