--- a/src/test/java/mintstair/decision/ClockSkewTest.java
+++ b/src/test/java/mintstair/decision/ClockSkewTest.java
@@ -16,11 +16,11 @@
  * cause one, and must not hide a new primary.
  */
 class ClockSkewTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
     private static final long SECOND = 1_000 * MS;
     private static final long HOUR = 3_600 * SECOND;
 
-    private final Bed bed = new Bed();
+    private final RouterFixture fixture = new RouterFixture();
 
     /**
      * Starts the router and reports the state of replica set 0.
@@ -29,23 +29,29 @@
      * @param lag the replication lag of all replicas
      */
     private void start(long ahead, long lag) {
-        bed.now = 100 * HOUR;
-        bed.start();
-        bed.list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"), Bed.ready("r1"), Bed.ready("r2"), Bed.ready("r3"));
+        fixture.now = 100 * HOUR;
+        fixture.start();
+        fixture.updateEndpoints(
+                EndpointUpdateType.SNAPSHOT,
+                RouterFixture.servingEntry("p"),
+                RouterFixture.servingEntry("r1"),
+                RouterFixture.servingEntry("r2"),
+                RouterFixture.servingEntry("r3"));
         for (String replica : List.of("r1", "r2", "r3")) {
-            bed.poll(replica, bed.now + ahead - lag, ReplicationRole.REPLICA);
+            fixture.answerHealthCheck(replica, fixture.now + ahead - lag, ReplicationRole.REPLICA);
         }
-        bed.poll("p", bed.now + ahead, ReplicationRole.PRIMARY);
+        fixture.answerHealthCheck("p", fixture.now + ahead, ReplicationRole.PRIMARY);
     }
 
     /** Answers all open polls, as {@link #start} reports the state. */
     private void answerPolls(long ahead, long lag) {
-        for (; bed.answered < bed.probes.size(); bed.answered++) {
-            boolean isPrimary = bed.probes.get(bed.answered).equals("p");
-            bed.now += MS;
-            bed.poll(
-                    bed.probes.get(bed.answered),
-                    bed.now + ahead - (isPrimary ? 0 : lag),
+        for (; fixture.answeredHealthChecks < fixture.healthChecks.size(); fixture.answeredHealthChecks++) {
+            boolean isPrimary =
+                    fixture.healthChecks.get(fixture.answeredHealthChecks).equals("p");
+            fixture.now += MS;
+            fixture.answerHealthCheck(
+                    fixture.healthChecks.get(fixture.answeredHealthChecks),
+                    fixture.now + ahead - (isPrimary ? 0 : lag),
                     isPrimary ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
         }
     }
@@ -54,13 +60,13 @@
     private Set<String> hostsOfReads(int reads, int classIndex, long ahead, long lag) {
         Set<String> hosts = new HashSet<>();
         for (long id = 1; id <= reads; id++) {
-            bed.now += 5 * MS;
-            int sentBefore = bed.sends.size();
-            bed.request(id, classIndex);
+            fixture.now += 5 * MS;
+            int sentBefore = fixture.sentAttempts.size();
+            fixture.sendRequest(id, classIndex);
             answerPolls(ahead, lag);
-            if (bed.sends.size() > sentBefore) {
-                hosts.add(bed.last().host());
-                bed.outcome(bed.last(), bed.sendsOf(id).size() - 1, AttemptOutcome.SUCCESS);
+            if (fixture.sentAttempts.size() > sentBefore) {
+                hosts.add(fixture.lastAttempt().host());
+                fixture.endAttempt(fixture.lastAttempt(), fixture.attemptsOf(id).size() - 1, AttemptOutcome.SUCCESS);
             }
         }
         return hosts;
@@ -73,14 +79,14 @@
     @Test
     void clockBehindCausesNoStaleReads() {
         start(HOUR, 5 * SECOND);
-        assertEquals(Set.of("p"), hostsOfReads(100, Bed.BOUNDED, HOUR, 5 * SECOND));
+        assertEquals(Set.of("p"), hostsOfReads(100, RouterFixture.BOUNDED_READ, HOUR, 5 * SECOND));
     }
 
     /** A clock that is behind by exactly the replication lag makes the replicas seem up to date. */
     @Test
     void clockBehindByTheReplicationLagCausesNoStaleReads() {
         start(2 * SECOND, 2 * SECOND);
-        assertEquals(Set.of("p"), hostsOfReads(100, Bed.BOUNDED, 2 * SECOND, 2 * SECOND));
+        assertEquals(Set.of("p"), hostsOfReads(100, RouterFixture.BOUNDED_READ, 2 * SECOND, 2 * SECOND));
     }
 
     /**
@@ -90,20 +96,22 @@
     @Test
     void replicasWithLittleLagAreUsedWhenTheClockIsBehind() {
         start(HOUR, 10 * MS);
-        assertTrue(hostsOfReads(100, Bed.BOUNDED, HOUR, 10 * MS).size() > 2);
+        assertTrue(hostsOfReads(100, RouterFixture.BOUNDED_READ, HOUR, 10 * MS).size() > 2);
     }
 
     /** The hosts started 10 minutes ago, which is 50 minutes ahead of the clock of the router. They are warm. */
     @Test
     void clockBehindCausesNoSlowStart() {
         start(HOUR, 10 * MS);
-        long started = bed.now + HOUR - 600 * SECOND;
+        long started = fixture.now + HOUR - 600 * SECOND;
         for (String host : List.of("p", "r1", "r2", "r3")) {
-            bed.list(
+            fixture.updateEndpoints(
                     EndpointUpdateType.DELTA,
                     new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, started));
         }
-        assertFalse(bed.logs.stream().anyMatch(line -> line.startsWith("slow start ")), bed.logs.toString());
+        assertFalse(
+                fixture.logLines.stream().anyMatch(line -> line.startsWith("slow start ")),
+                fixture.logLines.toString());
     }
 
     /**
@@ -112,31 +120,35 @@
      */
     @Test
     void slowStartCausedByAClockBehindEndsWithTheFirstPositions() {
-        bed.now = 100 * HOUR;
-        bed.start();
-        long started = bed.now + HOUR - 600 * SECOND;
-        bed.list(
+        fixture.now = 100 * HOUR;
+        fixture.start();
+        long started = fixture.now + HOUR - 600 * SECOND;
+        fixture.updateEndpoints(
                 EndpointUpdateType.SNAPSHOT,
                 new EndpointEntry("p", false, "z", 0, EndpointState.SERVING, 1, started),
                 new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, started));
-        bed.poll("p", bed.now + HOUR, ReplicationRole.PRIMARY);
-        bed.poll("r1", bed.now + HOUR, ReplicationRole.REPLICA);
+        fixture.answerHealthCheck("p", fixture.now + HOUR, ReplicationRole.PRIMARY);
+        fixture.answerHealthCheck("r1", fixture.now + HOUR, ReplicationRole.REPLICA);
         // A replica in slow start would get only a fifth of the requests.
-        int sentBefore = bed.sends.size();
+        int sentBefore = fixture.sentAttempts.size();
         for (long id = 1; id <= 12; id++) {
-            bed.request(id, Bed.ANY);
+            fixture.sendRequest(id, RouterFixture.EVENTUAL_READ);
         }
-        assertTrue(bed.sends.size() - sentBefore >= 10, "sent " + (bed.sends.size() - sentBefore) + " of 12");
+        assertTrue(
+                fixture.sentAttempts.size() - sentBefore >= 10,
+                "sent " + (fixture.sentAttempts.size() - sentBefore) + " of 12");
     }
 
     /** The host started a second ago by the right clock, while the clock of the router is an hour ahead. */
     @Test
     void clockAheadHidesNoSlowStart() {
         start(-HOUR, 10 * MS);
-        bed.list(
+        fixture.updateEndpoints(
                 EndpointUpdateType.DELTA,
-                new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now - HOUR - SECOND));
-        assertTrue(bed.logs.contains("slow start r1: capacity grows from its start on"), bed.logs.toString());
+                new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, fixture.now - HOUR - SECOND));
+        assertTrue(
+                fixture.logLines.contains("slow start r1: capacity grows from its start on"),
+                fixture.logLines.toString());
     }
 
     /**
@@ -145,15 +157,17 @@
      */
     @Test
     void slowStartHiddenByAClockAheadBeginsWithTheFirstPositions() {
-        bed.now = 100 * HOUR;
-        bed.start();
-        bed.list(
+        fixture.now = 100 * HOUR;
+        fixture.start();
+        fixture.updateEndpoints(
                 EndpointUpdateType.SNAPSHOT,
-                Bed.ready("p"),
-                new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now - HOUR - SECOND));
-        bed.poll("p", bed.now - HOUR, ReplicationRole.PRIMARY);
-        bed.poll("r1", bed.now - HOUR, ReplicationRole.REPLICA);
-        assertTrue(bed.logs.contains("slow start r1: capacity grows from its start on"), bed.logs.toString());
+                RouterFixture.servingEntry("p"),
+                new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, fixture.now - HOUR - SECOND));
+        fixture.answerHealthCheck("p", fixture.now - HOUR, ReplicationRole.PRIMARY);
+        fixture.answerHealthCheck("r1", fixture.now - HOUR, ReplicationRole.REPLICA);
+        assertTrue(
+                fixture.logLines.contains("slow start r1: capacity grows from its start on"),
+                fixture.logLines.toString());
     }
 
     /**
@@ -163,12 +177,13 @@
     @Test
     void newPrimaryReportedByAPollIsFoundWhenTheClockIsAhead() {
         start(-HOUR, 10 * MS);
-        bed.request(1, Bed.UNSAFE_WRITE);
-        bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS, ReplicationRole.PRIMARY, Positions.UNKNOWN);
-        bed.now += 10 * SECOND;
-        bed.poll("r1", bed.now - HOUR, ReplicationRole.PRIMARY);
-        bed.request(2, Bed.UNSAFE_WRITE);
-        assertEquals("r1", bed.last().host());
+        fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
+        fixture.endAttempt(
+                fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS, ReplicationRole.PRIMARY, Positions.UNKNOWN);
+        fixture.now += 10 * SECOND;
+        fixture.answerHealthCheck("r1", fixture.now - HOUR, ReplicationRole.PRIMARY);
+        fixture.sendRequest(2, RouterFixture.NON_IDEMPOTENT_WRITE);
+        assertEquals("r1", fixture.lastAttempt().host());
     }
 
     /**
@@ -178,19 +193,21 @@
     @Test
     void primaryWithoutRecentReplyIsPolledWhenTheClockIsBehind() {
         start(HOUR, 10 * MS);
-        bed.now += 10 * SECOND;
-        bed.probes.clear();
-        bed.answered = 0;
-        int sentBefore = bed.sends.size();
-        bed.request(1, Bed.UNSAFE_WRITE);
-        assertEquals(sentBefore, bed.sends.size(), "write was sent to a primary that has not replied for 10 s");
-        assertTrue(bed.probes.contains("p"));
+        fixture.now += 10 * SECOND;
+        fixture.healthChecks.clear();
+        fixture.answeredHealthChecks = 0;
+        int sentBefore = fixture.sentAttempts.size();
+        fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
+        assertEquals(
+                sentBefore, fixture.sentAttempts.size(), "write was sent to a primary that has not replied for 10 s");
+        assertTrue(fixture.healthChecks.contains("p"));
     }
 
     /** A clock that differs by no more than synchronized clocks usually do counts as right. */
     @Test
     void readsAreSpreadOverReplicasWhenTheClockIsRight() {
         start(2 * MS, 10 * MS);
-        assertTrue(hostsOfReads(100, Bed.BOUNDED, 2 * MS, 10 * MS).size() > 2);
+        assertTrue(
+                hostsOfReads(100, RouterFixture.BOUNDED_READ, 2 * MS, 10 * MS).size() > 2);
     }
 }
--- a/src/test/java/mintstair/decision/DecisionSchedule.java
+++ b/src/test/java/mintstair/decision/DecisionSchedule.java
@@ -16,7 +16,7 @@
  * two versions of the router therefore differ from the first changed action on. All times are microseconds.
  */
 final class DecisionSchedule implements RouterActions {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
     private static final long START_MICROS = 1_000_000_000L;
     private static final long DURATION_MICROS = 30_000 * MS;
     private static final int REPLICA_SETS = 2;
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -18,7 +18,7 @@
 class FleetShareTest {
     private static final long SECOND = 1_000_000;
     private static final int ROUTERS = 100;
-    private final Bed[] beds = new Bed[ROUTERS];
+    private final RouterFixture[] fixtures = new RouterFixture[ROUTERS];
     private SimulatedFleet fleet;
     private double maxSum;
 
@@ -27,9 +27,9 @@
         fleet = new SimulatedFleet(ROUTERS, ROUTERS, 0.02, seed);
         fleet.nodes.subList(0, running).forEach(fleet::start);
         for (int i = 0; i < ROUTERS; i++) {
-            beds[i] = new Bed();
-            beds[i].routers = ROUTERS;
-            beds[i].start().group();
+            fixtures[i] = new RouterFixture();
+            fixtures[i].fleetSize = ROUTERS;
+            fixtures[i].start().listReplicaSet();
         }
     }
 
@@ -38,7 +38,7 @@
         double sum = 0;
         for (SimulatedFleet.Node node : fleet.running()) {
             ClusterSizeEstimate estimate = node.swim.sizeEstimate();
-            ReadWriteSplitter router = (ReadWriteSplitter) beds[node.number].router;
+            ReadWriteSplitter router = (ReadWriteSplitter) fixtures[node.number].router;
             router.onFleetSize(fleet.now, new FleetSize(estimate.largest(), estimate.counted(), estimate.settled()));
             sum += node.isStalled() ? 0 : 1 / router.effectiveFleetSize();
         }
@@ -148,28 +148,30 @@
      * Returns how many writes reach a new primary within 16 s of its promotion, after a search of 24 s in which there
      * was no primary.
      */
-    private static long writesToNewPrimary(List<Bed> running) {
-        for (Bed bed : running) {
-            bed.state("p", EndpointState.DRAINING);
+    private static long writesToNewPrimary(List<RouterFixture> running) {
+        for (RouterFixture fixture : running) {
+            fixture.updateState("p", EndpointState.DRAINING);
             for (int i = 0; i < 2000; i++) {
-                for (; bed.answered < bed.probes.size(); bed.answered++) {
-                    boolean isPromoted =
-                            i >= 1200 && bed.probes.get(bed.answered).equals("r1");
-                    bed.poll(
-                            bed.probes.get(bed.answered),
-                            isPromoted ? bed.now : bed.now - 5 * SECOND,
+                for (; fixture.answeredHealthChecks < fixture.healthChecks.size(); fixture.answeredHealthChecks++) {
+                    boolean isPromoted = i >= 1200
+                            && fixture.healthChecks
+                                    .get(fixture.answeredHealthChecks)
+                                    .equals("r1");
+                    fixture.answerHealthCheck(
+                            fixture.healthChecks.get(fixture.answeredHealthChecks),
+                            isPromoted ? fixture.now : fixture.now - 5 * SECOND,
                             isPromoted ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA);
                 }
                 if (i % 20 == 0) {
-                    bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, Positions.UNKNOWN);
+                    fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE, 1_200_000, Positions.UNKNOWN);
                 }
-                for (Bed.Sent sent : List.copyOf(bed.sendsOf(i - i % 20))) {
-                    bed.outcome(sent, 0, AttemptOutcome.SUCCESS);
+                for (RouterFixture.SentAttempt sent : List.copyOf(fixture.attemptsOf(i - i % 20))) {
+                    fixture.endAttempt(sent, 0, AttemptOutcome.SUCCESS);
                 }
-                bed.pass(20_000);
+                fixture.advance(20_000);
             }
         }
-        return running.stream().mapToLong(b -> b.sends.size()).sum();
+        return running.stream().mapToLong(b -> b.sentAttempts.size()).sum();
     }
 
     /** The polls that the missing routers do not send are used by the others, which find the primary sooner. */
@@ -188,15 +190,15 @@
      */
     @Test
     void shareOfAHostInSlowStartIsIndependentOfTheFleetSize() {
-        for (List<Bed> routers :
+        for (List<RouterFixture> routers :
                 List.of(routers(100, 0, 100), routers(60, 40, 60), routers(0, 100, 100), routers(30, 0, 30))) {
             long sent = 0;
-            for (Bed bed : routers) {
-                bed.list(
+            for (RouterFixture fixture : routers) {
+                fixture.updateEndpoints(
                         EndpointUpdateType.DELTA,
-                        new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, bed.now));
-                bed.request(1, Bed.ANY);
-                sent += bed.sendsOf(1).stream()
+                        new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, fixture.now));
+                fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+                sent += fixture.attemptsOf(1).stream()
                         .filter(s -> s.host().equals("r1"))
                         .count();
             }
@@ -209,22 +211,29 @@
      * Returns the polls per second that a host of a replica set without a primary gets from all routers, after their
      * backoff has grown for 24 s.
      */
-    private static double pollsPerSecond(List<Bed> running) {
+    private static double pollsPerSecond(List<RouterFixture> running) {
         long polls = 0;
-        for (Bed bed : running) {
-            bed.state("p", EndpointState.DRAINING);
+        for (RouterFixture fixture : running) {
+            fixture.updateState("p", EndpointState.DRAINING);
             for (int i = 0; i < 2400; i++) {
-                for (; bed.answered < bed.probes.size(); bed.answered++) {
-                    bed.poll(bed.probes.get(bed.answered), bed.now - 5 * SECOND, ReplicationRole.REPLICA);
+                for (; fixture.answeredHealthChecks < fixture.healthChecks.size(); fixture.answeredHealthChecks++) {
+                    fixture.answerHealthCheck(
+                            fixture.healthChecks.get(fixture.answeredHealthChecks),
+                            fixture.now - 5 * SECOND,
+                            ReplicationRole.REPLICA);
                 }
                 if (i % 20 == 0) {
-                    bed.request(i, Bed.UNSAFE_WRITE, 1_200_000, Positions.UNKNOWN);
+                    fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE, 1_200_000, Positions.UNKNOWN);
                 }
-                bed.pass(20_000);
+                fixture.advance(20_000);
                 if (i >= 1200) {
-                    polls += bed.probes.subList(bed.answered, bed.probes.size()).stream()
-                            .filter("r1"::equals)
-                            .count();
+                    polls +=
+                            fixture
+                                    .healthChecks
+                                    .subList(fixture.answeredHealthChecks, fixture.healthChecks.size())
+                                    .stream()
+                                    .filter("r1"::equals)
+                                    .count();
                 }
             }
         }
@@ -238,18 +247,18 @@
      * @param others the number of routers that are not
      * @param counted the number of members that each router counts, or 0 if it has not observed the fleet
      */
-    private static List<Bed> routers(int settled, int others, int counted) {
-        List<Bed> routers = new ArrayList<>();
+    private static List<RouterFixture> routers(int settled, int others, int counted) {
+        List<RouterFixture> routers = new ArrayList<>();
         for (int i = 0; i < settled + others; i++) {
-            Bed bed = new Bed();
-            bed.routers = ROUTERS;
-            bed.seed = i;
-            bed.oneSession = false;
-            bed.start().group();
+            RouterFixture fixture = new RouterFixture();
+            fixture.fleetSize = ROUTERS;
+            fixture.seed = i;
+            fixture.hasSharedSession = false;
+            fixture.start().listReplicaSet();
             if (counted > 0) {
-                bed.router.onFleetSize(bed.now, new FleetSize(ROUTERS, counted, i < settled));
+                fixture.router.onFleetSize(fixture.now, new FleetSize(ROUTERS, counted, i < settled));
             }
-            routers.add(bed);
+            routers.add(fixture);
         }
         return routers;
     }
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -15,24 +15,24 @@
  * information.
  */
 class FleetTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
 
-    private static List<Bed> fleet(int routers) {
-        List<Bed> fleet = new ArrayList<>();
+    private static List<RouterFixture> fleet(int routers) {
+        List<RouterFixture> fleet = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
-            Bed bed = new Bed();
-            bed.routers = routers;
-            bed.seed = i * 0x9E3779B97F4A7C15L;
-            bed.oneSession = false;
-            fleet.add(bed.start().group());
+            RouterFixture fixture = new RouterFixture();
+            fixture.fleetSize = routers;
+            fixture.seed = i * 0x9E3779B97F4A7C15L;
+            fixture.hasSharedSession = false;
+            fleet.add(fixture.start().listReplicaSet());
         }
         return fleet;
     }
 
     /** Returns how many attempts all routers sent to a host. */
-    private static long sentTo(List<Bed> fleet, String host) {
+    private static long sentTo(List<RouterFixture> fleet, String host) {
         return fleet.stream()
-                .flatMap(b -> b.sends.stream())
+                .flatMap(b -> b.sentAttempts.stream())
                 .filter(s -> s.host().equals(host))
                 .count();
     }
@@ -47,10 +47,10 @@
      */
     @Test
     void hostInSlowStartGetsALimitedShareOfTheRequestsOfAllRouters() {
-        List<Bed> fleet = fleet(300);
-        for (Bed bed : fleet) {
-            bed.list(EndpointUpdateType.DELTA, startedEntry("r1", bed.now));
-            bed.request(1, Bed.ANY);
+        List<RouterFixture> fleet = fleet(300);
+        for (RouterFixture fixture : fleet) {
+            fixture.updateEndpoints(EndpointUpdateType.DELTA, startedEntry("r1", fixture.now));
+            fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
         }
         long sent = sentTo(fleet, "r1");
         assertTrue(sent > 5 && sent < 50, "host in slow start got " + sent + " of 300");
@@ -62,22 +62,22 @@
      */
     @Test
     void replicaSetInSlowStartShedsPartOfTheLoad() {
-        List<Bed> fleet = fleet(300);
-        for (Bed bed : fleet) {
-            bed.list(
+        List<RouterFixture> fleet = fleet(300);
+        for (RouterFixture fixture : fleet) {
+            fixture.updateEndpoints(
                     EndpointUpdateType.DELTA,
-                    startedEntry("p", bed.now),
-                    startedEntry("r1", bed.now),
-                    startedEntry("r2", bed.now),
-                    startedEntry("r3", bed.now));
-            bed.request(1, Bed.ANY);
-            bed.request(2, Bed.UNSAFE_WRITE);
+                    startedEntry("p", fixture.now),
+                    startedEntry("r1", fixture.now),
+                    startedEntry("r2", fixture.now),
+                    startedEntry("r3", fixture.now));
+            fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+            fixture.sendRequest(2, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
-        long sent = fleet.stream().mapToLong(b -> b.sends.size()).sum();
+        long sent = fleet.stream().mapToLong(b -> b.sentAttempts.size()).sum();
         assertTrue(sent > 60 && sent < 200, "sent " + sent + " of 600");
-        for (Bed bed : fleet) {
-            bed.pass(120 * MS);
-            assertTrue(bed.sendsOf(1).size() + bed.refused.size() >= 1);
+        for (RouterFixture fixture : fleet) {
+            fixture.advance(120 * MS);
+            assertTrue(fixture.attemptsOf(1).size() + fixture.rejected.size() >= 1);
         }
     }
 
@@ -85,10 +85,10 @@
     @Test
     void searchForAPrimaryLoadsAHostWithFewPollsFromAllRouters() {
         for (int routers : new int[] {3, 14, 48}) {
-            List<Bed> fleet = fleet(routers);
+            List<RouterFixture> fleet = fleet(routers);
             long polls = 0;
-            for (Bed bed : fleet) {
-                polls += pollsInLastSixteenSecondsOfSearch(bed);
+            for (RouterFixture fixture : fleet) {
+                polls += pollsInLastSixteenSecondsOfSearch(fixture);
             }
             assertTrue(polls / 16 <= 11, routers + " routers: " + polls / 16 + " polls per second");
             assertTrue(polls > 0, routers + " routers: the search must go on");
@@ -100,21 +100,25 @@
      * half a router sends more polls, until its backoff has grown. All requests are writes, because reads also cause
      * polls on demand, which their cost limits.
      */
-    private static long pollsInLastSixteenSecondsOfSearch(Bed bed) {
+    private static long pollsInLastSixteenSecondsOfSearch(RouterFixture fixture) {
         long polls = 0;
-        bed.state("p", EndpointState.DRAINING);
+        fixture.updateState("p", EndpointState.DRAINING);
         for (int i = 0; i < 1600; i++) {
-            for (; bed.answered < bed.probes.size(); bed.answered++) {
-                bed.poll(bed.probes.get(bed.answered), bed.now - 5_000 * MS, ReplicationRole.REPLICA);
+            for (; fixture.answeredHealthChecks < fixture.healthChecks.size(); fixture.answeredHealthChecks++) {
+                fixture.answerHealthCheck(
+                        fixture.healthChecks.get(fixture.answeredHealthChecks),
+                        fixture.now - 5_000 * MS,
+                        ReplicationRole.REPLICA);
             }
             if (i % 20 == 0) {
-                bed.request(i, Bed.UNSAFE_WRITE, 1200 * MS, Positions.UNKNOWN);
+                fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE, 1200 * MS, Positions.UNKNOWN);
             }
-            bed.pass(20 * MS);
+            fixture.advance(20 * MS);
             if (i >= 800) {
-                polls += bed.probes.subList(bed.answered, bed.probes.size()).stream()
-                        .filter("r1"::equals)
-                        .count();
+                polls +=
+                        fixture.healthChecks.subList(fixture.answeredHealthChecks, fixture.healthChecks.size()).stream()
+                                .filter("r1"::equals)
+                                .count();
             }
         }
         return polls;
@@ -123,21 +127,22 @@
     /** Trial requests to an unresponsive host are a share of the traffic, not one for each router. */
     @Test
     void unresponsiveHostGetsTrialRequestsFromFewRouters() {
-        List<Bed> fleet = fleet(200);
-        for (Bed bed : fleet) {
-            for (int i = 0; i < 60 && bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive r1")); i++) {
-                bed.request(1_000 + i, Bed.ANY);
-                if (bed.sendsOf(1_000 + i).isEmpty()) {
-                    bed.answerPolls(10 * MS);
+        List<RouterFixture> fleet = fleet(200);
+        for (RouterFixture fixture : fleet) {
+            for (int i = 0; i < 60 && fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive r1")); i++) {
+                fixture.sendRequest(1_000 + i, RouterFixture.EVENTUAL_READ);
+                if (fixture.attemptsOf(1_000 + i).isEmpty()) {
+                    fixture.answerHealthChecks(10 * MS);
                 }
-                if (bed.sendsOf(1_000 + i).isEmpty()) {
+                if (fixture.attemptsOf(1_000 + i).isEmpty()) {
                     continue;
                 }
-                boolean isUnreachable = bed.last().host().equals("r1");
-                bed.outcome(bed.last(), 0, isUnreachable ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+                boolean isUnreachable = fixture.lastAttempt().host().equals("r1");
+                fixture.endAttempt(
+                        fixture.lastAttempt(), 0, isUnreachable ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             }
-            bed.sends.clear();
-            bed.request(1, Bed.ANY);
+            fixture.sentAttempts.clear();
+            fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
         }
         assertTrue(sentTo(fleet, "r1") < 10, "unresponsive host got " + sentTo(fleet, "r1") + " of 200");
     }
@@ -145,11 +150,11 @@
     /** With 650 idle routers, a regular timer in each would cost more than all requests. */
     @Test
     void idleRouterSetsNoTimersAndSendsNoPolls() {
-        Bed bed = new Bed().start().group();
-        bed.pass(200 * MS);
-        bed.trace.setLength(0);
-        bed.pass(60_000 * MS);
-        assertEquals("", bed.trace.toString());
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.advance(200 * MS);
+        fixture.trace.setLength(0);
+        fixture.advance(60_000 * MS);
+        assertEquals("", fixture.trace.toString());
     }
 
     /**
@@ -158,18 +163,18 @@
      */
     @Test
     void readIsSentToAPolledReplicaWhenThePrimaryIsFull() {
-        Bed bed = new Bed().start().group();
-        bed.now += 5_000 * MS;
-        bed.poll("p", bed.now, ReplicationRole.PRIMARY);
-        int pollsBefore = bed.probes.size();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.now += 5_000 * MS;
+        fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
+        int pollsBefore = fixture.healthChecks.size();
         for (int id = 100; id < 160; id++) {
-            bed.request(id, Bed.UNSAFE_WRITE);
+            fixture.sendRequest(id, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
-        bed.request(1, Bed.BOUNDED);
-        assertEquals(pollsBefore + 2, bed.probes.size());
-        assertTrue(bed.sendsOf(1).isEmpty());
-        bed.answerPolls(30 * MS);
-        assertNotEquals("p", bed.sendsOf(1).get(0).host());
+        fixture.sendRequest(1, RouterFixture.BOUNDED_READ);
+        assertEquals(pollsBefore + 2, fixture.healthChecks.size());
+        assertTrue(fixture.attemptsOf(1).isEmpty());
+        fixture.answerHealthChecks(30 * MS);
+        assertNotEquals("p", fixture.attemptsOf(1).get(0).host());
     }
 
     /**
@@ -178,17 +183,17 @@
      */
     @Test
     void readsOfRoutersWithLittleTrafficFallBackToThePrimaryWithoutPolls() {
-        List<Bed> fleet = fleet(100);
+        List<RouterFixture> fleet = fleet(100);
         long polls = 0;
-        for (Bed bed : fleet) {
-            bed.now += 5_000 * MS;
-            int pollsBefore = bed.probes.size();
-            bed.request(1, Bed.BOUNDED);
-            if (!bed.sends.isEmpty()) {
-                bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+        for (RouterFixture fixture : fleet) {
+            fixture.now += 5_000 * MS;
+            int pollsBefore = fixture.healthChecks.size();
+            fixture.sendRequest(1, RouterFixture.BOUNDED_READ);
+            if (!fixture.sentAttempts.isEmpty()) {
+                fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
             }
-            bed.request(2, Bed.SESSION, 1200 * MS, 5 * MS);
-            polls += bed.probes.size() - pollsBefore;
+            fixture.sendRequest(2, RouterFixture.SESSION_READ, 1200 * MS, 5 * MS);
+            polls += fixture.healthChecks.size() - pollsBefore;
         }
         assertEquals(0, polls, "polls on demand");
         assertEquals(200, sentTo(fleet, "p"), "reads sent to the primary");
@@ -200,20 +205,20 @@
      */
     @Test
     void routerWithMuchTrafficPollsReplicasBeforeFallingBackToThePrimary() {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().group();
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().listReplicaSet();
         for (int i = 0; i < 400; i++) {
-            bed.pass(110 * MS);
-            bed.request(i, Bed.BOUNDED);
-            bed.answerPolls(30 * MS);
-            bed.pass(5 * MS);
-            if (!bed.sendsOf(i).isEmpty()) {
-                bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+            fixture.advance(110 * MS);
+            fixture.sendRequest(i, RouterFixture.BOUNDED_READ);
+            fixture.answerHealthChecks(30 * MS);
+            fixture.advance(5 * MS);
+            if (!fixture.attemptsOf(i).isEmpty()) {
+                fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
             }
         }
-        long sentToPrimary = bed.sends.stream()
-                .filter(s -> s.id() >= 100 && s.host().equals("p"))
+        long sentToPrimary = fixture.sentAttempts.stream()
+                .filter(s -> s.requestId() >= 100 && s.host().equals("p"))
                 .count();
         assertTrue(sentToPrimary < 60, "the primary got " + sentToPrimary + " of 300 reads");
     }
@@ -221,20 +226,20 @@
     /** When all replicas lag, the reads of all routers fall back and would overload the primary. */
     @Test
     void fallbackReadsAreAdmittedInPartWhenAllReplicasLag() {
-        List<Bed> fleet = fleet(100);
-        for (Bed bed : fleet) {
+        List<RouterFixture> fleet = fleet(100);
+        for (RouterFixture fixture : fleet) {
             for (int i = 0; i < 60; i++) {
-                bed.now += 600 * MS;
-                bed.request(i, Bed.BOUNDED);
-                bed.answerPolls(5_000 * MS);
-                bed.answerPolls(5_000 * MS);
+                fixture.now += 600 * MS;
+                fixture.sendRequest(i, RouterFixture.BOUNDED_READ);
+                fixture.answerHealthChecks(5_000 * MS);
+                fixture.answerHealthChecks(5_000 * MS);
                 if (i == 30) {
-                    bed.sends.clear();
+                    fixture.sentAttempts.clear();
                 }
-                if (!bed.sendsOf(i).isEmpty()) {
-                    bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+                if (!fixture.attemptsOf(i).isEmpty()) {
+                    fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
                 }
-                bed.pass(200 * MS);
+                fixture.advance(200 * MS);
             }
         }
         long sent = sentTo(fleet, "p");
@@ -247,22 +252,22 @@
      */
     @Test
     void readsOfHigherPriorityMayFillMoreOfThePrimary() {
-        long low = sentToOnlyHost(Bed.BOUNDED);
-        long high = sentToOnlyHost(Bed.ANY);
+        long low = sentToOnlyHost(RouterFixture.BOUNDED_READ);
+        long high = sentToOnlyHost(RouterFixture.EVENTUAL_READ);
         assertTrue(
                 low > 5 && high > low * 4 / 3, "sent " + low + " reads of low priority, " + high + " of high priority");
     }
 
     /** Returns how many of 200 reads of a class are sent at once to a primary without replicas. */
     private static long sentToOnlyHost(int classIndex) {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
-        bed.poll("p", bed.now, ReplicationRole.PRIMARY);
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().updateEndpoints(EndpointUpdateType.SNAPSHOT, RouterFixture.servingEntry("p"));
+        fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
         for (int id = 0; id < 200; id++) {
-            bed.request(id, classIndex);
+            fixture.sendRequest(id, classIndex);
         }
-        return bed.sends.size();
+        return fixture.sentAttempts.size();
     }
 
     /**
@@ -271,20 +276,23 @@
      */
     @Test
     void freedCapacityGoesToTheRequestOfMostPriorityPerLatencyObjective() {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().list(EndpointUpdateType.SNAPSHOT, Bed.ready("p"));
-        bed.poll("p", bed.now, ReplicationRole.PRIMARY);
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().updateEndpoints(EndpointUpdateType.SNAPSHOT, RouterFixture.servingEntry("p"));
+        fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
         for (int id = 0; id < 60; id++) {
-            bed.request(id, Bed.UNSAFE_WRITE);
+            fixture.sendRequest(id, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
-        int sentUntilFull = bed.sends.size();
-        bed.request(100, Bed.UNSAFE_WRITE);
-        bed.request(101, Bed.KEYED_WRITE);
-        assertEquals(sentUntilFull, bed.sends.size());
-        bed.outcome(bed.sends.get(0), 0, AttemptOutcome.SUCCESS);
-        assertTrue(bed.sends.size() > sentUntilFull);
-        assertEquals(101, bed.sends.get(sentUntilFull).id(), "a weight of 4 in 0.75 s precedes a weight of 4 in 1 s");
+        int sentUntilFull = fixture.sentAttempts.size();
+        fixture.sendRequest(100, RouterFixture.NON_IDEMPOTENT_WRITE);
+        fixture.sendRequest(101, RouterFixture.IDEMPOTENCY_KEY_WRITE);
+        assertEquals(sentUntilFull, fixture.sentAttempts.size());
+        fixture.endAttempt(fixture.sentAttempts.get(0), 0, AttemptOutcome.SUCCESS);
+        assertTrue(fixture.sentAttempts.size() > sentUntilFull);
+        assertEquals(
+                101,
+                fixture.sentAttempts.get(sentUntilFull).requestId(),
+                "a weight of 4 in 0.75 s precedes a weight of 4 in 1 s");
     }
 
     /**
@@ -293,9 +301,9 @@
      */
     @Test
     void openRequestsKeepTheirClassThroughOtherSettings() {
-        Bed bed = new Bed().start().group();
-        bed.request(1, Bed.ANY);
-        RouterSettings initial = bed.settings();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        RouterSettings initial = fixture.settings();
         List<RequestClass> notIdempotent = initial.classes().stream()
                 .map(requestClass -> new RequestClass(
                         requestClass.name(),
@@ -309,29 +317,29 @@
                         requestClass.priorityWeight(),
                         requestClass.lateWeight()))
                 .toList();
-        bed.router.onSettings(bed.now, with(initial, notIdempotent, initial.limits()));
-        bed.outcome(bed.sendsOf(1).get(0), 0, AttemptOutcome.CONNECTION_RESET);
-        assertEquals(2, bed.sendsOf(1).size());
-        bed.request(2, Bed.ANY);
-        bed.outcome(bed.sendsOf(2).get(0), 0, AttemptOutcome.CONNECTION_RESET);
-        assertEquals(1, bed.sendsOf(2).size());
-        assertEquals(List.of(2L), bed.failed);
-        bed.request(3, Bed.ANY);
-        bed.router.onSettings(
-                bed.now,
+        fixture.router.onSettings(fixture.now, with(initial, notIdempotent, initial.limits()));
+        fixture.endAttempt(fixture.attemptsOf(1).get(0), 0, AttemptOutcome.CONNECTION_RESET);
+        assertEquals(2, fixture.attemptsOf(1).size());
+        fixture.sendRequest(2, RouterFixture.EVENTUAL_READ);
+        fixture.endAttempt(fixture.attemptsOf(2).get(0), 0, AttemptOutcome.CONNECTION_RESET);
+        assertEquals(1, fixture.attemptsOf(2).size());
+        assertEquals(List.of(2L), fixture.failed);
+        fixture.sendRequest(3, RouterFixture.EVENTUAL_READ);
+        fixture.router.onSettings(
+                fixture.now,
                 with(initial, initial.classes(), new AttemptLimits(1, true, true, false, true, true, 500 * MS)));
-        bed.outcome(bed.sendsOf(3).get(0), 0, AttemptOutcome.UNREACHABLE);
-        assertEquals(1, bed.sendsOf(3).size());
+        fixture.endAttempt(fixture.attemptsOf(3).get(0), 0, AttemptOutcome.UNREACHABLE);
+        assertEquals(1, fixture.attemptsOf(3).size());
         assertThrows(
                 IllegalArgumentException.class,
-                () -> bed.router.onSettings(
-                        bed.now,
+                () -> fixture.router.onSettings(
+                        fixture.now,
                         with(
                                 initial,
                                 initial.classes(),
                                 new AttemptLimits(0, true, true, false, true, true, 500 * MS))));
-        bed.request(4, Bed.ANY);
-        assertEquals(1, bed.sendsOf(4).size(), "invalid settings must not be applied");
+        fixture.sendRequest(4, RouterFixture.EVENTUAL_READ);
+        assertEquals(1, fixture.attemptsOf(4).size(), "invalid settings must not be applied");
     }
 
     private static RouterSettings with(RouterSettings settings, List<RequestClass> classes, AttemptLimits limits) {
@@ -360,97 +368,105 @@
      */
     @Test
     void drainingAndUnresponsiveHostsAreCountedAsUnavailable() {
-        Bed bed = new Bed().start().group();
-        assertEquals(0, bed.router.unavailableEndpoints(bed.now));
-        bed.state("r1", EndpointState.DRAINING);
-        assertEquals(1, bed.router.unavailableEndpoints(bed.now));
-        bed.now += 500 * MS;
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        assertEquals(0, fixture.router.unavailableEndpoints(fixture.now));
+        fixture.updateState("r1", EndpointState.DRAINING);
+        assertEquals(1, fixture.router.unavailableEndpoints(fixture.now));
+        fixture.now += 500 * MS;
         for (int i = 0; i < 20; i++) {
-            bed.request(1_000 + i, Bed.ANY);
-            bed.loseOrAnswerPolls("r2");
-            bed.now += 100 * MS;
-            if (!bed.sendsOf(1_000 + i).isEmpty()) {
-                boolean isUnreachable = bed.last().host().equals("r2");
-                bed.outcome(bed.last(), 0, isUnreachable ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+            fixture.sendRequest(1_000 + i, RouterFixture.EVENTUAL_READ);
+            fixture.answerHealthChecksExcept("r2");
+            fixture.now += 100 * MS;
+            if (!fixture.attemptsOf(1_000 + i).isEmpty()) {
+                boolean isUnreachable = fixture.lastAttempt().host().equals("r2");
+                fixture.endAttempt(
+                        fixture.lastAttempt(), 0, isUnreachable ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             }
         }
-        assertEquals(2, bed.router.unavailableEndpoints(bed.now));
-        bed.state("r1", EndpointState.REMOVED);
-        assertEquals(1, bed.router.unavailableEndpoints(bed.now), "a removed endpoint must not be counted");
+        assertEquals(2, fixture.router.unavailableEndpoints(fixture.now));
+        fixture.updateState("r1", EndpointState.REMOVED);
+        assertEquals(1, fixture.router.unavailableEndpoints(fixture.now), "a removed endpoint must not be counted");
     }
 
     @Test
     void removedHostIsUsedWhileItServesIfRemovalIsAdvisory() {
-        Bed bed = new Bed();
-        bed.goneIsAdvice = true;
-        bed.start().group();
-        bed.list(EndpointUpdateType.SNAPSHOT);
+        RouterFixture fixture = new RouterFixture();
+        fixture.removalIsAdvisory = true;
+        fixture.start().listReplicaSet();
+        fixture.updateEndpoints(EndpointUpdateType.SNAPSHOT);
         for (int i = 0; i < 30; i++) {
-            bed.request(i, Bed.ANY);
-            bed.answerPolls(10 * MS);
-            bed.outcome(bed.sendsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
-            bed.now += 300 * MS;
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.answerHealthChecks(10 * MS);
+            fixture.endAttempt(fixture.attemptsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
+            fixture.now += 300 * MS;
         }
-        assertEquals(30, bed.sends.size());
-        bed.request(99, Bed.UNSAFE_WRITE);
-        bed.answerPolls(0);
-        assertEquals("p", bed.last().host());
+        assertEquals(30, fixture.sentAttempts.size());
+        fixture.sendRequest(99, RouterFixture.NON_IDEMPOTENT_WRITE);
+        fixture.answerHealthChecks(0);
+        assertEquals("p", fixture.lastAttempt().host());
     }
 
     @Test
     void removalBindsUnlessAdvisoryAndDrainingAlwaysBinds() {
-        Bed binding = new Bed().start().group();
-        binding.list(EndpointUpdateType.SNAPSHOT);
-        binding.request(1, Bed.ANY);
-        assertTrue(binding.sends.isEmpty());
-        Bed advisory = new Bed();
-        advisory.goneIsAdvice = true;
-        advisory.start().group();
+        RouterFixture binding = new RouterFixture().start().listReplicaSet();
+        binding.updateEndpoints(EndpointUpdateType.SNAPSHOT);
+        binding.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        assertTrue(binding.sentAttempts.isEmpty());
+        RouterFixture advisory = new RouterFixture();
+        advisory.removalIsAdvisory = true;
+        advisory.start().listReplicaSet();
         for (String host : List.of("p", "r1", "r2", "r3")) {
-            advisory.state(host, EndpointState.DRAINING);
+            advisory.updateState(host, EndpointState.DRAINING);
         }
-        advisory.list(EndpointUpdateType.SNAPSHOT);
-        advisory.request(1, Bed.ANY);
+        advisory.updateEndpoints(EndpointUpdateType.SNAPSHOT);
+        advisory.sendRequest(1, RouterFixture.EVENTUAL_READ);
         for (String host : List.of("p", "r1", "r2", "r3")) {
-            advisory.state(host, EndpointState.REMOVED);
+            advisory.updateState(host, EndpointState.REMOVED);
         }
-        advisory.request(2, Bed.UNSAFE_WRITE);
-        advisory.pass(300 * MS);
-        assertTrue(advisory.sends.isEmpty());
+        advisory.sendRequest(2, RouterFixture.NON_IDEMPOTENT_WRITE);
+        advisory.advance(300 * MS);
+        assertTrue(advisory.sentAttempts.isEmpty());
     }
 
     @Test
     void endpointUpdateMayRepeatAHostOrMoveItToAnotherReplicaSet() {
-        Bed bed = new Bed().start().group();
-        bed.list(
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.updateEndpoints(
                 EndpointUpdateType.DELTA,
-                Bed.ready("r1"),
-                Bed.ready("r1"),
+                RouterFixture.servingEntry("r1"),
+                RouterFixture.servingEntry("r1"),
                 new EndpointEntry("r2", false, "z", 7, EndpointState.SERVING, 1, 0));
         for (int i = 0; i < 60; i++) {
-            bed.request(i, Bed.ANY);
-            bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
         }
-        assertTrue(bed.sends.stream().noneMatch(s -> s.host().equals("r2")));
+        assertTrue(fixture.sentAttempts.stream().noneMatch(s -> s.host().equals("r2")));
     }
 
     @Test
     void failedPollsDoNotMakeAServingHostUnresponsiveNorIncreasePolls() {
-        Bed bed = new Bed();
-        bed.start().group();
+        RouterFixture fixture = new RouterFixture();
+        fixture.start().listReplicaSet();
         int polls = 0;
         for (int i = 0; i < 400; i++) {
-            bed.request(i, Bed.ANY);
-            if (!bed.sendsOf(i).isEmpty()) {
-                bed.outcome(bed.last(), 0, AttemptOutcome.SUCCESS);
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            if (!fixture.attemptsOf(i).isEmpty()) {
+                fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
             }
-            bed.pass(20 * MS);
-            for (; bed.answered < bed.probes.size(); bed.answered++, polls++) {
-                bed.router.onHealthCheckEnded(bed.now, bed.probes.get(bed.answered), AttemptOutcome.ERROR, MS, null);
+            fixture.advance(20 * MS);
+            for (;
+                    fixture.answeredHealthChecks < fixture.healthChecks.size();
+                    fixture.answeredHealthChecks++, polls++) {
+                fixture.router.onHealthCheckEnded(
+                        fixture.now,
+                        fixture.healthChecks.get(fixture.answeredHealthChecks),
+                        AttemptOutcome.ERROR,
+                        MS,
+                        null);
             }
         }
-        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")), bed.logs.toString());
-        assertEquals(400, bed.sends.size());
+        assertTrue(fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")), fixture.logLines.toString());
+        assertEquals(400, fixture.sentAttempts.size());
         assertTrue(polls < 400, polls + " polls for 400 requests");
     }
 
@@ -460,37 +476,38 @@
      */
     @Test
     void lostRepliesDoNotReduceLimitsAndReadsAreRetriedInTime() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         int inTime = 0;
         for (int i = 0; i < 400; i++) {
-            bed.request(i, Bed.BOUNDED, 2_500 * MS, Positions.UNKNOWN);
-            int served = waitForServedAttempt(bed, i);
-            List<Bed.Sent> attempts = bed.sendsOf(i);
+            fixture.sendRequest(i, RouterFixture.BOUNDED_READ, 2_500 * MS, Positions.UNKNOWN);
+            int served = waitForServedAttempt(fixture, i);
+            List<RouterFixture.SentAttempt> attempts = fixture.attemptsOf(i);
             if (served >= 0) {
-                bed.outcome(attempts.get(served), served, AttemptOutcome.SUCCESS);
+                fixture.endAttempt(attempts.get(served), served, AttemptOutcome.SUCCESS);
             }
             for (int k = 0; k < attempts.size(); k++) {
                 if (k != served) {
-                    bed.outcome(attempts.get(k), k, served < 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.CANCELLED);
+                    fixture.endAttempt(
+                            attempts.get(k), k, served < 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.CANCELLED);
                 }
             }
             inTime += i >= 200 && served >= 0 ? 1 : 0;
         }
-        assertTrue(inTime > 175, inTime + " of 200 in time, " + bed.refused.size() + " rejected");
+        assertTrue(inTime > 175, inTime + " of 200 in time, " + fixture.rejected.size() + " rejected");
     }
 
     /**
      * Lets up to 580 ms pass until an attempt of a request is served, which takes at least 60 ms; the reply to every
      * fourth attempt is lost. Returns the index of the attempt among those of the request, or -1 if none was served.
      */
-    private static int waitForServedAttempt(Bed bed, long id) {
+    private static int waitForServedAttempt(RouterFixture fixture, long id) {
         for (int wait = 0; wait < 29; wait++) {
-            bed.answerPolls(20 * MS);
-            bed.pass(20 * MS);
-            List<Bed.Sent> attempts = bed.sendsOf(id);
+            fixture.answerHealthChecks(20 * MS);
+            fixture.advance(20 * MS);
+            List<RouterFixture.SentAttempt> attempts = fixture.attemptsOf(id);
             for (int k = 0; k < attempts.size(); k++) {
-                boolean isLost = bed.sends.indexOf(attempts.get(k)) % 4 == 3;
-                if (!isLost && bed.now - attempts.get(k).at() >= 60 * MS) {
+                boolean isLost = fixture.sentAttempts.indexOf(attempts.get(k)) % 4 == 3;
+                if (!isLost && fixture.now - attempts.get(k).sentAt() >= 60 * MS) {
                     return k;
                 }
             }
@@ -501,29 +518,29 @@
     /** The time during which the router stalls counts neither as time without replies nor as latency of reads. */
     @Test
     void stallOfTheRouterMakesNoHostUnresponsive() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 12; i++) {
-            bed.request(i, i % 3 == 0 ? Bed.UNSAFE_WRITE : Bed.ANY);
+            fixture.sendRequest(i, i % 3 == 0 ? RouterFixture.NON_IDEMPOTENT_WRITE : RouterFixture.EVENTUAL_READ);
         }
-        bed.pass(40 * MS);
-        int sentBefore = bed.sends.size();
-        bed.now += 2_000 * MS;
-        bed.router.onTimer(bed.now, "tick");
-        assertTrue(bed.logs.stream().noneMatch(l -> l.startsWith("unresponsive")), bed.logs.toString());
-        assertEquals(sentBefore, bed.sends.size());
+        fixture.advance(40 * MS);
+        int sentBefore = fixture.sentAttempts.size();
+        fixture.now += 2_000 * MS;
+        fixture.router.onTimer(fixture.now, "tick");
+        assertTrue(fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")), fixture.logLines.toString());
+        assertEquals(sentBefore, fixture.sentAttempts.size());
     }
 
     /** A host whose latency grows gets fewer requests before it fails. */
     @Test
     void hostThatIsSlowerThanItsPeersGetsFewerRequests() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 600; i++) {
-            bed.request(i, Bed.ANY);
-            Bed.Sent attempt = bed.last();
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            RouterFixture.SentAttempt attempt = fixture.lastAttempt();
             long latency = attempt.host().equals("r1") ? 150 * MS : 30 * MS;
-            bed.now += 30 * MS;
-            bed.router.onAttemptEnded(
-                    bed.now,
+            fixture.now += 30 * MS;
+            fixture.router.onAttemptEnded(
+                    fixture.now,
                     new AttemptResult(
                             i,
                             0,
@@ -534,49 +551,60 @@
                             ReplicationRole.REPLICA,
                             Positions.UNKNOWN));
             if (i == 300) {
-                bed.sends.clear();
+                fixture.sentAttempts.clear();
             }
         }
-        long sent = bed.sends.stream().filter(s -> s.host().equals("r1")).count();
+        long sent =
+                fixture.sentAttempts.stream().filter(s -> s.host().equals("r1")).count();
         assertTrue(sent < 50, "slow host got " + sent + " of 300");
     }
 
     /** A restarted router that has nothing but the cached list serves from the first request on. */
     @Test
     void restartedRouterServesFromTheCachedListAtOnce() {
-        Bed bed = new Bed().start();
-        bed.list(EndpointUpdateType.CACHED, Bed.ready("p"), Bed.ready("r1"), Bed.ready("r2"), Bed.ready("r3"));
-        bed.request(1, Bed.ANY);
-        bed.request(2, Bed.BOUNDED);
-        bed.request(3, Bed.UNSAFE_WRITE);
-        bed.answerPolls(20 * MS);
+        RouterFixture fixture = new RouterFixture().start();
+        fixture.updateEndpoints(
+                EndpointUpdateType.CACHED,
+                RouterFixture.servingEntry("p"),
+                RouterFixture.servingEntry("r1"),
+                RouterFixture.servingEntry("r2"),
+                RouterFixture.servingEntry("r3"));
+        fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        fixture.sendRequest(2, RouterFixture.BOUNDED_READ);
+        fixture.sendRequest(3, RouterFixture.NON_IDEMPOTENT_WRITE);
+        fixture.answerHealthChecks(20 * MS);
         for (int i = 1; i <= 3; i++) {
-            assertEquals(1, bed.sendsOf(i).size(), "request " + i);
+            assertEquals(1, fixture.attemptsOf(i).size(), "request " + i);
         }
-        assertEquals("p", bed.sendsOf(3).get(0).host());
+        assertEquals("p", fixture.attemptsOf(3).get(0).host());
     }
 
     /** A request that arrives without time left still gets exactly one final response, immediately. */
     @Test
     void requestWithoutTimeLeftIsAnsweredAtOnce() {
-        Bed bed = new Bed().start();
-        bed.list(EndpointUpdateType.CACHED, Bed.ready("p"), Bed.ready("r1"));
-        bed.request(1, Bed.KEYED_WRITE, 0, Positions.UNKNOWN);
-        assertEquals(1, bed.refused.size() + bed.failed.size());
+        RouterFixture fixture = new RouterFixture().start();
+        fixture.updateEndpoints(
+                EndpointUpdateType.CACHED, RouterFixture.servingEntry("p"), RouterFixture.servingEntry("r1"));
+        fixture.sendRequest(1, RouterFixture.IDEMPOTENCY_KEY_WRITE, 0, Positions.UNKNOWN);
+        assertEquals(1, fixture.rejected.size() + fixture.failed.size());
     }
 
     /** Guards against losing a non-idempotent write on a primary that has failed since its last reply. */
     @Test
     void primaryWithoutRecentReplyIsPolledBeforeAWrite() {
-        Bed bed = new Bed().start().group();
-        bed.now += 10_000 * MS;
-        bed.request(1, Bed.UNSAFE_WRITE);
-        assertTrue(bed.sends.isEmpty());
-        assertEquals(List.of("p"), bed.probes);
-        bed.now += 20 * MS;
-        bed.router.onHealthCheckEnded(
-                bed.now, "p", AttemptOutcome.SUCCESS, MS, new ReplicationStatus(bed.now, ReplicationRole.PRIMARY));
-        assertEquals("p", bed.last().host());
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
+        fixture.now += 10_000 * MS;
+        fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
+        assertTrue(fixture.sentAttempts.isEmpty());
+        assertEquals(List.of("p"), fixture.healthChecks);
+        fixture.now += 20 * MS;
+        fixture.router.onHealthCheckEnded(
+                fixture.now,
+                "p",
+                AttemptOutcome.SUCCESS,
+                MS,
+                new ReplicationStatus(fixture.now, ReplicationRole.PRIMARY));
+        assertEquals("p", fixture.lastAttempt().host());
     }
 
     /**
@@ -586,20 +614,20 @@
      */
     @Test
     void slowRepliesLeaveCapacityForOneWriteOfEachRouter() {
-        List<Bed> fleet = fleet(100);
+        List<RouterFixture> fleet = fleet(100);
         long sent = 0;
-        for (Bed bed : fleet) {
+        for (RouterFixture fixture : fleet) {
             for (int i = 0; i < 10; i++) {
-                bed.request(i, Bed.UNSAFE_WRITE);
-                bed.now += 600 * MS;
-                if (!bed.sendsOf(i).isEmpty()) {
-                    bed.outcome(bed.sendsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
+                fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE);
+                fixture.now += 600 * MS;
+                if (!fixture.attemptsOf(i).isEmpty()) {
+                    fixture.endAttempt(fixture.attemptsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
                 }
-                bed.poll("p", bed.now, ReplicationRole.PRIMARY);
+                fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
             }
-            bed.sends.clear();
-            bed.request(99, Bed.UNSAFE_WRITE);
-            sent += bed.sends.size();
+            fixture.sentAttempts.clear();
+            fixture.sendRequest(99, RouterFixture.NON_IDEMPOTENT_WRITE);
+            sent += fixture.sentAttempts.size();
         }
         assertEquals(100, sent, "writes sent at once to a primary without requests in flight");
     }
@@ -607,20 +635,20 @@
     /** Immediate retries from hundreds of routers would keep overloaded replicas overloaded. */
     @Test
     void routersSendLessToOverloadedReplicas() {
-        List<Bed> fleet = fleet(100);
-        for (Bed bed : fleet) {
+        List<RouterFixture> fleet = fleet(100);
+        for (RouterFixture fixture : fleet) {
             for (int i = 0; i < 12; i++) {
-                bed.request(i, Bed.ANY);
-                for (int k = 0; k < bed.sendsOf(i).size(); k++) {
-                    bed.outcome(bed.sendsOf(i).get(k), k, AttemptOutcome.OVERLOADED);
+                fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+                for (int k = 0; k < fixture.attemptsOf(i).size(); k++) {
+                    fixture.endAttempt(fixture.attemptsOf(i).get(k), k, AttemptOutcome.OVERLOADED);
                 }
-                bed.pass(120 * MS);
+                fixture.advance(120 * MS);
             }
-            bed.sends.clear();
-            bed.request(99, Bed.ANY);
+            fixture.sentAttempts.clear();
+            fixture.sendRequest(99, RouterFixture.EVENTUAL_READ);
         }
         long sent = fleet.stream()
-                .flatMap(b -> b.sends.stream())
+                .flatMap(b -> b.sentAttempts.stream())
                 .filter(s -> !s.host().equals("p"))
                 .count();
         assertTrue(sent < 85, "sent " + sent + " of 100 to the overloaded replicas");
@@ -628,11 +656,11 @@
 
     @Test
     void malformedPeerMessagesAreIgnored() {
-        Bed bed = new Bed().start().group();
+        RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (String text : List.of("", "v9 nonsense", "primary nobody -1", "\u0000")) {
-            bed.router.onPeerMessage(bed.now, 77, text);
+            fixture.router.onPeerMessage(fixture.now, 77, text);
         }
-        bed.request(1, Bed.ANY);
-        assertEquals(1, bed.sends.size());
+        fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        assertEquals(1, fixture.sentAttempts.size());
     }
 }
--- a/src/test/java/mintstair/decision/SimulatedDeployment.java
+++ b/src/test/java/mintstair/decision/SimulatedDeployment.java
@@ -229,7 +229,7 @@
                                     () -> endAttempt(id, attempt, host, AttemptOutcome.SUCCESS, sentAt)),
                             () -> scheduleInProcess(
                                     0, () -> endAttempt(id, attempt, host, AttemptOutcome.OVERLOADED, sentAt))));
-            long timeoutAt = abandonAt > 0 ? abandonAt : now + Bed.DEADLINE;
+            long timeoutAt = abandonAt > 0 ? abandonAt : now + RouterFixture.CLIENT_TIMEOUT_MICROS;
             scheduleInProcess(timeoutAt - now, () -> endAttempt(id, attempt, host, AttemptOutcome.TIMEOUT, sentAt));
         }
 
@@ -336,9 +336,9 @@
      */
     SimulatedDeployment(int routers, long seed) {
         random = new Random(seed);
-        Bed bed = new Bed();
-        bed.routers = routers;
-        settings = bed.settings();
+        RouterFixture fixture = new RouterFixture();
+        fixture.fleetSize = routers;
+        settings = fixture.settings();
         protection = settings.protection();
         for (String name : List.of("p", "r1", "r2", "r3")) {
             hosts.put(name, new Host(name));
@@ -465,16 +465,16 @@
 
     private int drawClass() {
         if (random.nextInt(REQUESTS_PER_WRITE) == 0) {
-            return Bed.UNSAFE_WRITE;
+            return RouterFixture.NON_IDEMPOTENT_WRITE;
         }
         if (hasLargeReads && random.nextInt(READS_PER_LARGE_READ) == 0) {
-            return Bed.SESSION;
+            return RouterFixture.SESSION_READ;
         }
-        return random.nextBoolean() ? Bed.ANY : Bed.BOUNDED;
+        return random.nextBoolean() ? RouterFixture.EVENTUAL_READ : RouterFixture.BOUNDED_READ;
     }
 
     private static double workOf(int classIndex) {
-        return classIndex == Bed.SESSION ? LARGE_READ_WORK : 1;
+        return classIndex == RouterFixture.SESSION_READ ? LARGE_READ_WORK : 1;
     }
 
     private double meanWork() {
@@ -489,6 +489,15 @@
         process.classIndexes.put(id, client.classIndex);
         String session = "session " + random.nextInt(1_000_000);
         process.router.onRequest(
-                now, new RoutingRequest(id, client.classIndex, 0, session, 0, false, Bed.DEADLINE, Positions.UNKNOWN));
+                now,
+                new RoutingRequest(
+                        id,
+                        client.classIndex,
+                        0,
+                        session,
+                        0,
+                        false,
+                        RouterFixture.CLIENT_TIMEOUT_MICROS,
+                        Positions.UNKNOWN));
     }
 }
--- a/src/test/java/mintstair/decision/SlowStartComponentsTest.java
+++ b/src/test/java/mintstair/decision/SlowStartComponentsTest.java
@@ -41,15 +41,15 @@
     void throughputFollowsRepliesAndIsKeptWhileThereAreNoHosts() {
         HostThroughput throughput = new HostThroughput();
         for (long at = 0; at <= 120 * SECOND; at += 100 * MS) {
-            throughput.answered(2);
+            throughput.recordServed(2);
             throughput.advance(at, 4, 4, 4);
         }
-        double observed = throughput.perHostSecond(1, 0);
+        double observed = throughput.workPerSecond(1, 0);
         assertEquals(5, observed, 0.3);
         throughput.advance(180 * SECOND, 0, 0, 0);
-        assertEquals(observed, throughput.perHostSecond(1, 0), 1e-9);
-        assertEquals(observed / 2, throughput.perHostSecond(0.5, 0), 1e-9, "host of half the mean size");
-        assertEquals(observed, throughput.perHostSecond(3, 0), 1e-9, "host of three times the mean size");
+        assertEquals(observed, throughput.workPerSecond(1, 0), 1e-9);
+        assertEquals(observed / 2, throughput.workPerSecond(0.5, 0), 1e-9, "host of half the mean size");
+        assertEquals(observed, throughput.workPerSecond(3, 0), 1e-9, "host of three times the mean size");
     }
 
     @Test
@@ -57,7 +57,7 @@
         HostThroughput throughput = new HostThroughput();
         throughput.advance(0, 10, 10, 10);
         throughput.advance(MS, 10, 10, 10);
-        assertEquals(10, throughput.perHostSecond(1, 100), 0.2);
+        assertEquals(10, throughput.workPerSecond(1, 100), 0.2);
     }
 
     /**
@@ -69,21 +69,21 @@
         HostThroughput throughput = new HostThroughput();
         throughput.advance(0, 10, 10, 10);
         for (long at = 100 * MS; at <= 3 * SECOND; at += 100 * MS) {
-            throughput.answered(10);
+            throughput.recordServed(10);
             throughput.advance(at, 10, 10, 10);
             if (at >= 500 * MS) {
-                double observed = throughput.perHostSecond(1, 100_000);
+                double observed = throughput.workPerSecond(1, 100_000);
                 assertTrue(observed <= 10, "each host serves 10 per second, but at " + at + " us got " + observed);
             }
         }
-        assertEquals(10, throughput.perHostSecond(1, 100_000), 1);
+        assertEquals(10, throughput.workPerSecond(1, 100_000), 1);
     }
 
     @Test
     void demandFollowsARiseWithinSeconds() {
-        Bed bed = new Bed().start();
+        RouterFixture fixture = new RouterFixture().start();
         ReplicaSetDemand demand = new ReplicaSetDemand();
-        InFlightRequest read = request(bed, Bed.ANY, 1);
+        InFlightRequest read = request(fixture, RouterFixture.EVENTUAL_READ, 1);
         long at = 0;
         for (; at < 60 * SECOND; at += 250 * MS) {
             demand.requestArrived(at, read);
@@ -96,11 +96,11 @@
         assertEquals(0, demand.primaryOnlyPerSecond(at, 0));
     }
 
-    private static InFlightRequest request(Bed bed, int classIndex, long id) {
+    private static InFlightRequest request(RouterFixture fixture, int classIndex, long id) {
         ClassStatistics statistics =
-                new ClassStatistics(bed.settings().classes().get(classIndex));
-        RoutingRequest request =
-                new RoutingRequest(id, classIndex, 0, "session", -1, false, Bed.DEADLINE, Positions.UNKNOWN);
+                new ClassStatistics(fixture.settings().classes().get(classIndex));
+        RoutingRequest request = new RoutingRequest(
+                id, classIndex, 0, "session", -1, false, RouterFixture.CLIENT_TIMEOUT_MICROS, Positions.UNKNOWN);
         return new InFlightRequest(request, statistics, 0, Positions.UNKNOWN, false, 0.5, 6, 1);
     }
 
@@ -110,22 +110,22 @@
      */
     @Test
     void attemptsSentBeforeTheStartIsListedAreCounted() {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().group();
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().listReplicaSet();
         for (int i = 0; i < 400; i++) {
-            bed.request(i, Bed.ANY);
-            bed.now += 10 * MS;
-            bed.sendsOf(i).forEach(sent -> bed.outcome(sent, 0, AttemptOutcome.SUCCESS));
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.now += 10 * MS;
+            fixture.attemptsOf(i).forEach(sent -> fixture.endAttempt(sent, 0, AttemptOutcome.SUCCESS));
         }
-        int sentBefore = bed.sends.size();
-        bed.list(EndpointUpdateType.DELTA, startedEntry("r1", bed.now));
+        int sentBefore = fixture.sentAttempts.size();
+        fixture.updateEndpoints(EndpointUpdateType.DELTA, startedEntry("r1", fixture.now));
         for (int i = 1_000; i < 1_020; i++) {
-            bed.request(i, Bed.ANY);
-            bed.now += 10 * MS;
-            bed.sendsOf(i).forEach(sent -> bed.outcome(sent, 0, AttemptOutcome.SUCCESS));
+            fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
+            fixture.now += 10 * MS;
+            fixture.attemptsOf(i).forEach(sent -> fixture.endAttempt(sent, 0, AttemptOutcome.SUCCESS));
         }
-        List<Bed.Sent> after = bed.sends.subList(sentBefore, bed.sends.size());
+        List<RouterFixture.SentAttempt> after = fixture.sentAttempts.subList(sentBefore, fixture.sentAttempts.size());
         assertEquals(20, after.size());
         assertTrue(after.stream().noneMatch(sent -> sent.host().equals("r1")), after.toString());
     }
@@ -136,19 +136,28 @@
      */
     @Test
     void stickyRequestsAreSubjectToTheBudget() {
-        Bed bed = new Bed();
-        bed.oneSession = false;
-        bed.start().group();
-        bed.list(EndpointUpdateType.DELTA, startedEntry("p", bed.now));
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().listReplicaSet();
+        fixture.updateEndpoints(EndpointUpdateType.DELTA, startedEntry("p", fixture.now));
         for (int i = 0; i < 50; i++) {
-            bed.router.onRequest(
-                    bed.now,
-                    new RoutingRequest(i, Bed.ANY, 0, "session " + i, -1, false, Bed.DEADLINE, Positions.UNKNOWN, "p"));
+            fixture.router.onRequest(
+                    fixture.now,
+                    new RoutingRequest(
+                            i,
+                            RouterFixture.EVENTUAL_READ,
+                            0,
+                            "session " + i,
+                            -1,
+                            false,
+                            RouterFixture.CLIENT_TIMEOUT_MICROS,
+                            Positions.UNKNOWN,
+                            "p"));
         }
-        assertFalse(bed.sends.isEmpty());
+        assertFalse(fixture.sentAttempts.isEmpty());
         assertTrue(
-                bed.sends.size() < 10,
-                "sent " + bed.sends.size() + " of 50 requests at once to a host that has just started");
+                fixture.sentAttempts.size() < 10,
+                "sent " + fixture.sentAttempts.size() + " of 50 requests at once to a host that has just started");
     }
 
     private static EndpointEntry startedEntry(String host, long at) {
--- a/src/test/java/mintstair/decision/SlowStartRampTest.java
+++ b/src/test/java/mintstair/decision/SlowStartRampTest.java
@@ -17,7 +17,7 @@
  * the multiple N of its capacity that the settings allow, plus 2 * sqrt(N) + 2 for random variation.
  */
 class SlowStartRampTest {
-    private static final long MS = Bed.MS;
+    private static final long MS = RouterFixture.MS;
     private static final long SECOND = 1_000 * MS;
     private static final long START_MICROS = 1_000_000_000L;
     private static final long DURATION_MICROS = 12 * SECOND;
@@ -26,7 +26,7 @@
     /** Requests that a warm host serves per second. */
     private static final double HOST_CAPACITY_PER_SECOND = 40;
 
-    // The protection settings of Bed.
+    // The protection settings of RouterFixture
     private static final long OVERLOAD_SPAN_MICROS = 2 * SECOND;
     private static final double OVERLOAD_MULTIPLE = 3;
     private static final double INITIAL_SHARE = 0.2;
@@ -39,7 +39,7 @@
 
     /** One replica set and its routers, of which the first has much more traffic than any other. */
     private static final class Simulation {
-        final List<Bed> beds = new ArrayList<>();
+        final List<RouterFixture> fixtures = new ArrayList<>();
         final double[] trafficShares;
         final Random random;
         /** The times of the attempts sent to each host in slow start. */
@@ -56,11 +56,11 @@
             for (int i = 0; i < routers; i++) {
                 trafficShares[i] = 0.2 + random.nextDouble() + (i == 0 ? routers / 3.0 : 0);
                 sum += trafficShares[i];
-                Bed bed = new Bed();
-                bed.routers = routers;
-                bed.seed = random.nextLong();
-                bed.oneSession = false;
-                beds.add(bed.start().group());
+                RouterFixture fixture = new RouterFixture();
+                fixture.fleetSize = routers;
+                fixture.seed = random.nextLong();
+                fixture.hasSharedSession = false;
+                fixtures.add(fixture.start().listReplicaSet());
                 replies.add(new PriorityQueue<>(Comparator.comparingLong(Reply::at)));
             }
             for (int i = 0; i < routers; i++) {
@@ -73,21 +73,21 @@
          * an endpoint update about it.
          */
         void run(double requestsPerSecond, List<String> started, List<String> removed) {
-            for (Bed bed : beds) {
+            for (RouterFixture fixture : fixtures) {
                 for (String host : started) {
-                    bed.list(
+                    fixture.updateEndpoints(
                             EndpointUpdateType.DELTA,
                             new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, START_MICROS));
                 }
-                removed.forEach(host -> bed.state(host, EndpointState.REMOVED));
+                removed.forEach(host -> fixture.updateState(host, EndpointState.REMOVED));
             }
             PriorityQueue<Arrival> arrivals = drawArrivals(requestsPerSecond);
             while (!arrivals.isEmpty()) {
                 Arrival arrival = arrivals.poll();
-                Bed bed = beds.get(arrival.router);
+                RouterFixture fixture = fixtures.get(arrival.router);
                 advance(arrival.router, arrival.at, started);
-                bed.now = Math.max(bed.now, arrival.at);
-                bed.request(arrival.id, classOf(arrival.id));
+                fixture.now = Math.max(fixture.now, arrival.at);
+                fixture.sendRequest(arrival.id, classOf(arrival.id));
                 advance(arrival.router, arrival.at, started);
             }
         }
@@ -107,9 +107,9 @@
 
         private static int classOf(long id) {
             if (id % 8 == 0) {
-                return Bed.UNSAFE_WRITE;
+                return RouterFixture.NON_IDEMPOTENT_WRITE;
             }
-            return id % 2 == 0 ? Bed.ANY : Bed.BOUNDED;
+            return id % 2 == 0 ? RouterFixture.EVENTUAL_READ : RouterFixture.BOUNDED_READ;
         }
 
         /**
@@ -117,30 +117,31 @@
          * the timer fires if more than 20 ms have passed without an event.
          */
         private void advance(int router, long time, List<String> started) {
-            Bed bed = beds.get(router);
+            RouterFixture fixture = fixtures.get(router);
             PriorityQueue<Reply> pending = replies.get(router);
             while (true) {
-                for (; attemptsSeen[router] < bed.sends.size(); attemptsSeen[router]++) {
-                    Bed.Sent attempt = bed.sends.get(attemptsSeen[router]);
+                for (; attemptsSeen[router] < fixture.sentAttempts.size(); attemptsSeen[router]++) {
+                    RouterFixture.SentAttempt attempt = fixture.sentAttempts.get(attemptsSeen[router]);
                     if (started.contains(attempt.host())) {
                         sentTimes
                                 .computeIfAbsent(attempt.host(), host -> new ArrayList<>())
-                                .add(attempt.at());
+                                .add(attempt.sentAt());
                     }
-                    pending.add(new Reply(attempt.at() + LATENCY_MICROS, attemptsSeen[router]));
+                    pending.add(new Reply(attempt.sentAt() + LATENCY_MICROS, attemptsSeen[router]));
                 }
-                bed.answerPolls(20 * MS);
+                fixture.answerHealthChecks(20 * MS);
                 if (pending.isEmpty() || pending.peek().at > time) {
                     break;
                 }
                 Reply reply = pending.poll();
-                bed.now = Math.max(bed.now, reply.at);
-                Bed.Sent attempt = bed.sends.get(reply.attempt);
-                bed.outcome(attempt, bed.sendsOf(attempt.id()).indexOf(attempt), AttemptOutcome.SUCCESS);
+                fixture.now = Math.max(fixture.now, reply.at);
+                RouterFixture.SentAttempt attempt = fixture.sentAttempts.get(reply.attempt);
+                fixture.endAttempt(
+                        attempt, fixture.attemptsOf(attempt.requestId()).indexOf(attempt), AttemptOutcome.SUCCESS);
             }
-            if (time - bed.now > 20 * MS) {
-                bed.now = time;
-                bed.router.onTimer(time, "tick");
+            if (time - fixture.now > 20 * MS) {
+                fixture.now = time;
+                fixture.router.onTimer(time, "tick");
             }
         }
 
