--- a/src/test/java/mintstair/decision/ClockSkewTest.java
+++ b/src/test/java/mintstair/decision/ClockSkewTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests a router whose own clock is wrong, while hosts report positions and start times by a right clock. A wrong clock
+ * Tests a router whose own clock is wrong, while hosts report positions and start times by a correct clock. A wrong clock
  * may keep reads from being sent to replicas, but it must not lead to stale reads, must neither hide a slow start nor
  * cause one, and must not hide a new primary.
  */
@@ -44,7 +44,7 @@
     }
 
     /** Answers all open polls, as {@link #start} reports the state. */
-    private void answerPolls(long ahead, long lag) {
+    private void answerHealthChecks(long ahead, long lag) {
         for (; fixture.answeredHealthChecks < fixture.healthChecks.size(); fixture.answeredHealthChecks++) {
             boolean isPrimary =
                     fixture.healthChecks.get(fixture.answeredHealthChecks).equals("p");
@@ -63,7 +63,7 @@
             fixture.now += 5 * MS;
             int sentBefore = fixture.sentAttempts.size();
             fixture.sendRequest(id, classIndex);
-            answerPolls(ahead, lag);
+            answerHealthChecks(ahead, lag);
             if (fixture.sentAttempts.size() > sentBefore) {
                 hosts.add(fixture.lastAttempt().host());
                 fixture.endAttempt(fixture.lastAttempt(), fixture.attemptsOf(id).size() - 1, AttemptOutcome.SUCCESS);
@@ -139,7 +139,7 @@
                 "sent " + (fixture.sentAttempts.size() - sentBefore) + " of 12");
     }
 
-    /** The host started a second ago by the right clock, while the clock of the router is an hour ahead. */
+    /** The host started a second ago by the correct clock, while the clock of the router is an hour ahead. */
     @Test
     void clockAheadHidesNoSlowStart() {
         start(-HOUR, 10 * MS);
@@ -171,7 +171,7 @@
     }
 
     /**
-     * The reply of the old primary is dated by the clock of the router, the report of the new one by the right clock,
+     * The reply of the old primary is dated by the clock of the router, the report of the new one by the correct clock,
      * which is an hour earlier.
      */
     @Test
@@ -203,9 +203,9 @@
         assertTrue(fixture.healthChecks.contains("p"));
     }
 
-    /** A clock that differs by no more than synchronized clocks usually do counts as right. */
+    /** A clock that differs by no more than synchronized clocks usually do counts as correct. */
     @Test
-    void readsAreSpreadOverReplicasWhenTheClockIsRight() {
+    void readsAreSpreadOverReplicasWhenTheClockIsCorrect() {
         start(2 * MS, 10 * MS);
         assertTrue(
                 hostsOfReads(100, RouterFixture.BOUNDED_READ, 2 * MS, 10 * MS).size() > 2);
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -171,7 +171,9 @@
                 fixture.advance(20_000);
             }
         }
-        return running.stream().mapToLong(b -> b.sentAttempts.size()).sum();
+        return running.stream()
+                .mapToLong(fixture -> fixture.sentAttempts.size())
+                .sum();
     }
 
     /** The polls that the missing routers do not send are used by the others, which find the primary sooner. */
@@ -199,7 +201,7 @@
                         new EndpointEntry("r1", false, "z", 0, EndpointState.SERVING, 1, fixture.now));
                 fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
                 sent += fixture.attemptsOf(1).stream()
-                        .filter(s -> s.host().equals("r1"))
+                        .filter(attempt -> attempt.host().equals("r1"))
                         .count();
             }
             // A warm replica gets a third of the reads, a replica whose slow start begins a fifth of that.
@@ -227,13 +229,9 @@
                 }
                 fixture.advance(20_000);
                 if (i >= 1200) {
-                    polls +=
-                            fixture
-                                    .healthChecks
-                                    .subList(fixture.answeredHealthChecks, fixture.healthChecks.size())
-                                    .stream()
-                                    .filter("r1"::equals)
-                                    .count();
+                    List<String> openPolls =
+                            fixture.healthChecks.subList(fixture.answeredHealthChecks, fixture.healthChecks.size());
+                    polls += openPolls.stream().filter("r1"::equals).count();
                 }
             }
         }
--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -1,6 +1,7 @@
 package mintstair.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -32,11 +33,15 @@
     /** Returns how many attempts all routers sent to a host. */
     private static long sentTo(List<RouterFixture> fleet, String host) {
         return fleet.stream()
-                .flatMap(b -> b.sentAttempts.stream())
-                .filter(s -> s.host().equals(host))
+                .flatMap(fixture -> fixture.sentAttempts.stream())
+                .filter(attempt -> attempt.host().equals(host))
                 .count();
     }
 
+    private static boolean hasLogged(RouterFixture fixture, String prefix) {
+        return fixture.logLines.stream().anyMatch(line -> line.startsWith(prefix));
+    }
+
     private static EndpointEntry startedEntry(String host, long at) {
         return new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, at);
     }
@@ -73,7 +78,8 @@
             fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
             fixture.sendRequest(2, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
-        long sent = fleet.stream().mapToLong(b -> b.sentAttempts.size()).sum();
+        long sent =
+                fleet.stream().mapToLong(fixture -> fixture.sentAttempts.size()).sum();
         assertTrue(sent > 60 && sent < 200, "sent " + sent + " of 600");
         for (RouterFixture fixture : fleet) {
             fixture.advance(120 * MS);
@@ -115,10 +121,9 @@
             }
             fixture.advance(20 * MS);
             if (i >= 800) {
-                polls +=
-                        fixture.healthChecks.subList(fixture.answeredHealthChecks, fixture.healthChecks.size()).stream()
-                                .filter("r1"::equals)
-                                .count();
+                List<String> openPolls =
+                        fixture.healthChecks.subList(fixture.answeredHealthChecks, fixture.healthChecks.size());
+                polls += openPolls.stream().filter("r1"::equals).count();
             }
         }
         return polls;
@@ -129,7 +134,7 @@
     void unresponsiveHostGetsTrialRequestsFromFewRouters() {
         List<RouterFixture> fleet = fleet(200);
         for (RouterFixture fixture : fleet) {
-            for (int i = 0; i < 60 && fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive r1")); i++) {
+            for (int i = 0; i < 60 && !hasLogged(fixture, "unresponsive r1"); i++) {
                 fixture.sendRequest(1_000 + i, RouterFixture.EVENTUAL_READ);
                 if (fixture.attemptsOf(1_000 + i).isEmpty()) {
                     fixture.answerHealthChecks(10 * MS);
@@ -218,7 +223,7 @@
             }
         }
         long sentToPrimary = fixture.sentAttempts.stream()
-                .filter(s -> s.requestId() >= 100 && s.host().equals("p"))
+                .filter(attempt -> attempt.requestId() >= 100 && attempt.host().equals("p"))
                 .count();
         assertTrue(sentToPrimary < 60, "the primary got " + sentToPrimary + " of 300 reads");
     }
@@ -296,8 +301,8 @@
     }
 
     /**
-     * After a reload, open requests keep their class, while new requests are subject to the new classes; the new limit
-     * of attempts applies to both.
+     * After a reload, open requests keep their class while new requests get the new classes; the new limit of attempts
+     * applies to open requests as well.
      */
     @Test
     void openRequestsKeepTheirClassThroughOtherSettings() {
@@ -440,7 +445,8 @@
             fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
             fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
         }
-        assertTrue(fixture.sentAttempts.stream().noneMatch(s -> s.host().equals("r2")));
+        assertTrue(fixture.sentAttempts.stream()
+                .noneMatch(attempt -> attempt.host().equals("r2")));
     }
 
     @Test
@@ -465,7 +471,7 @@
                         null);
             }
         }
-        assertTrue(fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")), fixture.logLines.toString());
+        assertFalse(hasLogged(fixture, "unresponsive"), fixture.logLines.toString());
         assertEquals(400, fixture.sentAttempts.size());
         assertTrue(polls < 400, polls + " polls for 400 requests");
     }
@@ -526,7 +532,7 @@
         int sentBefore = fixture.sentAttempts.size();
         fixture.now += 2_000 * MS;
         fixture.router.onTimer(fixture.now, "tick");
-        assertTrue(fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")), fixture.logLines.toString());
+        assertFalse(hasLogged(fixture, "unresponsive"), fixture.logLines.toString());
         assertEquals(sentBefore, fixture.sentAttempts.size());
     }
 
@@ -554,8 +560,9 @@
                 fixture.sentAttempts.clear();
             }
         }
-        long sent =
-                fixture.sentAttempts.stream().filter(s -> s.host().equals("r1")).count();
+        long sent = fixture.sentAttempts.stream()
+                .filter(attempt -> attempt.host().equals("r1"))
+                .count();
         assertTrue(sent < 50, "slow host got " + sent + " of 300");
     }
 
@@ -648,7 +655,7 @@
             fixture.sendRequest(99, RouterFixture.EVENTUAL_READ);
         }
         long sent = fleet.stream()
-                .flatMap(b -> b.sentAttempts.stream())
+                .flatMap(fixture -> fixture.sentAttempts.stream())
                 .filter(s -> !s.host().equals("p"))
                 .count();
         assertTrue(sent < 85, "sent " + sent + " of 100 to the overloaded replicas");
--- a/src/test/java/mintstair/decision/SlowStartComponentsTest.java
+++ b/src/test/java/mintstair/decision/SlowStartComponentsTest.java
@@ -127,7 +127,7 @@
         }
         List<RouterFixture.SentAttempt> after = fixture.sentAttempts.subList(sentBefore, fixture.sentAttempts.size());
         assertEquals(20, after.size());
-        assertTrue(after.stream().noneMatch(sent -> sent.host().equals("r1")), after.toString());
+        assertTrue(after.stream().noneMatch(attempt -> attempt.host().equals("r1")), after.toString());
     }
 
     /**
--- a/src/test/java/mintstair/decision/SlowStartRampTest.java
+++ b/src/test/java/mintstair/decision/SlowStartRampTest.java
@@ -69,7 +69,7 @@
         }
 
         /**
-         * Runs the simulation for 12 s. At its beginning some hosts start and others are removed, and all routers receive
+         * Runs the simulation for 12 s. At its beginning some hosts start, others are removed, and all routers receive
          * an endpoint update about it.
          */
         void run(double requestsPerSecond, List<String> started, List<String> removed) {
