--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -359,7 +359,7 @@
                 settings.replicaReadCheck(),
                 settings.positionsInResponses(),
                 settings.listReportsRole(),
-                settings.subscribe(),
+                settings.subscribesToEndpoints(),
                 settings.clientsMarkRetries(),
                 settings.healthCheckCost(),
                 settings.crossZoneCost(),
--- a/src/test/java/mintstair/decision/SimulatedDeployment.java
+++ b/src/test/java/mintstair/decision/SimulatedDeployment.java
@@ -417,7 +417,7 @@
                 settings.replicaReadCheck(),
                 settings.positionsInResponses(),
                 settings.listReportsRole(),
-                settings.subscribe(),
+                settings.subscribesToEndpoints(),
                 settings.clientsMarkRetries(),
                 settings.healthCheckCost(),
                 settings.crossZoneCost(),
