--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -1,6 +1,7 @@
 package mintstair.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +11,10 @@
 import mintstair.request.ReplicationRole;
 import org.junit.jupiter.api.Test;
 
-/** Many routers with a trickle of traffic each, and routers that are told what is not so. */
+/**
+ * Tests what many routers with little traffic each do together, and how a router acts on missing, late or wrong
+ * information.
+ */
 class FleetTest {
     private static final long MS = RouterFixture.MS;
 
@@ -26,44 +30,56 @@
         return fleet;
     }
 
+    /** Returns how many attempts all routers sent to a host. */
     private static long sentTo(List<RouterFixture> fleet, String host) {
         return fleet.stream()
-                .flatMap(b -> b.sentAttempts.stream())
-                .filter(s -> s.host().equals(host))
+                .flatMap(fixture -> fixture.sentAttempts.stream())
+                .filter(attempt -> attempt.host().equals(host))
                 .count();
     }
 
-    private static EndpointEntry started(String host, long at) {
+    private static boolean hasLogged(RouterFixture fixture, String prefix) {
+        return fixture.logLines.stream().anyMatch(line -> line.startsWith(prefix));
+    }
+
+    private static EndpointEntry startedEntry(String host, long at) {
         return new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, at);
     }
 
-    /** One read at each router: with a floor of one a router, all 300 would be let through to the cold host. */
+    /**
+     * Each router sends one read: if each of them might send at least one request to a host in slow start, all 300
+     * would.
+     */
     @Test
-    void coldHostGetsItsPartOfAllRoutersTogether() {
+    void hostInSlowStartGetsALimitedShareOfTheRequestsOfAllRouters() {
         List<RouterFixture> fleet = fleet(300);
         for (RouterFixture fixture : fleet) {
-            fixture.updateEndpoints(EndpointUpdateType.DELTA, started("r1", fixture.now));
+            fixture.updateEndpoints(EndpointUpdateType.DELTA, startedEntry("r1", fixture.now));
             fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
         }
-        long cold = sentTo(fleet, "r1");
-        assertTrue(cold > 5 && cold < 50, "cold host got " + cold + " of 300");
+        long sent = sentTo(fleet, "r1");
+        assertTrue(sent > 5 && sent < 50, "host in slow start got " + sent + " of 300");
     }
 
-    /** A zone restarts at once: no warm peer is left, so most is shed early instead of pushing the cold ones over. */
+    /**
+     * When all hosts of a replica set restart at once, no warm host is left, so most requests are shed instead of
+     * overloading the hosts in slow start.
+     */
     @Test
-    void groupThatIsColdAltogetherShedsEarly() {
+    void replicaSetInSlowStartShedsPartOfTheLoad() {
         List<RouterFixture> fleet = fleet(300);
         for (RouterFixture fixture : fleet) {
             fixture.updateEndpoints(
                     EndpointUpdateType.DELTA,
-                    started("p", fixture.now),
-                    started("r1", fixture.now),
-                    started("r2", fixture.now),
-                    started("r3", fixture.now));
+                    startedEntry("p", fixture.now),
+                    startedEntry("r1", fixture.now),
+                    startedEntry("r2", fixture.now),
+                    startedEntry("r3", fixture.now));
             fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
             fixture.sendRequest(2, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
-        long sent = fleet.stream().mapToLong(b -> b.sentAttempts.size()).sum();
+        long sent =
+                fleet.stream().mapToLong(fixture -> fixture.sentAttempts.size()).sum();
         assertTrue(sent > 60 && sent < 200, "sent " + sent + " of 600");
         for (RouterFixture fixture : fleet) {
             fixture.advance(120 * MS);
@@ -71,61 +87,72 @@
         }
     }
 
-    /** Guards a group without a primary against polls that each of many routers sends for want of one. */
+    /** Guards a replica set without a primary against the polls of many routers that search for one. */
     @Test
-    void routersThatLookForAPrimaryStayWithinAHostsPollsTogether() {
+    void searchForAPrimaryLoadsAHostWithFewPollsFromAllRouters() {
         for (int routers : new int[] {3, 14, 48}) {
             List<RouterFixture> fleet = fleet(routers);
-            long[] polls = new long[2];
+            long polls = 0;
             for (RouterFixture fixture : fleet) {
-                fixture.updateState("p", EndpointState.DRAINING);
-                for (int i = 0; i < 1600; i++) {
-                    for (; fixture.answeredHealthChecks < fixture.healthChecks.size(); fixture.answeredHealthChecks++) {
-                        fixture.answerHealthCheck(
-                                fixture.healthChecks.get(fixture.answeredHealthChecks),
-                                fixture.now - 5_000 * MS,
-                                ReplicationRole.REPLICA);
-                    }
-                    if (i % 20 == 0) {
-                        fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE, 1200 * MS, Positions.UNKNOWN);
-                    }
-                    fixture.advance(20 * MS);
-                    polls[i < 800 ? 0 : 1] +=
-                            fixture
-                                    .healthChecks
-                                    .subList(fixture.answeredHealthChecks, fixture.healthChecks.size())
-                                    .stream()
-                                    .filter("r1"::equals)
-                                    .count();
-                }
+                polls += pollsInLastSixteenSecondsOfSearch(fixture);
+            }
+            assertTrue(polls / 16 <= 11, routers + " routers: " + polls / 16 + " polls per second");
+            assertTrue(polls > 0, routers + " routers: the search must go on");
+        }
+    }
+
+    /**
+     * Returns the polls of the replica r1 in the second half of a search for a primary that takes 32 s. In the first
+     * half a router sends more polls, until its backoff has grown. All requests are writes, because reads also cause
+     * polls on demand, which their cost limits.
+     */
+    private static long pollsInLastSixteenSecondsOfSearch(RouterFixture fixture) {
+        long polls = 0;
+        fixture.updateState("p", EndpointState.DRAINING);
+        for (int i = 0; i < 1600; i++) {
+            for (; fixture.answeredHealthChecks < fixture.healthChecks.size(); fixture.answeredHealthChecks++) {
+                fixture.answerHealthCheck(
+                        fixture.healthChecks.get(fixture.answeredHealthChecks),
+                        fixture.now - 5_000 * MS,
+                        ReplicationRole.REPLICA);
+            }
+            if (i % 20 == 0) {
+                fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE, 1200 * MS, Positions.UNKNOWN);
+            }
+            fixture.advance(20 * MS);
+            if (i >= 800) {
+                List<String> openPolls =
+                        fixture.healthChecks.subList(fixture.answeredHealthChecks, fixture.healthChecks.size());
+                polls += openPolls.stream().filter("r1"::equals).count();
             }
-            // Writes, as reads have polls on demand as well, which their price bounds. What each router sends at first
-            // soon ends.
-            assertTrue(polls[1] / 16 <= 11, routers + " routers: " + polls[1] / 16 + " polls a second");
-            assertTrue(polls[1] > 0, "they go on looking");
         }
+        return polls;
     }
 
-    /** Trial reads go to a silent host as a share of the traffic, not one from each router. */
+    /** Trial requests to an unresponsive host are a share of the traffic, not one for each router. */
     @Test
-    void silentHostGetsAShareOfTrialsFromAllRoutersTogether() {
+    void unresponsiveHostGetsTrialRequestsFromFewRouters() {
         List<RouterFixture> fleet = fleet(200);
         for (RouterFixture fixture : fleet) {
-            for (int i = 0; i < 60 && fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive r1")); i++) {
+            for (int i = 0; i < 60 && !hasLogged(fixture, "unresponsive r1"); i++) {
                 fixture.sendRequest(1_000 + i, RouterFixture.EVENTUAL_READ);
-                if (fixture.attemptsOf(1_000 + i).isEmpty()) fixture.answerHealthChecks(10 * MS);
-                if (fixture.attemptsOf(1_000 + i).isEmpty()) continue;
-                boolean lost = fixture.lastAttempt().host().equals("r1");
+                if (fixture.attemptsOf(1_000 + i).isEmpty()) {
+                    fixture.answerHealthChecks(10 * MS);
+                }
+                if (fixture.attemptsOf(1_000 + i).isEmpty()) {
+                    continue;
+                }
+                boolean isUnreachable = fixture.lastAttempt().host().equals("r1");
                 fixture.endAttempt(
-                        fixture.lastAttempt(), 0, lost ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+                        fixture.lastAttempt(), 0, isUnreachable ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             }
             fixture.sentAttempts.clear();
             fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
         }
-        assertTrue(sentTo(fleet, "r1") < 10, "silent host got " + sentTo(fleet, "r1") + " of 200");
+        assertTrue(sentTo(fleet, "r1") < 10, "unresponsive host got " + sentTo(fleet, "r1") + " of 200");
     }
 
-    /** An idle router sets no timer: 650 of them with a tick each would cost more than all requests. */
+    /** With 650 idle routers, a regular timer in each would cost more than all requests. */
     @Test
     void idleRouterSetsNoTimersAndSendsNoPolls() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
@@ -136,51 +163,53 @@
     }
 
     /**
-     * A router with few requests asks a few members when a read needs it and the primary is full, and sends where one
-     * is proven.
+     * When no replica is known to be recent enough and the primary is full, a router with few requests polls a few
+     * replicas and sends the read to one that is recent enough.
      */
     @Test
-    void readThatNoReplicaIsProvenForPollsAFewWhereThePrimaryIsFullAndGoesToOneOfThem() {
+    void readIsSentToAPolledReplicaWhenThePrimaryIsFull() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.now += 5_000 * MS;
         fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
-        int polls = fixture.healthChecks.size();
+        int pollsBefore = fixture.healthChecks.size();
         for (int id = 100; id < 160; id++) {
             fixture.sendRequest(id, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
         fixture.sendRequest(1, RouterFixture.BOUNDED_READ);
-        assertEquals(polls + 2, fixture.healthChecks.size());
+        assertEquals(pollsBefore + 2, fixture.healthChecks.size());
         assertTrue(fixture.attemptsOf(1).isEmpty());
         fixture.answerHealthChecks(30 * MS);
         assertNotEquals("p", fixture.attemptsOf(1).get(0).host());
     }
 
     /**
-     * Guards against a poll on demand for each read of a router that hears little, where the primary has room for it:
-     * in a fleet of 100 the polls cost more than the reads are worth on a replica.
+     * Guards against a poll on demand for each read of a router with little traffic while the primary has capacity: in
+     * a fleet of 100 routers the polls would cost more than is gained by reading from a replica.
      */
     @Test
-    void readsThatNoReplicaIsProvenForGoUnpolledToAPrimaryWithRoom() {
+    void readsOfRoutersWithLittleTrafficFallBackToThePrimaryWithoutPolls() {
         List<RouterFixture> fleet = fleet(100);
         long polls = 0;
         for (RouterFixture fixture : fleet) {
             fixture.now += 5_000 * MS;
-            int before = fixture.healthChecks.size();
+            int pollsBefore = fixture.healthChecks.size();
             fixture.sendRequest(1, RouterFixture.BOUNDED_READ);
-            if (!fixture.sentAttempts.isEmpty()) fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
+            if (!fixture.sentAttempts.isEmpty()) {
+                fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
+            }
             fixture.sendRequest(2, RouterFixture.SESSION_READ, 1200 * MS, 5 * MS);
-            polls += fixture.healthChecks.size() - before;
+            polls += fixture.healthChecks.size() - pollsBefore;
         }
         assertEquals(0, polls, "polls on demand");
         assertEquals(200, sentTo(fleet, "p"), "reads sent to the primary");
     }
 
     /**
-     * Guards against loading the primary with reads that a poll, shared by many of them, brings to replicas: at a
-     * router that hears a group often, with a primary that has room.
+     * Guards against falling back to the primary, though it has capacity, at a router with so much traffic that many
+     * reads share the result of one poll.
      */
     @Test
-    void readsOfARouterThatHearsManyArePolledForBeforeThePrimary() {
+    void routerWithMuchTrafficPollsReplicasBeforeFallingBackToThePrimary() {
         RouterFixture fixture = new RouterFixture();
         fixture.hasSharedSession = false;
         fixture.start().listReplicaSet();
@@ -189,17 +218,19 @@
             fixture.sendRequest(i, RouterFixture.BOUNDED_READ);
             fixture.answerHealthChecks(30 * MS);
             fixture.advance(5 * MS);
-            if (!fixture.attemptsOf(i).isEmpty()) fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
+            if (!fixture.attemptsOf(i).isEmpty()) {
+                fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
+            }
         }
-        long primary = fixture.sentAttempts.stream()
-                .filter(s -> s.requestId() >= 100 && s.host().equals("p"))
+        long sentToPrimary = fixture.sentAttempts.stream()
+                .filter(attempt -> attempt.requestId() >= 100 && attempt.host().equals("p"))
                 .count();
-        assertTrue(primary < 60, "the primary got " + primary + " of 300 reads");
+        assertTrue(sentToPrimary < 60, "the primary got " + sentToPrimary + " of 300 reads");
     }
 
-    /** Replicas behind: the many reads that fall back must not drown the primary, by all routers together. */
+    /** When all replicas lag, the reads of all routers fall back and would overload the primary. */
     @Test
-    void readsThatFallBackInMassReachThePrimaryOnlyInPart() {
+    void fallbackReadsAreAdmittedInPartWhenAllReplicasLag() {
         List<RouterFixture> fleet = fleet(100);
         for (RouterFixture fixture : fleet) {
             for (int i = 0; i < 60; i++) {
@@ -207,38 +238,49 @@
                 fixture.sendRequest(i, RouterFixture.BOUNDED_READ);
                 fixture.answerHealthChecks(5_000 * MS);
                 fixture.answerHealthChecks(5_000 * MS);
-                if (i == 30) fixture.sentAttempts.clear();
-                if (!fixture.attemptsOf(i).isEmpty())
+                if (i == 30) {
+                    fixture.sentAttempts.clear();
+                }
+                if (!fixture.attemptsOf(i).isEmpty()) {
                     fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
+                }
                 fixture.advance(200 * MS);
             }
         }
-        long fell = sentTo(fleet, "p");
-        assertTrue(fell > 100 && fell < 1_800, "primary got " + fell + " of 2900");
+        long sent = sentTo(fleet, "p");
+        assertTrue(sent > 100 && sent < 1_800, "primary got " + sent + " of 2900");
     }
 
     /**
-     * Guards against refusing reads of high worth while those of little worth are taken: the primary is all there is.
+     * Guards against rejecting reads of high priority while those of low priority are served, when the primary is the
+     * only host.
      */
     @Test
-    void readsOfMoreWorthFillMoreOfThePrimary() {
-        long[] sent = new long[2];
-        for (int i = 0; i < 2; i++) {
-            RouterFixture fixture = new RouterFixture();
-            fixture.hasSharedSession = false;
-            fixture.start().updateEndpoints(EndpointUpdateType.SNAPSHOT, RouterFixture.servingEntry("p"));
-            fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
-            for (int id = 0; id < 200; id++) {
-                fixture.sendRequest(id, i == 0 ? RouterFixture.BOUNDED_READ : RouterFixture.EVENTUAL_READ);
-            }
-            sent[i] = fixture.sentAttempts.size();
+    void readsOfHigherPriorityMayFillMoreOfThePrimary() {
+        long low = sentToOnlyHost(RouterFixture.BOUNDED_READ);
+        long high = sentToOnlyHost(RouterFixture.EVENTUAL_READ);
+        assertTrue(
+                low > 5 && high > low * 4 / 3, "sent " + low + " reads of low priority, " + high + " of high priority");
+    }
+
+    /** Returns how many of 200 reads of a class are sent at once to a primary without replicas. */
+    private static long sentToOnlyHost(int classIndex) {
+        RouterFixture fixture = new RouterFixture();
+        fixture.hasSharedSession = false;
+        fixture.start().updateEndpoints(EndpointUpdateType.SNAPSHOT, RouterFixture.servingEntry("p"));
+        fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
+        for (int id = 0; id < 200; id++) {
+            fixture.sendRequest(id, classIndex);
         }
-        assertTrue(sent[0] > 5 && sent[1] > sent[0] * 4 / 3, "little worth " + sent[0] + ", much " + sent[1]);
+        return fixture.sentAttempts.size();
     }
 
-    /** Of those who wait for room the ones of most worth for their time go first, whenever they came. */
+    /**
+     * Of the waiting requests, the one with the highest ratio of priority weight to latency objective is sent first,
+     * regardless of the order of arrival.
+     */
     @Test
-    void roomThatAppearsGoesToThoseOfMostWorth() {
+    void freedCapacityGoesToTheRequestOfMostPriorityPerLatencyObjective() {
         RouterFixture fixture = new RouterFixture();
         fixture.hasSharedSession = false;
         fixture.start().updateEndpoints(EndpointUpdateType.SNAPSHOT, RouterFixture.servingEntry("p"));
@@ -246,35 +288,41 @@
         for (int id = 0; id < 60; id++) {
             fixture.sendRequest(id, RouterFixture.NON_IDEMPOTENT_WRITE);
         }
-        int full = fixture.sentAttempts.size();
+        int sentUntilFull = fixture.sentAttempts.size();
         fixture.sendRequest(100, RouterFixture.NON_IDEMPOTENT_WRITE);
         fixture.sendRequest(101, RouterFixture.IDEMPOTENCY_KEY_WRITE);
-        assertEquals(full, fixture.sentAttempts.size());
+        assertEquals(sentUntilFull, fixture.sentAttempts.size());
         fixture.endAttempt(fixture.sentAttempts.get(0), 0, AttemptOutcome.SUCCESS);
-        assertTrue(fixture.sentAttempts.size() > full);
-        assertEquals(101, fixture.sentAttempts.get(full).requestId(), "4 in 0.75 s before 4 in 1 s");
+        assertTrue(fixture.sentAttempts.size() > sentUntilFull);
+        assertEquals(
+                101,
+                fixture.sentAttempts.get(sentUntilFull).requestId(),
+                "a weight of 4 in 0.75 s precedes a weight of 4 in 1 s");
     }
 
-    /** Other settings: an open request keeps its class, a new one has the new class's rules, and the fewer attempts. */
+    /**
+     * After a reload, open requests keep their class while new requests get the new classes; the new limit of attempts
+     * applies to open requests as well.
+     */
     @Test
     void openRequestsKeepTheirClassThroughOtherSettings() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.sendRequest(1, RouterFixture.EVENTUAL_READ);
-        RouterSettings old = fixture.settings();
-        List<RequestClass> unsafe = old.classes().stream()
-                .map(c -> new RequestClass(
-                        c.name(),
-                        c.consistency(),
+        RouterSettings initial = fixture.settings();
+        List<RequestClass> notIdempotent = initial.classes().stream()
+                .map(requestClass -> new RequestClass(
+                        requestClass.name(),
+                        requestClass.consistency(),
                         Idempotency.NOT_IDEMPOTENT,
-                        c.deduplicationScope(),
-                        c.maxStalenessMicros(),
-                        c.latencyObjectiveMicros(),
-                        c.deadlineMicros(),
-                        c.deduplicationWindowMicros(),
-                        c.priorityWeight(),
-                        c.lateWeight()))
+                        requestClass.deduplicationScope(),
+                        requestClass.maxStalenessMicros(),
+                        requestClass.latencyObjectiveMicros(),
+                        requestClass.deadlineMicros(),
+                        requestClass.deduplicationWindowMicros(),
+                        requestClass.priorityWeight(),
+                        requestClass.lateWeight()))
                 .toList();
-        fixture.router.onSettings(fixture.now, with(old, unsafe, old.limits()));
+        fixture.router.onSettings(fixture.now, with(initial, notIdempotent, initial.limits()));
         fixture.endAttempt(fixture.attemptsOf(1).get(0), 0, AttemptOutcome.CONNECTION_RESET);
         assertEquals(2, fixture.attemptsOf(1).size());
         fixture.sendRequest(2, RouterFixture.EVENTUAL_READ);
@@ -283,41 +331,48 @@
         assertEquals(List.of(2L), fixture.failed);
         fixture.sendRequest(3, RouterFixture.EVENTUAL_READ);
         fixture.router.onSettings(
-                fixture.now, with(old, old.classes(), new AttemptLimits(1, true, true, false, true, true, 500 * MS)));
+                fixture.now,
+                with(initial, initial.classes(), new AttemptLimits(1, true, true, false, true, true, 500 * MS)));
         fixture.endAttempt(fixture.attemptsOf(3).get(0), 0, AttemptOutcome.UNREACHABLE);
         assertEquals(1, fixture.attemptsOf(3).size());
         assertThrows(
                 IllegalArgumentException.class,
                 () -> fixture.router.onSettings(
                         fixture.now,
-                        with(old, old.classes(), new AttemptLimits(0, true, true, false, true, true, 500 * MS))));
+                        with(
+                                initial,
+                                initial.classes(),
+                                new AttemptLimits(0, true, true, false, true, true, 500 * MS))));
         fixture.sendRequest(4, RouterFixture.EVENTUAL_READ);
-        assertEquals(1, fixture.attemptsOf(4).size(), "what makes no sense changes nothing");
+        assertEquals(1, fixture.attemptsOf(4).size(), "invalid settings must not be applied");
     }
 
-    private static RouterSettings with(RouterSettings s, List<RequestClass> classes, AttemptLimits limits) {
+    private static RouterSettings with(RouterSettings settings, List<RequestClass> classes, AttemptLimits limits) {
         return new RouterSettings(
-                s.fleetSize(),
-                s.instanceIndex(),
-                s.zone(),
+                settings.fleetSize(),
+                settings.instanceIndex(),
+                settings.zone(),
                 classes,
-                s.tenants(),
-                s.overQuotaWeight(),
-                s.remembersSessionTokens(),
-                s.replicaReadCheck(),
-                s.positionsInResponses(),
-                s.listReportsRole(),
-                s.subscribesToEndpoints(),
-                s.clientsMarkRetries(),
-                s.healthCheckCost(),
-                s.crossZoneCost(),
-                s.protection(),
+                settings.tenants(),
+                settings.overQuotaWeight(),
+                settings.remembersSessionTokens(),
+                settings.replicaReadCheck(),
+                settings.positionsInResponses(),
+                settings.listReportsRole(),
+                settings.subscribesToEndpoints(),
+                settings.clientsMarkRetries(),
+                settings.healthCheckCost(),
+                settings.crossZoneCost(),
+                settings.protection(),
                 limits);
     }
 
-    /** What the people on call are told is what the decisions go by. */
+    /**
+     * The number of unavailable endpoints that is reported to operators agrees with the states that decisions are based
+     * on.
+     */
     @Test
-    void drainingAndSilentHostsAreAvoided() {
+    void drainingAndUnresponsiveHostsAreCountedAsUnavailable() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         assertEquals(0, fixture.router.unavailableEndpoints(fixture.now));
         fixture.updateState("r1", EndpointState.DRAINING);
@@ -328,21 +383,18 @@
             fixture.answerHealthChecksExcept("r2");
             fixture.now += 100 * MS;
             if (!fixture.attemptsOf(1_000 + i).isEmpty()) {
+                boolean isUnreachable = fixture.lastAttempt().host().equals("r2");
                 fixture.endAttempt(
-                        fixture.lastAttempt(),
-                        0,
-                        fixture.lastAttempt().host().equals("r2")
-                                ? AttemptOutcome.UNREACHABLE
-                                : AttemptOutcome.SUCCESS);
+                        fixture.lastAttempt(), 0, isUnreachable ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
             }
         }
         assertEquals(2, fixture.router.unavailableEndpoints(fixture.now));
         fixture.updateState("r1", EndpointState.REMOVED);
-        assertEquals(1, fixture.router.unavailableEndpoints(fixture.now), "what is gone is not on the list");
+        assertEquals(1, fixture.router.unavailableEndpoints(fixture.now), "a removed endpoint must not be counted");
     }
 
     @Test
-    void hostListedGoneIsUsedWhileItServesWhereGoneIsAdvice() {
+    void removedHostIsUsedWhileItServesIfRemovalIsAdvisory() {
         RouterFixture fixture = new RouterFixture();
         fixture.removalIsAdvisory = true;
         fixture.start().listReplicaSet();
@@ -360,25 +412,29 @@
     }
 
     @Test
-    void goneBindsWhereItIsNoAdviceAndDrainingBindsEverywhere() {
-        RouterFixture bound = new RouterFixture().start().listReplicaSet();
-        bound.updateEndpoints(EndpointUpdateType.SNAPSHOT);
-        bound.sendRequest(1, RouterFixture.EVENTUAL_READ);
-        assertTrue(bound.sentAttempts.isEmpty());
-        RouterFixture advice = new RouterFixture();
-        advice.removalIsAdvisory = true;
-        advice.start().listReplicaSet();
-        for (String h : List.of("p", "r1", "r2", "r3")) advice.updateState(h, EndpointState.DRAINING);
-        advice.updateEndpoints(EndpointUpdateType.SNAPSHOT);
-        advice.sendRequest(1, RouterFixture.EVENTUAL_READ);
-        for (String h : List.of("p", "r1", "r2", "r3")) advice.updateState(h, EndpointState.REMOVED);
-        advice.sendRequest(2, RouterFixture.NON_IDEMPOTENT_WRITE);
-        advice.advance(300 * MS);
-        assertTrue(advice.sentAttempts.isEmpty());
+    void removalBindsUnlessAdvisoryAndDrainingAlwaysBinds() {
+        RouterFixture binding = new RouterFixture().start().listReplicaSet();
+        binding.updateEndpoints(EndpointUpdateType.SNAPSHOT);
+        binding.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        assertTrue(binding.sentAttempts.isEmpty());
+        RouterFixture advisory = new RouterFixture();
+        advisory.removalIsAdvisory = true;
+        advisory.start().listReplicaSet();
+        for (String host : List.of("p", "r1", "r2", "r3")) {
+            advisory.updateState(host, EndpointState.DRAINING);
+        }
+        advisory.updateEndpoints(EndpointUpdateType.SNAPSHOT);
+        advisory.sendRequest(1, RouterFixture.EVENTUAL_READ);
+        for (String host : List.of("p", "r1", "r2", "r3")) {
+            advisory.updateState(host, EndpointState.REMOVED);
+        }
+        advisory.sendRequest(2, RouterFixture.NON_IDEMPOTENT_WRITE);
+        advisory.advance(300 * MS);
+        assertTrue(advisory.sentAttempts.isEmpty());
     }
 
     @Test
-    void listThatNamesAHostTwiceOrMovesItDoesNoHarm() {
+    void endpointUpdateMayRepeatAHostOrMoveItToAnotherReplicaSet() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.updateEndpoints(
                 EndpointUpdateType.DELTA,
@@ -389,17 +445,20 @@
             fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
             fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
         }
-        assertTrue(fixture.sentAttempts.stream().noneMatch(s -> s.host().equals("r2")));
+        assertTrue(fixture.sentAttempts.stream()
+                .noneMatch(attempt -> attempt.host().equals("r2")));
     }
 
     @Test
-    void pollsThatFailWhileRequestsAreServedSilenceNoHostAndAreNotAskedOftener() {
+    void failedPollsDoNotMakeAServingHostUnresponsiveNorIncreasePolls() {
         RouterFixture fixture = new RouterFixture();
         fixture.start().listReplicaSet();
         int polls = 0;
         for (int i = 0; i < 400; i++) {
             fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
-            if (!fixture.attemptsOf(i).isEmpty()) fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
+            if (!fixture.attemptsOf(i).isEmpty()) {
+                fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.SUCCESS);
+            }
             fixture.advance(20 * MS);
             for (;
                     fixture.answeredHealthChecks < fixture.healthChecks.size();
@@ -412,83 +471,104 @@
                         null);
             }
         }
-        assertTrue(fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")), fixture.logLines.toString());
+        assertFalse(hasLogged(fixture, "unresponsive"), fixture.logLines.toString());
         assertEquals(400, fixture.sentAttempts.size());
         assertTrue(polls < 400, polls + " polls for 400 requests");
     }
 
-    /** A quarter of the answers never come, the rest are swift: no overload, so nothing is refused for it. */
+    /**
+     * A quarter of the replies are lost and the others are fast: this is no overload, so it must not lead to
+     * rejections.
+     */
     @Test
-    void lostAnswersShrinkNoLimitAndReadsAreTriedAgainInTime() {
+    void lostRepliesDoNotReduceLimitsAndReadsAreRetriedInTime() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         int inTime = 0;
         for (int i = 0; i < 400; i++) {
             fixture.sendRequest(i, RouterFixture.BOUNDED_READ, 2_500 * MS, Positions.UNKNOWN);
-            int good = -1;
-            for (int wait = 0; wait < 29 && good < 0; wait++) {
-                fixture.answerHealthChecks(20 * MS);
-                fixture.advance(20 * MS);
-                List<RouterFixture.SentAttempt> mine = fixture.attemptsOf(i);
-                for (int k = 0; k < mine.size() && good < 0; k++) {
-                    boolean lost = fixture.sentAttempts.indexOf(mine.get(k)) % 4 == 3;
-                    good = !lost && fixture.now - mine.get(k).sentAt() >= 60 * MS ? k : -1;
+            int served = waitForServedAttempt(fixture, i);
+            List<RouterFixture.SentAttempt> attempts = fixture.attemptsOf(i);
+            if (served >= 0) {
+                fixture.endAttempt(attempts.get(served), served, AttemptOutcome.SUCCESS);
+            }
+            for (int k = 0; k < attempts.size(); k++) {
+                if (k != served) {
+                    fixture.endAttempt(
+                            attempts.get(k), k, served < 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.CANCELLED);
                 }
             }
-            List<RouterFixture.SentAttempt> mine = fixture.attemptsOf(i);
-            if (good >= 0) fixture.endAttempt(mine.get(good), good, AttemptOutcome.SUCCESS);
-            for (int k = 0; k < mine.size(); k++) {
-                if (k != good)
-                    fixture.endAttempt(mine.get(k), k, good < 0 ? AttemptOutcome.TIMEOUT : AttemptOutcome.CANCELLED);
+            inTime += i >= 200 && served >= 0 ? 1 : 0;
+        }
+        assertTrue(inTime > 175, inTime + " of 200 in time, " + fixture.rejected.size() + " rejected");
+    }
+
+    /**
+     * Lets up to 580 ms pass until an attempt of a request is served, which takes at least 60 ms; the reply to every
+     * fourth attempt is lost. Returns the index of the attempt among those of the request, or -1 if none was served.
+     */
+    private static int waitForServedAttempt(RouterFixture fixture, long id) {
+        for (int wait = 0; wait < 29; wait++) {
+            fixture.answerHealthChecks(20 * MS);
+            fixture.advance(20 * MS);
+            List<RouterFixture.SentAttempt> attempts = fixture.attemptsOf(id);
+            for (int k = 0; k < attempts.size(); k++) {
+                boolean isLost = fixture.sentAttempts.indexOf(attempts.get(k)) % 4 == 3;
+                if (!isLost && fixture.now - attempts.get(k).sentAt() >= 60 * MS) {
+                    return k;
+                }
             }
-            inTime += i >= 200 && good >= 0 ? 1 : 0;
         }
-        assertTrue(inTime > 175, inTime + " of 200 in time, " + fixture.rejected.size() + " refused");
+        return -1;
     }
 
-    /** After a stall nothing of its span counts: neither silence of hosts nor reads stuck. */
+    /** The time during which the router stalls counts neither as time without replies nor as latency of reads. */
     @Test
-    void stallOfTheRouterBlamesNoHost() {
+    void stallOfTheRouterMakesNoHostUnresponsive() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
-        for (int i = 0; i < 12; i++)
+        for (int i = 0; i < 12; i++) {
             fixture.sendRequest(i, i % 3 == 0 ? RouterFixture.NON_IDEMPOTENT_WRITE : RouterFixture.EVENTUAL_READ);
+        }
         fixture.advance(40 * MS);
-        int before = fixture.sentAttempts.size();
+        int sentBefore = fixture.sentAttempts.size();
         fixture.now += 2_000 * MS;
         fixture.router.onTimer(fixture.now, "tick");
-        assertTrue(fixture.logLines.stream().noneMatch(l -> l.startsWith("unresponsive")), fixture.logLines.toString());
-        assertEquals(before, fixture.sentAttempts.size());
+        assertFalse(hasLogged(fixture, "unresponsive"), fixture.logLines.toString());
+        assertEquals(sentBefore, fixture.sentAttempts.size());
     }
 
-    /** A host that ages answers later and later: it loses its share before it dies. */
+    /** A host whose latency grows gets fewer requests before it fails. */
     @Test
-    void hostThatGrowsSlowerThanItsPeersLosesItsShare() {
+    void hostThatIsSlowerThanItsPeersGetsFewerRequests() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (int i = 0; i < 600; i++) {
             fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
-            RouterFixture.SentAttempt s = fixture.lastAttempt();
-            long time = s.host().equals("r1") ? 150 * MS : 30 * MS;
+            RouterFixture.SentAttempt attempt = fixture.lastAttempt();
+            long latency = attempt.host().equals("r1") ? 150 * MS : 30 * MS;
             fixture.now += 30 * MS;
             fixture.router.onAttemptEnded(
                     fixture.now,
                     new AttemptResult(
                             i,
                             0,
-                            s.host(),
+                            attempt.host(),
                             AttemptOutcome.SUCCESS,
-                            time,
+                            latency,
                             true,
                             ReplicationRole.REPLICA,
                             Positions.UNKNOWN));
-            if (i == 300) fixture.sentAttempts.clear();
+            if (i == 300) {
+                fixture.sentAttempts.clear();
+            }
         }
-        long slow =
-                fixture.sentAttempts.stream().filter(s -> s.host().equals("r1")).count();
-        assertTrue(slow < 50, "slow host got " + slow + " of 300");
+        long sent = fixture.sentAttempts.stream()
+                .filter(attempt -> attempt.host().equals("r1"))
+                .count();
+        assertTrue(sent < 50, "slow host got " + sent + " of 300");
     }
 
-    /** Restarted with nothing but its old list: it serves from the first request on. */
+    /** A restarted router that has nothing but the cached list serves from the first request on. */
     @Test
-    void freshRouterServesFromItsOldListAtOnce() {
+    void restartedRouterServesFromTheCachedListAtOnce() {
         RouterFixture fixture = new RouterFixture().start();
         fixture.updateEndpoints(
                 EndpointUpdateType.CACHED,
@@ -500,13 +580,15 @@
         fixture.sendRequest(2, RouterFixture.BOUNDED_READ);
         fixture.sendRequest(3, RouterFixture.NON_IDEMPOTENT_WRITE);
         fixture.answerHealthChecks(20 * MS);
-        for (int i = 1; i <= 3; i++) assertEquals(1, fixture.attemptsOf(i).size(), "request " + i);
+        for (int i = 1; i <= 3; i++) {
+            assertEquals(1, fixture.attemptsOf(i).size(), "request " + i);
+        }
         assertEquals("p", fixture.attemptsOf(3).get(0).host());
     }
 
-    /** A client may come with no time left; it is owed an answer all the same, and at once. */
+    /** A request that arrives without time left still gets exactly one final response, immediately. */
     @Test
-    void requestWithoutTimeIsAnsweredAtOnce() {
+    void requestWithoutTimeLeftIsAnsweredAtOnce() {
         RouterFixture fixture = new RouterFixture().start();
         fixture.updateEndpoints(
                 EndpointUpdateType.CACHED, RouterFixture.servingEntry("p"), RouterFixture.servingEntry("r1"));
@@ -514,9 +596,9 @@
         assertEquals(1, fixture.rejected.size() + fixture.failed.size());
     }
 
-    /** No unsafe write is lost on a primary that has not been heard of for long and is gone. */
+    /** Guards against losing a non-idempotent write on a primary that has failed since its last reply. */
     @Test
-    void primaryUnheardOfIsPolledBeforeAWriteIsRisked() {
+    void primaryWithoutRecentReplyIsPolledBeforeAWrite() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         fixture.now += 10_000 * MS;
         fixture.sendRequest(1, RouterFixture.NON_IDEMPOTENT_WRITE);
@@ -533,51 +615,54 @@
     }
 
     /**
-     * Guards against a limit that slow answers alone cut below one in flight: a router that hears little then held back
-     * writes from a primary that had none of its requests, and refused them unsent after 0.8 of their aim.
+     * Guards against a concurrency limit that slow replies alone reduce below one: a router with little traffic then
+     * held back writes from a primary with none of its requests in flight, and rejected them unsent after 0.8 of their
+     * latency objective.
      */
     @Test
-    void slowAnswersLeaveRoomForOneWriteOfEachRouter() {
+    void slowRepliesLeaveCapacityForOneWriteOfEachRouter() {
         List<RouterFixture> fleet = fleet(100);
         long sent = 0;
         for (RouterFixture fixture : fleet) {
             for (int i = 0; i < 10; i++) {
                 fixture.sendRequest(i, RouterFixture.NON_IDEMPOTENT_WRITE);
                 fixture.now += 600 * MS;
-                if (!fixture.attemptsOf(i).isEmpty())
+                if (!fixture.attemptsOf(i).isEmpty()) {
                     fixture.endAttempt(fixture.attemptsOf(i).get(0), 0, AttemptOutcome.SUCCESS);
+                }
                 fixture.answerHealthCheck("p", fixture.now, ReplicationRole.PRIMARY);
             }
             fixture.sentAttempts.clear();
             fixture.sendRequest(99, RouterFixture.NON_IDEMPOTENT_WRITE);
             sent += fixture.sentAttempts.size();
         }
-        assertEquals(100, sent, "writes sent at once to a primary with none of their router's in flight");
+        assertEquals(100, sent, "writes sent at once to a primary without requests in flight");
     }
 
-    /** Full replicas: to come again at once from hundreds of routers is what keeps them full. */
+    /** Immediate retries from hundreds of routers would keep overloaded replicas overloaded. */
     @Test
-    void routersWhoseRequestsAreTurnedAwayAsFullSendLess() {
+    void routersSendLessToOverloadedReplicas() {
         List<RouterFixture> fleet = fleet(100);
         for (RouterFixture fixture : fleet) {
             for (int i = 0; i < 12; i++) {
                 fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
-                for (int k = 0; k < fixture.attemptsOf(i).size(); k++)
+                for (int k = 0; k < fixture.attemptsOf(i).size(); k++) {
                     fixture.endAttempt(fixture.attemptsOf(i).get(k), k, AttemptOutcome.OVERLOADED);
+                }
                 fixture.advance(120 * MS);
             }
             fixture.sentAttempts.clear();
             fixture.sendRequest(99, RouterFixture.EVENTUAL_READ);
         }
         long sent = fleet.stream()
-                .flatMap(b -> b.sentAttempts.stream())
+                .flatMap(fixture -> fixture.sentAttempts.stream())
                 .filter(s -> !s.host().equals("p"))
                 .count();
-        assertTrue(sent < 85, "sent " + sent + " of 100 to the full replicas");
+        assertTrue(sent < 85, "sent " + sent + " of 100 to the overloaded replicas");
     }
 
     @Test
-    void wordsOfPeersDoNoHarm() {
+    void malformedPeerMessagesAreIgnored() {
         RouterFixture fixture = new RouterFixture().start().listReplicaSet();
         for (String text : List.of("", "v9 nonsense", "primary nobody -1", "\u0000")) {
             fixture.router.onPeerMessage(fixture.now, 77, text);
--- a/src/test/java/mintstair/decision/SlowStartPartsTest.java
+++ b/src/test/java/mintstair/decision/SlowStartComponentsTest.java
@@ -7,13 +7,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the budget of a host in slow start is made of, and what passes through it. */
-class SlowStartPartsTest {
+/**
+ * Tests the estimates from which the budget of a host in slow start is computed, and which attempts count against it.
+ */
+class SlowStartComponentsTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
 
     @Test
-    void windowSumsWhatIsYoungerThanTheSpan() {
+    void windowSumsAmountsYoungerThanTheSpan() {
         SlidingWindow window = new SlidingWindow();
         window.add(0, 2, SECOND);
         window.add(600 * MS, 3, SECOND);
@@ -24,7 +26,7 @@
     }
 
     @Test
-    void rateLeansOnWhatIsAssumedUntilItWasObserved() {
+    void rateStartsNearTheAssumedRateAndFollowsTheObservedOne() {
         DecayingRate rate = new DecayingRate(20 * SECOND);
         rate.add(0, 1);
         assertEquals(4.5, rate.perSecond(0, 4), 0.01);
@@ -36,46 +38,49 @@
     }
 
     @Test
-    void throughputIsThatOfTheAnswersAndStaysWhileNoHostIsThere() {
+    void throughputFollowsRepliesAndIsKeptWhileThereAreNoHosts() {
         HostThroughput throughput = new HostThroughput();
         for (long at = 0; at <= 120 * SECOND; at += 100 * MS) {
             throughput.recordServed(2);
             throughput.advance(at, 4, 4, 4);
         }
-        double known = throughput.workPerSecond(1, 0);
-        assertEquals(5, known, 0.3);
+        double observed = throughput.workPerSecond(1, 0);
+        assertEquals(5, observed, 0.3);
         throughput.advance(180 * SECOND, 0, 0, 0);
-        assertEquals(known, throughput.workPerSecond(1, 0), 1e-9);
-        assertEquals(known / 2, throughput.workPerSecond(0.5, 0), 1e-9, "a host of half the mean size");
-        assertEquals(known, throughput.workPerSecond(3, 0), 1e-9, "no more than a mean one");
+        assertEquals(observed, throughput.workPerSecond(1, 0), 1e-9);
+        assertEquals(observed / 2, throughput.workPerSecond(0.5, 0), 1e-9, "host of half the mean size");
+        assertEquals(observed, throughput.workPerSecond(3, 0), 1e-9, "host of three times the mean size");
     }
 
     @Test
-    void throughputThatHasNotShownIsTakenFromTheDemand() {
+    void throughputIsAssumedToEqualDemandBeforeAnyReply() {
         HostThroughput throughput = new HostThroughput();
         throughput.advance(0, 10, 10, 10);
         throughput.advance(MS, 10, 10, 10);
         assertEquals(10, throughput.workPerSecond(1, 100), 0.2);
     }
 
-    /** Clients may ask for any multiple of what hosts do: soon only what was answered counts. */
+    /**
+     * Clients may ask for any multiple of the capacity of the hosts, so replies alone must soon determine the
+     * throughput.
+     */
     @Test
-    void throughputIsThatOfTheAnswersHalfASecondLaterHoweverMuchIsAskedFor() {
+    void throughputIsIndependentOfDemandHalfASecondAfterStart() {
         HostThroughput throughput = new HostThroughput();
         throughput.advance(0, 10, 10, 10);
         for (long at = 100 * MS; at <= 3 * SECOND; at += 100 * MS) {
             throughput.recordServed(10);
             throughput.advance(at, 10, 10, 10);
             if (at >= 500 * MS) {
-                double known = throughput.workPerSecond(1, 100_000);
-                assertTrue(known <= 10, "ten hosts answer 100 a second, at " + at + ": " + known);
+                double observed = throughput.workPerSecond(1, 100_000);
+                assertTrue(observed <= 10, "each host serves 10 per second, but at " + at + " us got " + observed);
             }
         }
         assertEquals(10, throughput.workPerSecond(1, 100_000), 1);
     }
 
     @Test
-    void riseOfTheDemandShowsWithinSeconds() {
+    void demandFollowsARiseWithinSeconds() {
         RouterFixture fixture = new RouterFixture().start();
         ReplicaSetDemand demand = new ReplicaSetDemand();
         InFlightRequest read = request(fixture, RouterFixture.EVENTUAL_READ, 1);
@@ -83,25 +88,28 @@
         for (; at < 60 * SECOND; at += 250 * MS) {
             demand.requestArrived(at, read);
         }
-        double usual = demand.readsPerSecond(at, 0);
+        double rateBefore = demand.readsPerSecond(at, 0);
         for (; at < 63 * SECOND; at += 50 * MS) {
             demand.requestArrived(at, read);
         }
-        assertTrue(demand.readsPerSecond(at, 0) > 2.5 * usual, "five times as many came for 3 s");
+        assertTrue(demand.readsPerSecond(at, 0) > 2.5 * rateBefore, "the rate is five times as high for 3 s");
         assertEquals(0, demand.primaryOnlyPerSecond(at, 0));
     }
 
-    private static InFlightRequest request(RouterFixture fixture, int kind, long id) {
+    private static InFlightRequest request(RouterFixture fixture, int classIndex, long id) {
         ClassStatistics statistics =
-                new ClassStatistics(fixture.settings().classes().get(kind));
+                new ClassStatistics(fixture.settings().classes().get(classIndex));
         RoutingRequest request = new RoutingRequest(
-                id, kind, 0, "session", -1, false, RouterFixture.CLIENT_TIMEOUT_MICROS, Positions.UNKNOWN);
+                id, classIndex, 0, "session", -1, false, RouterFixture.CLIENT_TIMEOUT_MICROS, Positions.UNKNOWN);
         return new InFlightRequest(request, statistics, 0, Positions.UNKNOWN, false, 0.5, 6, 1);
     }
 
-    /** What a host was sent before it was told to have started counts as well: it started a moment ago. */
+    /**
+     * Attempts that were sent before the endpoint list reported the start count too, because the host had already
+     * started then.
+     */
     @Test
-    void whatWasSentRightBeforeTheStartIsCounted() {
+    void attemptsSentBeforeTheStartIsListedAreCounted() {
         RouterFixture fixture = new RouterFixture();
         fixture.hasSharedSession = false;
         fixture.start().listReplicaSet();
@@ -110,25 +118,28 @@
             fixture.now += 10 * MS;
             fixture.attemptsOf(i).forEach(sent -> fixture.endAttempt(sent, 0, AttemptOutcome.SUCCESS));
         }
-        int before = fixture.sentAttempts.size();
-        fixture.updateEndpoints(EndpointUpdateType.DELTA, started("r1", fixture.now));
+        int sentBefore = fixture.sentAttempts.size();
+        fixture.updateEndpoints(EndpointUpdateType.DELTA, startedEntry("r1", fixture.now));
         for (int i = 1_000; i < 1_020; i++) {
             fixture.sendRequest(i, RouterFixture.EVENTUAL_READ);
             fixture.now += 10 * MS;
             fixture.attemptsOf(i).forEach(sent -> fixture.endAttempt(sent, 0, AttemptOutcome.SUCCESS));
         }
-        List<RouterFixture.SentAttempt> after = fixture.sentAttempts.subList(before, fixture.sentAttempts.size());
+        List<RouterFixture.SentAttempt> after = fixture.sentAttempts.subList(sentBefore, fixture.sentAttempts.size());
         assertEquals(20, after.size());
-        assertTrue(after.stream().noneMatch(sent -> sent.host().equals("r1")), after.toString());
+        assertTrue(after.stream().noneMatch(attempt -> attempt.host().equals("r1")), after.toString());
     }
 
-    /** Each way to a host passes through the gate: further attempts, trials and what only that host can serve too. */
+    /**
+     * Every path to a host in slow start must respect the budget: retries, trial requests and requests that only this
+     * host can serve.
+     */
     @Test
-    void stickyRequestsAreCountedToo() {
+    void stickyRequestsAreSubjectToTheBudget() {
         RouterFixture fixture = new RouterFixture();
         fixture.hasSharedSession = false;
         fixture.start().listReplicaSet();
-        fixture.updateEndpoints(EndpointUpdateType.DELTA, started("p", fixture.now));
+        fixture.updateEndpoints(EndpointUpdateType.DELTA, startedEntry("p", fixture.now));
         for (int i = 0; i < 50; i++) {
             fixture.router.onRequest(
                     fixture.now,
@@ -146,10 +157,10 @@
         assertFalse(fixture.sentAttempts.isEmpty());
         assertTrue(
                 fixture.sentAttempts.size() < 10,
-                "sent " + fixture.sentAttempts.size() + " of 50 at once to a host that just started");
+                "sent " + fixture.sentAttempts.size() + " of 50 requests at once to a host that has just started");
     }
 
-    private static EndpointEntry started(String host, long at) {
+    private static EndpointEntry startedEntry(String host, long at) {
         return new EndpointEntry(host, false, "z", 0, EndpointState.SERVING, 1, at);
     }
 }
