--- a/src/main/java/mintstair/decision/AnswerLossEstimator.java
+++ b/src/main/java/mintstair/decision/AnswerLossEstimator.java
@@ -1,16 +1,16 @@
 package mintstair.decision;
 
 /**
- * Tells whether answers get lost on their way: more of them are missing than the latencies of those that come
- * explain. Not safe for use by several threads.
+ * Estimates whether replies of database hosts are lost on the network: more attempts end without a reply than the
+ * latencies of the received replies explain. Not safe for use by several threads.
  */
 final class AnswerLossEstimator {
-    /** Share of missing answers, over what latencies explain, from which on answers count as being lost. */
+    /** Share of missing replies, beyond what the latencies explain, above which replies are considered lost. */
     private static final double LOSS_THRESHOLD = 0.1;
-    /** Weight of the newest attempt in the mean. */
+    /** Weight of the newest attempt in the moving average. */
     private static final double NEWEST_WEIGHT = 0.05;
-
-    private static final double MIN_ANSWER_TIME = 0.05;
+    /** Lower bound of the ratio of mean latency to latency objective. */
+    private static final double MIN_LATENCY_RATIO = 0.05;
 
     private final PooledLimits pooled;
     private double lostShare;
@@ -19,15 +19,16 @@
         this.pooled = pooled;
     }
 
-    /** An attempt was answered well, or its answer was lost. */
+    /** Records an attempt that succeeded, or whose reply was lost. */
     void record(boolean lost) {
         lostShare += NEWEST_WEIGHT * ((lost ? 1 : 0) - lostShare);
     }
 
-    /** Whether answers get lost, rather than late by overload. */
+    /** Returns whether replies are lost rather than delayed by overload, which slow replies would show. */
     boolean isLosingReplies() {
-        double answerTime = Math.max(MIN_ANSWER_TIME, pooled.replicas().answerTime());
-        boolean swift = answerTime < ConcurrencyLimit.SWIFT * ConcurrencyLimit.STRAIN_AIM;
-        return swift && lostShare > LOSS_THRESHOLD + Math.exp(-1 / answerTime);
+        double latencyRatio = Math.max(MIN_LATENCY_RATIO, pooled.replicas().meanLatencyRatio());
+        boolean fast = latencyRatio < ConcurrencyLimit.FAST_REPLY_FACTOR * ConcurrencyLimit.TARGET_LATENCY_RATIO;
+        // Of exponentially distributed latencies, the share exp(-1 / ratio) exceeds the objective.
+        return fast && lostShare > LOSS_THRESHOLD + Math.exp(-1 / latencyRatio);
     }
 }
--- a/src/main/java/mintstair/decision/HedgingPolicy.java
+++ b/src/main/java/mintstair/decision/HedgingPolicy.java
@@ -1,12 +1,15 @@
 package mintstair.decision;
 
-/** Decides when an attempt takes so long that its request is tried elsewhere. Times are microseconds. */
+/**
+ * Decides when an attempt has taken so long that its request should be sent to another endpoint. Times are
+ * microseconds. Not safe for use by several threads.
+ */
 final class HedgingPolicy {
-    /** Mean deviations over the mean latency after which an attempt counts as stuck; fewer while answers get lost. */
+    /** An attempt counts as stuck this many mean deviations above the mean latency; fewer while replies are lost. */
     static final double STUCK_DEVIATIONS = 4;
 
     private static final double STUCK_DEVIATIONS_WITH_LOSS = 1.5;
-    /** Mean latencies that are left for the other attempt while answers get lost. */
+    /** While replies are lost, this many mean latencies before the objective's end are reserved for another attempt. */
     private static final double RESERVED_LATENCIES = 1.5;
 
     private final RouterClock clock;
@@ -17,19 +20,19 @@
         this.answerLoss = answerLoss;
     }
 
-    /** When the request's newest attempt counts as stuck. */
+    /** Returns the time from which on the request's newest attempt counts as stuck. */
     long stuckAt(InFlightRequest request) {
         ClassStatistics statistics = request.statistics;
         long since = Math.max(request.lastSentAt(), clock.runningSince());
         double wait = statistics.meanPlusDeviations(STUCK_DEVIATIONS);
         if (answerLoss.isLosingReplies()) {
-            double left = request.objectiveEnd() - RESERVED_LATENCIES * statistics.meanLatency() - since;
-            wait = Math.min(wait, Math.max(statistics.meanPlusDeviations(STUCK_DEVIATIONS_WITH_LOSS), left));
+            double available = request.objectiveEnd() - RESERVED_LATENCIES * statistics.meanLatency() - since;
+            wait = Math.min(wait, Math.max(statistics.meanPlusDeviations(STUCK_DEVIATIONS_WITH_LOSS), available));
         }
         return since + (long) wait;
     }
 
-    /** Whether an attempt at the endpoint may be cancelled, so that the request can be tried elsewhere. */
+    /** Returns whether an attempt at the endpoint may be cancelled so that the request can be sent elsewhere. */
     boolean canCancelAt(Endpoint endpoint) {
         return endpoint.liveness.isUnresponsive() || answerLoss.isLosingReplies();
     }
--- a/src/main/java/mintstair/decision/HostThroughput.java
+++ b/src/main/java/mintstair/decision/HostThroughput.java
@@ -1,87 +1,92 @@
 package mintstair.decision;
 
 /**
- * How much of this router's work one warm host does in a second, in the mean over all hosts. What all routers together
- * find so is no more than a host can do, however much clients ask for: only answers count. A router that has just begun
- * assumes for 0.3 s, and less from moment to moment, that hosts do what clients ask for; it knows little of
- * that then either. Later it errs on the low side. A time in which no host was there to answer leaves it as it was.
- * Times are microseconds. Not safe for use by several threads.
+ * Estimates how much of this router's work one warm host completes per second, on average over all hosts.
+ *
+ * <p>Only completed work counts, however much clients demand, so the estimates of all routers add up to no more than a
+ * host can do. For the first 0.3 s of observation, with decreasing weight, a router assumes that hosts complete what
+ * clients demand, of which it knows little then either; later the estimate errs on the low side. The estimate does not
+ * change while no host is available. Times are microseconds. Not safe for use by several threads.
  */
 final class HostThroughput {
     private static final double MICROS_PER_SECOND = 1e6;
-    private static final double LONGEST_MEMORY_MICROS = 30_000_000;
-    private static final double SHORTEST_MEMORY_MICROS = 500_000;
+    private static final double MAX_MEMORY_MICROS = 30_000_000;
+    private static final double MIN_MEMORY_MICROS = 500_000;
     /**
-     * The memory is this part of the time observed, so that a router whose hosts all start with it follows what they
-     * come to do.
+     * The time constant of the decay is this part of the time observed, so that a router that starts together with its
+     * hosts follows them as their throughput rises.
      */
-    private static final double MEMORY_OF_OBSERVED = 0.5;
+    private static final double MEMORY_TO_OBSERVED = 0.5;
 
     private static final long ADVANCE_INTERVAL_MICROS = 100_000;
-    /** Added to the time of each host: the first answers of a short time are taken for chance. */
-    private static final double UNSURE_MICROS = 100_000;
-    /** For so long after it began to observe, ever less is assumed of what has not shown. */
-    private static final double ASSUMING_MICROS = 300_000;
-
-    /** The work answered, and the time in which each warm host could have answered; cold ones count in part. */
-    private double answeredWork;
+    /** Added to the time of each host, so that a few early replies do not give a high estimate by chance. */
+    private static final double UNCERTAINTY_MICROS = 100_000;
+    /** Time of observation after which nothing is assumed any more. */
+    private static final double ASSUMPTION_MICROS = 300_000;
 
+    private double completedWork;
+    /** The time in which hosts were available, summed over hosts; those in slow start count by their capacity share. */
     private double hostMicros;
+
     private double observedMicros;
     private long advancedAt = Endpoint.NEVER;
     private int hosts = 1;
     private double warmHosts = 1;
     private double meanSize = 1;
 
-    /** A host has served a request. */
+    /** Records the work of a request that a host has served. */
     void recordServed(double work) {
-        answeredWork += work;
+        completedWork += work;
     }
 
-    /** Whether {@link #advance} is due. */
+    /** Returns whether {@link #advance} is due. */
     boolean isDue(long now) {
         return now - advancedAt >= ADVANCE_INTERVAL_MICROS;
     }
 
     /**
-     * Since the last call so many hosts were there.
+     * Accounts for the time since the last call.
      *
-     * @param warmThere the same, with those in slow start counted by their share
-     * @param sizes the sum of their sizes by the endpoint list
+     * @param availableHosts the number of hosts that were available
+     * @param warmAvailableHosts the same, where those in slow start count by their capacity share
+     * @param totalSize the sum of the sizes of these hosts by the endpoint list
      */
-    void advance(long now, int hostsThere, double warmThere, double sizes) {
-        long passed = advancedAt == Endpoint.NEVER ? 0 : now - advancedAt;
+    void advance(long now, int availableHosts, double warmAvailableHosts, double totalSize) {
+        long elapsed = advancedAt == Endpoint.NEVER ? 0 : now - advancedAt;
         advancedAt = Math.max(advancedAt, now);
-        if (hostsThere == 0) {
+        if (availableHosts == 0) {
             return;
         }
-        hosts = hostsThere;
-        warmHosts = warmThere;
-        meanSize = sizes / hostsThere;
-        observedMicros += passed;
-        double kept = Math.exp(-passed / memoryMicros());
-        answeredWork *= kept;
-        hostMicros = (hostMicros + warmThere * passed) * kept;
+        hosts = availableHosts;
+        warmHosts = warmAvailableHosts;
+        meanSize = totalSize / availableHosts;
+        observedMicros += elapsed;
+        double kept = Math.exp(-elapsed / memoryMicros());
+        completedWork *= kept;
+        hostMicros = (hostMicros + warmAvailableHosts * elapsed) * kept;
     }
 
     private double memoryMicros() {
-        double growing = Math.max(SHORTEST_MEMORY_MICROS, MEMORY_OF_OBSERVED * observedMicros);
-        return Math.min(LONGEST_MEMORY_MICROS, growing);
+        double growing = Math.max(MIN_MEMORY_MICROS, MEMORY_TO_OBSERVED * observedMicros);
+        return Math.min(MAX_MEMORY_MICROS, growing);
     }
 
     /**
-     * The work that a warm host of this size does in a second for this router, whose clients ask for so much in all. A
-     * large one counts as one of the mean: sizes are rough, and some tell how busy a host was.
+     * Returns the work per second that a warm host of this size completes for this router. A host above the mean size
+     * counts as one of mean size: sizes are rough, and some reflect how busy a host was.
+     *
+     * @param size the size by the endpoint list; 0 or less where unknown
+     * @param demandPerSecond the work per second that this router's clients demand of all hosts together
      */
     double workPerSecond(double size, double demandPerSecond) {
         double relativeSize = size > 0 ? Math.min(1, size / meanSize) : 1;
-        return relativeSize * perMeanHostSecond(demandPerSecond);
+        return relativeSize * meanWorkPerSecond(demandPerSecond);
     }
 
-    private double perMeanHostSecond(double demandPerSecond) {
-        double unsureMicros = warmHosts * UNSURE_MICROS;
-        double assuming = Math.max(0, 1 - observedMicros / ASSUMING_MICROS);
-        double assumedWork = assuming * demandPerSecond / hosts * unsureMicros / MICROS_PER_SECOND;
-        return (answeredWork + assumedWork) * MICROS_PER_SECOND / (hostMicros + unsureMicros);
+    private double meanWorkPerSecond(double demandPerSecond) {
+        double uncertainMicros = warmHosts * UNCERTAINTY_MICROS;
+        double assumedShare = Math.max(0, 1 - observedMicros / ASSUMPTION_MICROS);
+        double assumedWork = assumedShare * demandPerSecond / hosts * uncertainMicros / MICROS_PER_SECOND;
+        return (completedWork + assumedWork) * MICROS_PER_SECOND / (hostMicros + uncertainMicros);
     }
 }
--- a/src/main/java/mintstair/decision/LoadFeedback.java
+++ b/src/main/java/mintstair/decision/LoadFeedback.java
@@ -1,11 +1,11 @@
 package mintstair.decision;
 
 /**
- * Learns from the ends of attempts how loaded endpoints are: latencies of classes, outliers, lost answers and the
- * concurrency limits. Times are microseconds. Not safe for use by several threads.
+ * Updates the load measurements from the results of attempts: latencies of request classes, outliers among endpoints,
+ * lost replies and the concurrency limits. Times are microseconds. Not safe for use by several threads.
  */
 final class LoadFeedback {
-    /** Share of its latency objective after which an attempt that is still out counts as evidence. */
+    /** Share of its latency objective after which an attempt still in flight counts as late. */
     private static final double LATE_SHARE = 0.7;
 
     private final RouterClock clock;
@@ -20,8 +20,8 @@
         this.answerLoss = answerLoss;
     }
 
-    /** An attempt has ended; {@code answered} where its endpoint said anything. */
-    void attemptEnded(long now, Endpoint endpoint, InFlightRequest request, AttemptResult result, boolean answered) {
+    /** Records the result of an attempt; {@code replied} tells whether its endpoint sent any reply. */
+    void attemptEnded(long now, Endpoint endpoint, InFlightRequest request, AttemptResult result, boolean replied) {
         AttemptOutcome outcome = result.outcome();
         ClassStatistics statistics = request.statistics;
         endpoint.outliers.decay(now);
@@ -30,24 +30,28 @@
             statistics.recordLatency(result.latencyMicros());
             requestWork.recordLatency(result.latencyMicros());
         }
-        if (isEndpointsDoing(outcome)) {
+        if (isAttributableToEndpoint(outcome)) {
             endpoint.outliers.recordOutcome(isFailure(outcome));
             recordLoss(outcome, result.latencyMicros() > statistics.meanPlusDeviations(HedgingPolicy.STUCK_DEVIATIONS));
         }
         long objective = request.requestClass().latencyObjectiveMicros();
-        // What was given up when hardly begun, as its request's time ran out, says nothing of an endpoint.
-        boolean givenUp =
+        // An attempt that was abandoned soon after its start, because its request ran out of time, says nothing about
+        // the endpoint.
+        boolean abandoned =
                 outcome == AttemptOutcome.TIMEOUT || (outcome == AttemptOutcome.CANCELLED && !request.isFinished());
-        boolean givenUpLate = givenUp && result.latencyMicros() >= LATE_SHARE * objective;
+        boolean abandonedLate = abandoned && result.latencyMicros() >= LATE_SHARE * objective;
         if (outcome == AttemptOutcome.SUCCESS) {
-            sample(now, endpoint, (double) result.latencyMicros() / objective, answered, false);
-        } else if (outcome == AttemptOutcome.OVERLOADED || givenUpLate) {
+            sample(now, endpoint, (double) result.latencyMicros() / objective, replied, false);
+        } else if (outcome == AttemptOutcome.OVERLOADED || abandonedLate) {
             boolean rejected = outcome == AttemptOutcome.OVERLOADED;
-            sample(now, endpoint, ConcurrencyLimit.NOT_IN_TIME, answered, rejected);
+            sample(now, endpoint, ConcurrencyLimit.MAX_LATENCY_RATIO, replied, rejected);
         }
     }
 
-    /** The newest attempt of the request is still out: counts it as late once, when that time has come. */
+    /**
+     * Records the newest attempt of a request with attempts in flight as late, if it was sent long enough ago; at most
+     * once for each attempt.
+     */
     void recordIfLate(long now, InFlightRequest request) {
         long since = Math.max(request.lastSentAt(), clock.runningSince());
         long lateAt = since + (long) (LATE_SHARE * request.requestClass().latencyObjectiveMicros());
@@ -57,7 +61,7 @@
         }
     }
 
-    private static boolean isEndpointsDoing(AttemptOutcome outcome) {
+    private static boolean isAttributableToEndpoint(AttemptOutcome outcome) {
         return switch (outcome) {
             case MISDIRECTED, NOT_SENT, CANCELLED -> false;
             default -> true;
@@ -78,16 +82,16 @@
         }
     }
 
-    /** Feeds the concurrency limit that the endpoint counts for. */
-    private void sample(long now, Endpoint endpoint, double ofObjective, boolean answered, boolean rejected) {
+    /** Adds a sample to the concurrency limit that applies to the endpoint. */
+    private void sample(long now, Endpoint endpoint, double latencyRatio, boolean replied, boolean rejected) {
         ReplicaSet replicaSet = endpoint.replicaSet;
-        double bounded = Math.min(ConcurrencyLimit.NOT_IN_TIME, ofObjective);
+        double bounded = Math.min(ConcurrencyLimit.MAX_LATENCY_RATIO, latencyRatio);
         if (endpoint.isPrimary()) {
-            endpoint.primaryLimit.sample(now, bounded, answered, rejected, endpoint.inFlight, 1);
+            endpoint.primaryLimit.sample(now, bounded, replied, rejected, endpoint.inFlight, 1);
         } else if (!endpoint.liveness.isUnresponsive()) {
             ReplicaSurvey survey = replicas.survey(now, replicaSet);
             replicaSet.replicaLimit.sample(
-                    now, bounded, answered, rejected, survey.inFlightPerReplica(), survey.perAttempt());
+                    now, bounded, replied, rejected, survey.inFlightPerReplica(), survey.perAttempt());
         }
     }
 }
--- a/src/main/java/mintstair/decision/PooledLimits.java
+++ b/src/main/java/mintstair/decision/PooledLimits.java
@@ -1,44 +1,46 @@
 package mintstair.decision;
 
 /**
- * The concurrency limits over all replica sets, which stand in for those of a single one as long as that has little
- * evidence.
+ * The concurrency limits over all replica sets, which are used in place of that of a single replica set while it has
+ * few samples. Not safe for use by several threads.
  *
- * @param primaries the limit of one primary, learned from all of them
- * @param replicas the limit of one replica, learned from all of them
+ * @param primaries the limit of one primary, adapted to the samples of all primaries
+ * @param replicas the limit of one replica, adapted to the samples of all replicas
  */
 record PooledLimits(ConcurrencyLimit primaries, ConcurrencyLimit replicas) {
-    /** Slow answers alone leave a primary one request in flight: writes have no other place. */
-    private static final double MIN_AT_PRIMARY = 1;
+    /** Slow replies alone do not lower the limit of a primary below one request: writes have no other endpoint. */
+    private static final double PRIMARY_SLOW_REPLY_FLOOR = 1;
 
-    private static final double MIN_AT_REPLICA = 0;
+    private static final double REPLICA_SLOW_REPLY_FLOOR = 0;
 
+    /** Creates limits without samples. */
     static PooledLimits create(double fleetSize) {
         return new PooledLimits(
-                new ConcurrencyLimit(fleetSize, null, MIN_AT_PRIMARY),
-                new ConcurrencyLimit(fleetSize, null, MIN_AT_REPLICA));
+                new ConcurrencyLimit(fleetSize, null, PRIMARY_SLOW_REPLY_FLOOR),
+                new ConcurrencyLimit(fleetSize, null, REPLICA_SLOW_REPLY_FLOOR));
     }
 
-    /** The limit of an endpoint while it is a primary. */
+    /** Creates the limit that applies to an endpoint while it is a primary. */
     ConcurrencyLimit newPrimaryLimit(double fleetSize) {
-        return new ConcurrencyLimit(fleetSize, primaries, MIN_AT_PRIMARY);
+        return new ConcurrencyLimit(fleetSize, primaries, PRIMARY_SLOW_REPLY_FLOOR);
     }
 
-    /** The limit of each replica of a replica set. */
+    /** Creates the limit that applies to each replica of a replica set. */
     ConcurrencyLimit newReplicaLimit(double fleetSize) {
-        return new ConcurrencyLimit(fleetSize, replicas, MIN_AT_REPLICA);
+        return new ConcurrencyLimit(fleetSize, replicas, REPLICA_SLOW_REPLY_FLOOR);
     }
 
-    /** Adopts another fleet size. */
+    /** Changes the number of routers that share the hosts. */
     void setFleetSize(double fleetSize) {
         primaries.setFleetSize(fleetSize);
         replicas.setFleetSize(fleetSize);
     }
 
     /**
-     * How swift replicas are: 1 where they answer at once, 0 where answers take their whole share of the objectives.
+     * Returns the headroom of replicas: 1 where they reply immediately, 0 where the mean latency is at its target or
+     * above.
      */
-    double replicaSlack() {
-        return Math.max(0, 1 - replicas.answerTime() / ConcurrencyLimit.STRAIN_AIM);
+    double replicaHeadroom() {
+        return Math.max(0, 1 - replicas.meanLatencyRatio() / ConcurrencyLimit.TARGET_LATENCY_RATIO);
     }
 }
--- a/src/main/java/mintstair/decision/RetryPolicy.java
+++ b/src/main/java/mintstair/decision/RetryPolicy.java
@@ -4,26 +4,27 @@
 import mintstair.request.GiveUpReason;
 
 /**
- * Decides whether a request may be tried again: no effect may occur twice, and retries stay within a budget that each
- * request earns a part of. Times are microseconds. Not safe for use by several threads.
+ * Decides whether a request may be retried: no effect may occur twice, and retries stay within a retry budget, to which
+ * each request adds a fraction. Times are microseconds. Not safe for use by several threads.
  */
 final class RetryPolicy {
-    /** Kept free before a deadline so that an answer still counts. */
+    /** Time reserved before a deadline, so that the response still arrives in time. */
     static final long DEADLINE_MARGIN_MICROS = 15_000;
-    /** Retries earned by each request; more of them while replicas answer swiftly. */
+    /** Retries that each request adds to the budget; the more headroom replicas have, the closer to the maximum. */
     private static final double RETRIES_PER_REQUEST = 0.1;
 
     private static final double MAX_RETRIES_PER_REQUEST = 0.4;
-    /** Retries saved up at the start, and at most. */
+    /** Retries in the budget at the start, and at most. */
     private static final double INITIAL_RETRIES = 2;
 
     private static final double MAX_RETRIES = 20;
     /**
-     * How long a decision on a bounded read holds: its staleness counts from the sending, so one that waited longer
-     * for a connection is decided on anew. Less than the rules leave on sockets.
+     * How long a routing decision on a read with bounded staleness is valid. The staleness is measured from when the
+     * attempt is sent, so an attempt that waits longer for a connection needs a new decision. Must be below the
+     * tolerance that the invariants allow on sockets.
      */
     private static final long BOUNDED_READ_VALID_MICROS = 25_000;
-    /** Share of its latency objective after which a rejected client is asked to come back. */
+    /** Retry-After value as a share of the latency objective. */
     private static final double RETRY_AFTER_SHARE = 0.3;
 
     private final Supplier<RouterSettings> settings;
@@ -35,34 +36,38 @@
         this.pooled = pooled;
     }
 
-    /** A request has arrived, one of so many a second, and earns a part of a retry. */
+    /** Adds to the budget for a request that has arrived; {@code requestsPerSecond} bounds the budget. */
     void requestArrived(double requestsPerSecond) {
-        double additional = (MAX_RETRIES_PER_REQUEST - RETRIES_PER_REQUEST) * pooled.replicaSlack();
+        double additional = (MAX_RETRIES_PER_REQUEST - RETRIES_PER_REQUEST) * pooled.replicaHeadroom();
         budget.earn(RETRIES_PER_REQUEST + additional, requestsPerSecond);
     }
 
-    /** Whether a further attempt can be afforded. */
+    /** Returns whether the budget allows a further attempt. */
     boolean hasBudget() {
         return budget.hasToken();
     }
 
-    /** Pays for a further attempt; returns whether it could be afforded. */
+    /** Takes a further attempt from the budget; returns false if the budget is empty. */
     boolean tryAcquire() {
         return budget.tryAcquire();
     }
 
-    /** Pays for the attempt that follows one that ended so; returns whether it could be afforded. */
+    /** Takes the retry of an attempt with this outcome from the budget; returns false if the budget is empty. */
     boolean tryAcquireAfter(AttemptOutcome outcome) {
         return switch (outcome) {
-            // Nothing was lost with these, and a cancelled one was paid for when it was cancelled.
+            // A misdirected or unsent attempt wasted no work of a host; the budget paid for the retry of a cancelled
+            // attempt when that was cancelled.
             case MISDIRECTED, NOT_SENT, CANCELLED -> true;
             default -> budget.tryAcquire();
         };
     }
 
-    /** Whether the request may be sent, again or for the first time: what may have run only where its class says so. */
+    /**
+     * Returns whether an attempt of the request may be sent, the first or a further one. A request that may have been
+     * executed is only sent again if its class permits it.
+     */
     boolean canSend(long now, InFlightRequest request) {
-        if (request.attempts() >= mostAttempts(request) || isOutOfTime(now, request)) {
+        if (request.attempts() >= maxAttempts(request) || isOutOfTime(now, request)) {
             return false;
         }
         if (request.isSticky()) {
@@ -77,30 +82,33 @@
                 && now < deduplicationEnd(request);
     }
 
-    /** Why a request that may not be sent now is given up. */
+    /** Returns why a request for which {@link #canSend} is false is given up. */
     GiveUpReason giveUpReason(long now, InFlightRequest request) {
         if (isOutOfTime(now, request)) {
             return GiveUpReason.OUT_OF_TIME;
         }
-        boolean exhausted = request.attempts() >= mostAttempts(request);
+        boolean exhausted = request.attempts() >= maxAttempts(request);
         return exhausted ? GiveUpReason.ATTEMPTS_EXHAUSTED : GiveUpReason.NOT_REPEATABLE;
     }
 
-    private int mostAttempts(InFlightRequest request) {
+    private int maxAttempts(InFlightRequest request) {
         return Math.min(request.maxAttempts(), settings.get().limits().maxAttempts());
     }
 
-    /** Whether a further attempt could be hedged or moved: anything but what must not run twice. */
+    /**
+     * Returns whether the request may be sent to another endpoint while its attempt is in flight: false if it must not
+     * be executed twice, or if two attempts are in flight.
+     */
     static boolean canHedge(InFlightRequest request) {
         return request.requestClass().idempotency() != Idempotency.NOT_IDEMPOTENT && request.outstanding() <= 1;
     }
 
-    /** Whether an answer can no longer reach the client in time. */
+    /** Returns whether a response can no longer reach the client before its deadline. */
     static boolean isOutOfTime(long now, InFlightRequest request) {
         return now >= request.deadline - DEADLINE_MARGIN_MICROS;
     }
 
-    /** Until when the attempt may begin, as what the decision rests on holds till then. */
+    /** Returns the time until which the routing decision is valid; an attempt must not begin later. */
     static long beginBy(long now, InFlightRequest request) {
         if (request.requestClass().consistency() == Consistency.BOUNDED_STALENESS) {
             return now + BOUNDED_READ_VALID_MICROS;
@@ -109,20 +117,20 @@
         return deduplicated ? deduplicationEnd(request) : Long.MAX_VALUE;
     }
 
-    /** When to give the attempt up; 0 where that is the client's deadline. */
+    /** Returns when to abandon an attempt of the request; 0 if that is the client's deadline. */
     static long abandonAt(InFlightRequest request) {
-        long until = request.isWorthlessWhenLate() ? request.objectiveEnd() : 0;
-        return until < request.deadline ? until : 0;
+        long abandonAt = request.isWorthlessWhenLate() ? request.objectiveEnd() : 0;
+        return abandonAt < request.deadline ? abandonAt : 0;
     }
 
-    /** Until then hosts drop the repeats of a request with an idempotency key. */
+    /** Returns when the deduplication window of a request that may have been executed ends, less the margin. */
     private static long deduplicationEnd(InFlightRequest request) {
         return request.firstMayHaveRunAt()
                 + request.requestClass().deduplicationWindowMicros()
                 - DEADLINE_MARGIN_MICROS;
     }
 
-    /** Whether it can be promised that the client may send the request again without doubling its effect. */
+    /** Returns whether it is certain that the client can repeat the request without a second effect. */
     static boolean isSafeToRepeat(InFlightRequest request) {
         if (request.isRepeatable() || (!request.mayHaveRun() && request.outstanding() == 0)) {
             return true;
@@ -133,7 +141,8 @@
     }
 
     /**
-     * After how long a rejected client should come back: within its latency objective, or else late; 0 for no advice.
+     * Returns the Retry-After value for a rejected client: a time within the latency objective, or the largest
+     * permitted value if the objective can no longer be met; 0 if no value is sent.
      */
     long retryAfter(long now, InFlightRequest request) {
         AttemptLimits limits = settings.get().limits();
--- a/src/main/java/mintstair/decision/SlowStart.java
+++ b/src/main/java/mintstair/decision/SlowStart.java
@@ -1,79 +1,79 @@
 package mintstair.decision;
 
 /**
- * The slow start of one host: since when it has been warming up, and what share of its capacity it can be trusted
- * with. Times are microseconds on the router's own clock. Not safe for use by several threads.
+ * The slow start of one host: since when it has been warming up, and which share of its capacity it is assumed to have.
+ * Times are microseconds on the router's own clock. Not safe for use by several threads.
  */
 final class SlowStart {
     private boolean active;
-    /** Whether it follows the start in the endpoint list, and not what this router found. */
+    /** Whether the start was read from the endpoint list rather than detected by this router. */
     private boolean fromList;
 
-    private long since;
+    private long startedAt;
     private int attemptsSent;
     private int requestsHeldBack;
 
-    /** The host came back at this time, by what this router found. */
-    void found(long at) {
+    /** Begins a slow start because this router detected that the host started at this time. */
+    void beginDetected(long at) {
         begin(at, false);
     }
 
-    /** By the endpoint list the host started at this time. */
-    void listed(long at) {
+    /** Begins a slow start because the host started at this time according to the endpoint list. */
+    void beginListed(long at) {
         begin(at, true);
     }
 
-    private void begin(long at, boolean byList) {
+    private void begin(long at, boolean listed) {
         active = true;
-        fromList = byList;
-        since = at;
+        fromList = listed;
+        startedAt = at;
         attemptsSent = 0;
         requestsHeldBack = 0;
     }
 
-    /** An attempt was sent to the host while it was warming up. */
-    void attemptSent() {
+    /** Records that an attempt was sent to the host while it was warming up. */
+    void recordAttemptSent() {
         attemptsSent++;
     }
 
-    /** A request was not sent to the host because it was warming up. */
-    void requestHeldBack() {
+    /** Records that a request was held back from the host because it was warming up. */
+    void recordRequestHeldBack() {
         requestsHeldBack++;
     }
 
-    /** Attempts sent since it began last. */
+    /** Returns the number of attempts sent in the latest slow start. */
     int attemptsSent() {
         return attemptsSent;
     }
 
-    /** Requests held back, each counted once, since it began last. */
+    /** Returns the number of requests held back in the latest slow start, each counted once. */
     int requestsHeldBack() {
         return requestsHeldBack;
     }
 
-    /** By the endpoint list the start is too long ago to matter. */
-    void listedAsWarm() {
+    /** Ends a slow start that was read from the endpoint list, because the listed start is too long ago. */
+    void endListed() {
         active &= !fromList;
     }
 
-    /** Whether it is warming up, as far as was looked at. */
+    /** Returns whether the host was warming up when {@link #capacityShare} was last called or the slow start began. */
     boolean isActive() {
         return active;
     }
 
-    /** When it began last; 0 where it never did. */
-    long since() {
-        return since;
+    /** Returns the start of the host that began the latest slow start; 0 if there was none. */
+    long startedAt() {
+        return startedAt;
     }
 
-    /** The share of its capacity that the host can be trusted with now. */
+    /** Returns the share of its capacity that the host is assumed to have now, below 1 during slow start. */
     double capacityShare(long now, ProtectionSettings protection) {
         if (!active) {
             return 1;
         }
-        double cold = protection.slowStartInitialShare();
-        double share = cold + (1 - cold) * (now - since) / Math.max(1, protection.slowStartMicros());
+        double initial = protection.slowStartInitialShare();
+        double share = initial + (1 - initial) * (now - startedAt) / Math.max(1, protection.slowStartMicros());
         active = share < 1;
-        return Math.max(cold, Math.min(1, share));
+        return Math.max(initial, Math.min(1, share));
     }
 }
--- a/src/main/java/mintstair/decision/SlowStartController.java
+++ b/src/main/java/mintstair/decision/SlowStartController.java
@@ -6,8 +6,8 @@
 import java.util.function.Supplier;
 
 /**
- * Decides when an endpoint is in slow start: after its start by the endpoint list, or after it was found to have come
- * back. Times are microseconds. Not safe for use by several threads.
+ * Begins the slow starts of endpoints, after a start that the endpoint list reports or that this router detects, and
+ * logs when they begin and end. Times are microseconds. Not safe for use by several threads.
  */
 final class SlowStartController {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -15,7 +15,7 @@
     private final Supplier<RouterSettings> settings;
     private final PositionClock positions;
     private final RouterActions actions;
-    /** The endpoints whose slow start has not been seen to end. */
+    /** The endpoints whose slow start has not been logged as ended. */
     private final List<Endpoint> warmingUp = new ArrayList<>();
 
     SlowStartController(Supplier<RouterSettings> settings, PositionClock positions, RouterActions actions) {
@@ -24,34 +24,37 @@
         this.actions = actions;
     }
 
-    /** The endpoint was found to have started at this time, whatever the endpoint list says. */
+    /** Begins a slow start because the endpoint was detected to have started, whatever the endpoint list reports. */
     void startDetected(Endpoint endpoint, long startedAt) {
-        endpoint.slowStart.found(startedAt);
-        begun(endpoint);
+        endpoint.slowStart.beginDetected(startedAt);
+        logBegun(endpoint);
     }
 
-    /** Judges the start by the endpoint list; due when that, or what is known of the hosts' clock, has changed. */
+    /**
+     * Begins or ends the slow start that follows the listed start of the endpoint; must be called when the listed start
+     * or the estimate of the hosts' clock has changed.
+     */
     void updateListedStart(long now, Endpoint endpoint) {
         long age = positions.startedAgo(now, endpoint.listedStart);
         if (age < settings.get().protection().slowStartMicros()) {
-            endpoint.slowStart.listed(now - age);
-            begun(endpoint);
+            endpoint.slowStart.beginListed(now - age);
+            logBegun(endpoint);
         } else {
-            endpoint.slowStart.listedAsWarm();
+            endpoint.slowStart.endListed();
         }
     }
 
-    /** Other settings hold: they may ask for a longer slow start than the one that is over. */
+    /** Begins a slow start anew if it is over by the previous settings but not by the changed ones. */
     void settingsChanged(long now, Endpoint endpoint) {
         long listed = endpoint.listedStart > 0 ? now - positions.startedAgo(now, endpoint.listedStart) : 0;
-        long start = Math.max(endpoint.slowStart.since(), listed);
+        long start = Math.max(endpoint.slowStart.startedAt(), listed);
         boolean warming = start > 0 && now - start < settings.get().protection().slowStartMicros();
         if (warming && !endpoint.slowStart.isActive()) {
             startDetected(endpoint, start);
         }
     }
 
-    /** Reports the slow starts that are over; due from time to time. */
+    /** Logs the slow starts that have ended since the last call. */
     void logEnded(long now) {
         if (!warmingUp.isEmpty()) {
             warmingUp.removeIf(endpoint -> hasEnded(now, endpoint));
@@ -67,13 +70,13 @@
                 Locale.ROOT,
                 "slow start %s: over after %.1f s, %d attempts sent, %d requests held back",
                 endpoint.name,
-                (now - slowStart.since()) / MICROS_PER_SECOND,
+                (now - slowStart.startedAt()) / MICROS_PER_SECOND,
                 slowStart.attemptsSent(),
                 slowStart.requestsHeldBack()));
         return true;
     }
 
-    private void begun(Endpoint endpoint) {
+    private void logBegun(Endpoint endpoint) {
         if (!warmingUp.contains(endpoint)) {
             warmingUp.add(endpoint);
         }
