--- a/src/main/java/mintstair/decision/DecayingRate.java
+++ b/src/main/java/mintstair/decision/DecayingRate.java
@@ -1,12 +1,12 @@
 package mintstair.decision;
 
 /**
- * The rate of something that comes in amounts, with an exponential memory. While little time was observed it leans on
- * an assumed rate. Times are microseconds. Not safe for use by several threads.
+ * Measures the rate of events that each have an amount, with an exponential decay. While little time was observed, the
+ * result is close to an assumed rate. Times are microseconds. Not safe for use by several threads.
  */
 final class DecayingRate {
     private static final double MICROS_PER_SECOND = 1e6;
-    /** The assumed rate counts as much as what was observed in this time. */
+    /** The assumed rate weighs as much as this time of observation. */
     private static final double ASSUMED_MICROS = 2_000_000;
 
     private final double memoryMicros;
@@ -14,24 +14,24 @@
     private double observedMicros;
     private long advancedAt = Endpoint.NEVER;
 
-    /** Observes from the first call on. */
+    /** Creates a rate with the time constant {@code memoryMicros}; the observation starts with the first call. */
     DecayingRate(double memoryMicros) {
         this.memoryMicros = memoryMicros;
     }
 
-    /** So much has come now. */
+    /** Adds an amount at this time. */
     void add(long now, double added) {
         advance(now);
         amount += added;
     }
 
-    /** The amount that came within the memory, the newest counting whole. */
+    /** Returns the sum of all amounts, each decayed by its age. */
     double recentAmount(long now) {
         advance(now);
         return amount;
     }
 
-    /** The amount a second. */
+    /** Returns the amount per second. */
     double perSecond(long now, double assumedPerSecond) {
         advance(now);
         double assumed = assumedPerSecond * ASSUMED_MICROS / MICROS_PER_SECOND;
@@ -39,12 +39,12 @@
     }
 
     private void advance(long now) {
-        long passed = advancedAt == Endpoint.NEVER ? 0 : now - advancedAt;
+        long elapsed = advancedAt == Endpoint.NEVER ? 0 : now - advancedAt;
         advancedAt = Math.max(advancedAt, now);
-        if (passed <= 0) {
+        if (elapsed <= 0) {
             return;
         }
-        double kept = Math.exp(-passed / memoryMicros);
+        double kept = Math.exp(-elapsed / memoryMicros);
         amount *= kept;
         observedMicros = observedMicros * kept + memoryMicros * (1 - kept);
     }
--- a/src/main/java/mintstair/decision/FleetSize.java
+++ b/src/main/java/mintstair/decision/FleetSize.java
@@ -1,8 +1,11 @@
 package mintstair.decision;
 
 /**
- * How many routers there are, as far as this one knows: the largest number observed or configured, those that may
- * run and know of each other, and whether this one is {@code settled}: only if all that are so count each
- * other.
+ * The number of routers in the fleet, as one router observes it.
+ *
+ * @param largest the largest number observed or configured so far
+ * @param counted the number of routers that may be running and know of each other
+ * @param settled whether this router's count has converged; only if all routers that may be running have converged do
+ *     they count each other
  */
 public record FleetSize(int largest, int counted, boolean settled) {}
--- a/src/main/java/mintstair/decision/InFlightRequest.java
+++ b/src/main/java/mintstair/decision/InFlightRequest.java
@@ -3,48 +3,48 @@
 import mintstair.request.GiveUpReason;
 
 /**
- * A request that has no final answer yet, or some attempt of which has not ended. Attempts are numbered from 0. Times
- * are microseconds on the router's clock. Not safe for use by several threads.
+ * A request whose final response has not been sent, or that still has attempts in flight. Attempts are numbered from 0.
+ * Times are microseconds on the router's clock. Not safe for use by several threads.
  */
 final class InFlightRequest {
     final RoutingRequest request;
     final ClassStatistics statistics;
     final long arrivedAt;
-    /** When its client gives up. */
+    /** When the client's timeout expires. */
     final long deadline;
-    /** The position that a read of its session must see, or {@link Positions#UNKNOWN}. */
+    /** The replication position that a read must see according to its session, or {@link Positions#UNKNOWN}. */
     final long sessionPosition;
-    /** Whether its tenant is over its quota. */
+    /** Whether the tenant was over its quota when the request arrived. */
     final boolean overQuota;
-    /** How much it takes of a host, by the mean latency of its class, in microseconds. */
+    /** The work that the request is for a host, as a multiple of that of the mean request; see {@link RequestWork}. */
     final double work;
-    /** From 0 to 1: where only a part of all requests is admitted, those with the smaller samples are. */
+    /** The admission sample, from 0 to 1: where only a share of requests is admitted, the smallest samples are. */
     final double admissionSample;
 
     private final Endpoint[] endpoints;
     private final long[] sentAt;
-    private final boolean[] isOut;
+    private final boolean[] inFlight;
     private int attempts;
     private int outstanding;
     private boolean finished;
     private boolean mayHaveRun;
     private long firstMayHaveRunAt;
 
-    /** Whether it waits in the queue of its replica set, and since when. */
+    /** Whether the request waits in the queue of its replica set, and since when. */
     boolean queued;
 
     long queuedAt;
-    /** How often endpoints were polled for it, and when last. */
+    /** How many times endpoints were polled for this request, and when last. */
     int pollRounds;
 
     long lastPolledAt = Endpoint.NEVER;
-    /** Whether it has been counted as a read that did or did not fall back to the primary. */
+    /** Whether the request has been recorded as a read that did or did not fall back to the primary. */
     boolean fallbackCounted;
-    /** Whether its newest attempt was counted as late while it was still out. */
+    /** Whether the newest attempt has been recorded as late while in flight. */
     boolean lateCounted;
-    /** The endpoint in slow start that it was counted as held back from; null for none. */
+    /** The endpoint in slow start for which the request was last counted as held back; null for none. */
     Endpoint heldBackFrom;
-    /** What kept it from being sent when that was last looked at. */
+    /** Why the request was not sent when an endpoint was last chosen for it. */
     GiveUpReason heldBackReason = GiveUpReason.NO_PRIMARY;
 
     InFlightRequest(
@@ -66,14 +66,14 @@
         this.admissionSample = admissionSample;
         endpoints = new Endpoint[maxAttempts];
         sentAt = new long[maxAttempts];
-        isOut = new boolean[maxAttempts];
+        inFlight = new boolean[maxAttempts];
     }
 
     RequestClass requestClass() {
         return statistics.requestClass;
     }
 
-    /** The end of its class's latency objective. */
+    /** Returns when the latency objective of the request's class ends. */
     long objectiveEnd() {
         return arrivedAt + requestClass().latencyObjectiveMicros();
     }
@@ -82,49 +82,50 @@
         return requestClass().consistency() == Consistency.WRITE;
     }
 
+    /** Returns whether only the primary can serve the request. */
     boolean needsPrimary() {
         return isWrite() || requestClass().consistency() == Consistency.STRONG;
     }
 
-    /** Whether only the endpoint that holds its cursor can serve it. */
+    /** Returns whether only the endpoint that holds the request's cursor can serve it. */
     boolean isSticky() {
         return request.stickyHost() != null;
     }
 
-    /** Whether it may run any number of times. */
+    /** Returns whether the request may be executed any number of times. */
     boolean isRepeatable() {
         return requestClass().idempotency() == Idempotency.IDEMPOTENT && !isSticky();
     }
 
-    /** Whether an answer after the latency objective has no value, and the request may run again. */
+    /** Returns whether a response after the latency objective has no value and the request may be executed again. */
     boolean isWorthlessWhenLate() {
         return requestClass().lateWeight() == 0 && isRepeatable();
     }
 
-    /** The part of a concurrency limit that it may fill, from 0 to 1. */
+    /** Returns the share of a concurrency limit that the request may fill, from 0 to 1. */
     double capacityShare() {
         return overQuota ? PrimaryAdmission.OVER_QUOTA_SHARE * statistics.capacityShare() : statistics.capacityShare();
     }
 
     // ---- attempts ----
 
-    /** A further attempt is sent to this endpoint. */
+    /** Records that the next attempt is sent to this endpoint. */
     void attemptStarted(long now, Endpoint endpoint) {
         endpoints[attempts] = endpoint;
         sentAt[attempts] = now;
-        isOut[attempts] = true;
+        inFlight[attempts] = true;
         attempts++;
         outstanding++;
         lateCounted = false;
     }
 
-    /** An attempt has ended; {@code hadNoEffect} where its endpoint certainly did nothing for it. */
+    /** Records that an attempt has ended. */
     void attemptEnded(int attempt) {
-        isOut[attempt] = false;
+        inFlight[attempt] = false;
         outstanding--;
     }
 
-    /** An attempt that has ended may have run. */
+    /** Records that an ended attempt may have been executed by its endpoint. */
     void markMayHaveRun(int attempt) {
         if (!mayHaveRun) {
             firstMayHaveRunAt = sentAt[attempt];
@@ -132,34 +133,34 @@
         mayHaveRun = true;
     }
 
-    /** Whether some attempt that has ended may have run. */
+    /** Returns whether any ended attempt may have been executed by its endpoint. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** When the first attempt was sent of those that have ended and may have run. */
+    /** Returns when the attempt was sent that was first recorded as possibly executed; 0 if there is none. */
     long firstMayHaveRunAt() {
         return firstMayHaveRunAt;
     }
 
-    /** Attempts sent so far. */
+    /** Returns the number of attempts sent so far. */
     int attempts() {
         return attempts;
     }
 
-    /** Attempts that have not ended. */
+    /** Returns the number of attempts in flight. */
     int outstanding() {
         return outstanding;
     }
 
-    /** The most attempts that the settings allowed when it arrived. */
+    /** Returns the largest number of attempts that the settings allowed when the request arrived. */
     int maxAttempts() {
         return endpoints.length;
     }
 
-    /** Whether this attempt was sent and has not ended. */
+    /** Returns whether this attempt was sent and has not ended; false for a number that was not assigned. */
     boolean isOutstanding(int attempt) {
-        return attempt >= 0 && attempt < attempts && isOut[attempt];
+        return attempt >= 0 && attempt < attempts && inFlight[attempt];
     }
 
     Endpoint endpointOf(int attempt) {
@@ -170,27 +171,27 @@
         return sentAt[attempt];
     }
 
-    /** The endpoint of the newest attempt. */
+    /** Returns the endpoint of the newest attempt; at least one must have been sent. */
     Endpoint lastEndpoint() {
         return endpoints[attempts - 1];
     }
 
-    /** When the newest attempt was sent. */
+    /** Returns when the newest attempt was sent; at least one must have been sent. */
     long lastSentAt() {
         return sentAt[attempts - 1];
     }
 
-    /** Whether an attempt is outstanding at the endpoint. */
+    /** Returns whether an attempt is in flight at the endpoint. */
     boolean isOutstandingAt(Endpoint endpoint) {
         for (int attempt = 0; attempt < attempts; attempt++) {
-            if (endpoints[attempt] == endpoint && isOut[attempt]) {
+            if (endpoints[attempt] == endpoint && inFlight[attempt]) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether an attempt was ever sent to the endpoint. */
+    /** Returns whether any attempt was sent to the endpoint, in flight or ended. */
     boolean wasSentTo(Endpoint endpoint) {
         for (int attempt = 0; attempt < attempts; attempt++) {
             if (endpoints[attempt] == endpoint) {
@@ -200,9 +201,9 @@
         return false;
     }
 
-    // ---- its end ----
+    // ---- completion ----
 
-    /** Its final answer was given, or its client has left. */
+    /** Records that the final response was sent or that the client disconnected. */
     void finish() {
         finished = true;
     }
--- a/src/main/java/mintstair/decision/OpenRequests.java
+++ b/src/main/java/mintstair/decision/OpenRequests.java
@@ -7,8 +7,8 @@
 import mintstair.request.GiveUpReason;
 
 /**
- * The requests that have no final answer yet, or some attempt of which has not ended, and the ways in which the router
- * itself ends them. Times are microseconds. Not safe for use by several threads.
+ * Holds the requests whose final response has not been sent or that have attempts in flight, and ends those that the
+ * router itself rejects, fails or cancels. Times are microseconds. Not safe for use by several threads.
  */
 final class OpenRequests {
     private final Supplier<RouterSettings> settings;
@@ -26,17 +26,17 @@
         requests.put(request.request.id(), request);
     }
 
-    /** The request with this id, or null. */
+    /** Returns the request with this id, or null. */
     InFlightRequest get(long id) {
         return requests.get(id);
     }
 
-    /** All requests, in the order of their arrival. */
+    /** Returns all requests, in the order of their arrival. */
     Collection<InFlightRequest> all() {
         return requests.values();
     }
 
-    /** The final answer at once: rejected where the client may safely come again, else failed. */
+    /** Ends the request without a reply of a host: rejects it if the client may safely repeat it, else fails it. */
     void giveUp(long now, InFlightRequest request, GiveUpReason reason) {
         actions.gaveUp(request.request.id(), reason);
         if (RetryPolicy.isSafeToRepeat(request)) {
@@ -47,21 +47,21 @@
         finish(request);
     }
 
-    /** It has its final answer, or its client has left: attempts that are out are cancelled. */
+    /** Ends a request whose final response was sent or whose client disconnected; cancels its attempts in flight. */
     void finish(InFlightRequest request) {
         request.finish();
         cancelAttempts(request);
         removeIfDone(request);
     }
 
-    /** Forgets the request if nothing of it is left. */
+    /** Removes the request if it is finished and has no attempts in flight. */
     void removeIfDone(InFlightRequest request) {
         if (request.isFinished() && request.outstanding() == 0) {
             requests.remove(request.request.id());
         }
     }
 
-    /** Cancels all attempts that are out, where that is permitted. */
+    /** Cancels all attempts in flight, if the settings permit cancellation. */
     void cancelAttempts(InFlightRequest request) {
         if (!settings.get().limits().cancellation()) {
             return;
--- a/src/main/java/mintstair/decision/RequestAcceptor.java
+++ b/src/main/java/mintstair/decision/RequestAcceptor.java
@@ -4,13 +4,13 @@
 import java.util.function.Supplier;
 
 /**
- * Accepts requests: finds out what each must see, whether its tenant is over its quota, and its admission sample.
- * Times are microseconds. Not safe for use by several threads.
+ * Accepts requests: determines for each the replication position that it must see, whether its tenant is over its
+ * quota, its admission sample and its work. Times are microseconds. Not safe for use by several threads.
  */
 final class RequestAcceptor {
-    /** Rounding of a session token's age on its way. */
+    /** Largest error by which the age of a session token is rounded in transit. */
     private static final long TOKEN_AGE_ROUNDING_MICROS = 1_000;
-    /** Spreads the hash codes of sessions over the seeds of their admission samples. */
+    /** Spreads the hash codes of sessions over the seeds from which their admission samples are drawn. */
     private static final long SESSION_SEED_FACTOR = 0x9E3779B97F4A7C15L;
 
     private final Supplier<RouterSettings> settings;
@@ -39,12 +39,12 @@
         this.random = random;
     }
 
-    /** Adopts the tenants of these settings. */
+    /** Applies the tenants of these settings. */
     void apply(long now, RouterSettings changed) {
         quotas.apply(now, changed);
     }
 
-    /** Accepts a request that has just been counted in the request rate. */
+    /** Accepts a request, which must have been recorded in the request rate immediately before. */
     InFlightRequest accept(long now, RoutingRequest request) {
         ClassStatistics statistics = classes.get(request.classIndex());
         return new InFlightRequest(
@@ -58,7 +58,10 @@
                 requestWork.of(statistics));
     }
 
-    /** The position that a session's read must see; one that the request carries counts back from the arrival. */
+    /**
+     * Returns the position that a read must see according to its session, or {@link Positions#UNKNOWN}. A token that
+     * the request carries gives the age of the position at its arrival.
+     */
     private long sessionPosition(long now, RoutingRequest request, RequestClass requestClass) {
         if (requestClass.consistency() != Consistency.SESSION) {
             return Positions.UNKNOWN;
@@ -75,7 +78,10 @@
         return quotas.countAndCheckOverQuota(now, request.tenant(), rate, fleetShare.effectiveFleetSize());
     }
 
-    /** Where only a part is admitted a session keeps its sample, so that trying again is no way in. */
+    /**
+     * Returns a random sample from 0 to 1, the same for all requests of a session: where only a share of requests is
+     * admitted, a client retry does not raise the chance of admission.
+     */
     private double admissionSample(RoutingRequest request) {
         if (request.session() == null) {
             return random.nextDouble();
--- a/src/main/java/mintstair/decision/RequestDemand.java
+++ b/src/main/java/mintstair/decision/RequestDemand.java
@@ -1,29 +1,30 @@
 package mintstair.decision;
 
 /**
- * What this router's clients ask of all replica sets together, in work. Times are microseconds. Not safe for use by
- * several threads.
+ * Measures the work that this router's clients demand of all replica sets together; for the unit see {@link
+ * RequestWork}. Times are microseconds. Not safe for use by several threads.
  */
 final class RequestDemand {
     private static final double RECENT_MICROS = 2_000_000;
     private static final double MICROS_PER_SECOND = 1e6;
+    /** Weight of the newest request in the mean work. */
     private static final double NEWEST_WEIGHT = 0.02;
 
     private final DecayingRate recentWork = new DecayingRate(RECENT_MICROS);
     private double meanWork;
 
-    /** A request has arrived. */
+    /** Records that a request has arrived. */
     void requestArrived(long now, InFlightRequest request) {
         recentWork.add(now, request.work);
         meanWork = meanWork == 0 ? request.work : meanWork + NEWEST_WEIGHT * (request.work - meanWork);
     }
 
-    /** The work asked for in a second, as of late. */
+    /** Returns the work per second that clients have demanded recently. */
     double perSecond(long now) {
         return recentWork.recentAmount(now) * MICROS_PER_SECOND / RECENT_MICROS;
     }
 
-    /** The work of a request in the mean. */
+    /** Returns the mean work of a request; 0 before the first. */
     double meanWork() {
         return meanWork;
     }
--- a/src/main/java/mintstair/decision/RequestRate.java
+++ b/src/main/java/mintstair/decision/RequestRate.java
@@ -1,8 +1,13 @@
 package mintstair.decision;
 
-/** The rate of requests at this router, as an exponentially weighted mean. Not safe for use by several threads. */
+/**
+ * Measures the rate of requests that arrive at this router, as an exponentially weighted mean. Times are microseconds.
+ * Not safe for use by several threads.
+ */
 final class RequestRate {
-    private static final double SPAN_MICROS = 2_000_000;
+    /** Time constant of the mean. */
+    private static final double DECAY_MICROS = 2_000_000;
+
     private static final double MICROS_PER_SECOND = 1e6;
 
     private double atLastRequest;
@@ -12,18 +17,18 @@
         lastRequestAt = now;
     }
 
-    /** A request has arrived. */
+    /** Records that a request has arrived. */
     void requestArrived(long now) {
-        atLastRequest = perSecond(now) + MICROS_PER_SECOND / SPAN_MICROS;
+        atLastRequest = perSecond(now) + MICROS_PER_SECOND / DECAY_MICROS;
         lastRequestAt = now;
     }
 
-    /** Requests a second, decayed to now. */
+    /** Returns the requests per second at this time. */
     double perSecond(long now) {
-        return atLastRequest * Math.exp((lastRequestAt - now) / SPAN_MICROS);
+        return atLastRequest * Math.exp((lastRequestAt - now) / DECAY_MICROS);
     }
 
-    /** Requests a second as they were at the last request. */
+    /** Returns the requests per second at the last request, including it. */
     double perSecondAtLastRequest() {
         return atLastRequest;
     }
--- a/src/main/java/mintstair/decision/Tenant.java
+++ b/src/main/java/mintstair/decision/Tenant.java
@@ -1,4 +1,9 @@
 package mintstair.decision;
 
-/** A tenant and its quota: the rate, over all routers, up to which its requests have their full priority weight. */
+/**
+ * A tenant and its quota.
+ *
+ * @param name the name, unique among the tenants of the settings
+ * @param quotaPerSecond the requests per second, over all routers, up to which its requests have full priority
+ */
 public record Tenant(String name, double quotaPerSecond) {}
--- a/src/main/java/mintstair/decision/TenantQuotas.java
+++ b/src/main/java/mintstair/decision/TenantQuotas.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Tells requests of tenants that stay within their quotas from those beyond: a token bucket a tenant, refilled at
- * this router's part of the tenant's quota. Times are microseconds. Not safe for use by several threads.
+ * Determines which tenants are over their quotas, with a token bucket for each tenant that is refilled at this router's
+ * part of the tenant's quota. Times are microseconds. Not safe for use by several threads.
  */
 final class TenantQuotas {
-    /** Requests that a tenant may save up at least: fewer arrive together by chance alone. */
+    /** Smallest capacity of a bucket; this many requests can arrive together by chance. */
     private static final double MIN_BURST = 5;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -25,7 +25,7 @@
     private List<Tenant> tenants = List.of();
     private Bucket[] buckets = {};
 
-    /** Adopts the tenants of these settings, each with a full bucket. */
+    /** Applies the tenants of these settings, each with {@link #MIN_BURST} tokens. */
     void apply(long now, RouterSettings settings) {
         tenants = settings.tenants();
         buckets = new Bucket[tenants.size()];
@@ -33,12 +33,12 @@
     }
 
     /**
-     * Counts a request of a tenant, and returns whether the tenant sends more to this router than its part of the
-     * quota.
+     * Counts a request of a tenant, and returns whether the tenant exceeds this router's part of its quota.
      *
-     * @param tenant the index in the settings; negative for none, which has no quota
-     * @param requestsPerSecond of all tenants at this router: where it has more than an equal part of all traffic,
-     *     its part is larger
+     * @param tenant the index of the tenant in the settings; negative for none, which is never over a quota
+     * @param requestsPerSecond the request rate of all tenants at this router; a router with more than an equal part of
+     *     all traffic has a larger part of each quota
+     * @param fleetSize the number of routers among which quotas are divided
      */
     boolean countAndCheckOverQuota(long now, int tenant, double requestsPerSecond, double fleetSize) {
         if (tenant < 0) {
--- a/src/main/java/mintstair/decision/TokenBucket.java
+++ b/src/main/java/mintstair/decision/TokenBucket.java
@@ -1,9 +1,9 @@
 package mintstair.decision;
 
 /**
- * A budget for something that costs more than it should for all requests, such as retries: each request earns a part
- * of a token, and tokens are saved up to a bound, so that a quiet router can act on the first sign of a fault and a
- * busy one can't start a storm. Not safe for use by several threads.
+ * A token bucket for operations that may only accompany a share of all requests, such as retries. Each request adds a
+ * fraction of a token, and tokens are kept up to a bound, so that a router with little traffic can react to the first
+ * sign of a fault and a router with much traffic cannot cause a retry storm. Not safe for use by several threads.
  */
 final class TokenBucket {
     private final double initialTokens;
@@ -11,8 +11,8 @@
     private double tokens;
 
     /**
-     * Starts with {@code initialTokens}; never holds more than {@code capacity}, nor than the initial ones and a
-     * second's requests.
+     * Creates a bucket with {@code initialTokens}. It never holds more than {@code capacity}, nor more than the initial
+     * tokens plus the number of requests per second.
      */
     TokenBucket(double initialTokens, double capacity) {
         this.initialTokens = initialTokens;
@@ -20,17 +20,17 @@
         tokens = initialTokens;
     }
 
-    /** A request has arrived, one of so many a second, and earns this amount. */
+    /** Adds this amount for a request that has arrived; {@code requestsPerSecond} bounds the number of tokens. */
     void earn(double amount, double requestsPerSecond) {
         tokens = Math.min(Math.min(capacity, initialTokens + requestsPerSecond), tokens + amount);
     }
 
-    /** Whether a whole token is there. */
+    /** Returns whether the bucket holds at least one token. */
     boolean hasToken() {
         return tokens >= 1;
     }
 
-    /** Takes a token; returns whether there was one. */
+    /** Takes a token; returns false if there is none. */
     boolean tryAcquire() {
         if (tokens < 1) {
             return false;
