--- a/src/main/java/mintstair/decision/HostThroughput.java
+++ b/src/main/java/mintstair/decision/HostThroughput.java
@@ -32,7 +32,7 @@
     private long advancedAt = Endpoint.NEVER;
     private int hosts = 1;
     private double warmHosts = 1;
-    private double meanSize = 1;
+    private double meanCapacityHint = 1;
 
     /** Records the work of a request that a host has served. */
     void recordServed(double work) {
@@ -49,9 +49,9 @@
      *
      * @param availableHosts the number of hosts that were available
      * @param warmAvailableHosts the same, where those in slow start count by their capacity share
-     * @param totalSize the sum of the sizes of these hosts by the endpoint list
+     * @param totalCapacityHint the sum of the capacity hints of these hosts in the endpoint list
      */
-    void advance(long now, int availableHosts, double warmAvailableHosts, double totalSize) {
+    void advance(long now, int availableHosts, double warmAvailableHosts, double totalCapacityHint) {
         long elapsed = advancedAt == Endpoint.NEVER ? 0 : now - advancedAt;
         advancedAt = Math.max(advancedAt, now);
         if (availableHosts == 0) {
@@ -59,7 +59,7 @@
         }
         hosts = availableHosts;
         warmHosts = warmAvailableHosts;
-        meanSize = totalSize / availableHosts;
+        meanCapacityHint = totalCapacityHint / availableHosts;
         observedMicros += elapsed;
         double kept = Math.exp(-elapsed / memoryMicros());
         completedWork *= kept;
@@ -72,15 +72,15 @@
     }
 
     /**
-     * Returns the work per second that a warm host of this size completes for this router. A host above the mean size
-     * counts as one of mean size: sizes are rough, and some reflect how busy a host was.
+     * Returns the work per second that a warm host with this capacity hint completes for this router. A hint above the
+     * mean counts as the mean: hints are rough, and some reflect how busy a host was.
      *
-     * @param size the size by the endpoint list; 0 or less where unknown
+     * @param capacityHint the hint of the host in the endpoint list; 0 or less where unknown
      * @param demandPerSecond the work per second that this router's clients demand of all hosts together
      */
-    double workPerSecond(double size, double demandPerSecond) {
-        double relativeSize = size > 0 ? Math.min(1, size / meanSize) : 1;
-        return relativeSize * meanWorkPerSecond(demandPerSecond);
+    double workPerSecond(double capacityHint, double demandPerSecond) {
+        double relativeCapacity = capacityHint > 0 ? Math.min(1, capacityHint / meanCapacityHint) : 1;
+        return relativeCapacity * meanWorkPerSecond(demandPerSecond);
     }
 
     private double meanWorkPerSecond(double demandPerSecond) {
--- a/src/main/java/mintstair/decision/LoadFeedback.java
+++ b/src/main/java/mintstair/decision/LoadFeedback.java
@@ -91,7 +91,7 @@
         } else if (!endpoint.liveness.isUnresponsive()) {
             ReplicaSurvey survey = replicas.survey(now, replicaSet);
             replicaSet.replicaLimit.sample(
-                    now, bounded, replied, rejected, survey.inFlightPerReplica(), survey.perAttempt());
+                    now, bounded, replied, rejected, survey.inFlightPerReplica(), survey.increasePerAttempt());
         }
     }
 }
--- a/src/main/java/mintstair/decision/SlowStartBudget.java
+++ b/src/main/java/mintstair/decision/SlowStartBudget.java
@@ -125,7 +125,7 @@
         ProtectionSettings protection = settings.get().protection();
         double perSecond = protection.overloadMultiple()
                 * endpoint.capacityShare(now, protection)
-                * throughput.workPerSecond(endpoint.size, demand.perSecond(now));
+                * throughput.workPerSecond(endpoint.capacityHint, demand.perSecond(now));
         double minPerSpan = MIN_REQUESTS_OF_FLEET * demand.meanWork() / fleetShare.effectiveFleetSize();
         return Math.max(perSecond, minPerSpan * MICROS_PER_SECOND / protection.overloadSpanMicros());
     }
--- a/src/main/java/mintstair/decision/SlowStartController.java
+++ b/src/main/java/mintstair/decision/SlowStartController.java
@@ -35,7 +35,7 @@
      * or the estimate of the hosts' clock has changed.
      */
     void updateListedStart(long now, Endpoint endpoint) {
-        long age = positions.startedAgo(now, endpoint.listedStart);
+        long age = positions.timeSinceStart(now, endpoint.listedStartTime);
         if (age < settings.get().protection().slowStartMicros()) {
             endpoint.slowStart.beginListed(now - age);
             logBegun(endpoint);
@@ -46,7 +46,7 @@
 
     /** Begins a slow start anew if it is over by the previous settings but not by the changed ones. */
     void settingsChanged(long now, Endpoint endpoint) {
-        long listed = endpoint.listedStart > 0 ? now - positions.startedAgo(now, endpoint.listedStart) : 0;
+        long listed = endpoint.listedStartTime > 0 ? now - positions.timeSinceStart(now, endpoint.listedStartTime) : 0;
         long start = Math.max(endpoint.slowStart.startedAt(), listed);
         boolean warming = start > 0 && now - start < settings.get().protection().slowStartMicros();
         if (warming && !endpoint.slowStart.isActive()) {
