--- a/src/test/java/mintstair/decision/RouterInvariantsTest.java
+++ b/src/test/java/mintstair/decision/RouterInvariantsTest.java
@@ -354,22 +354,13 @@
         fixture.router.onRequest(
                 fixture.now,
                 new RoutingRequest(
-                        1,
-                        RouterFixture.EVENTUAL_READ,
-                        0,
-                        "s",
-                        -1,
-                        false,
-                        1000 * MS,
-                        Positions.UNKNOWN,
-                        "r2"));
+                        1, RouterFixture.EVENTUAL_READ, 0, "s", -1, false, 1000 * MS, Positions.UNKNOWN, "r2"));
         assertEquals("r2", fixture.lastAttempt().host());
         fixture.endAttempt(fixture.lastAttempt(), 0, AttemptOutcome.CONNECTION_RESET);
         assertEquals(List.of(1L), fixture.failed);
         fixture.router.onRequest(
                 fixture.now,
-                new RoutingRequest(
-                        2, RouterFixture.SESSION_READ, 0, "s", -1, false, 1000 * MS, -5000, "r2"));
+                new RoutingRequest(2, RouterFixture.SESSION_READ, 0, "s", -1, false, 1000 * MS, -5000, "r2"));
         fixture.advance(500 * MS);
         assertEquals(List.of(2L), fixture.rejected);
         assertEquals(1, fixture.sentAttempts.size());
