--- a/src/test/java/mintstair/decision/DecisionSettings.java
+++ b/src/test/java/mintstair/decision/DecisionSettings.java
@@ -33,7 +33,7 @@
             return fixture.settings();
         }
     },
-    /** One of a hundred routers, no hedged requests, few attempts, short deadlines. */
+    /** One of a hundred routers, with cancellation but no hedged requests, few attempts, short deadlines. */
     LARGE_FLEET {
         @Override
         RouterSettings settings() {
