--- a/src/main/java/mintstair/backend/ConnectionPools.java
+++ b/src/main/java/mintstair/backend/ConnectionPools.java
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void listed(EndpointList list) {
+    public void endpointsUpdated(EndpointList list) {
         Set<String> listedHosts = new HashSet<>();
         for (EndpointList.Entry entry : list.entries()) {
             listedHosts.add(entry.host());
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void failQueuedForUnavailable() {
+    public void failQueuedForUnavailableHosts() {
         pools.values().forEach(HostConnectionPool::failQueuedIfUnavailable);
     }
 
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public void probe(String host, AttemptListener listener) {
+    public void sendHealthCheck(String host, AttemptListener listener) {
         long timeoutAtMicros = loop.now() + connector.connectTimeoutMicros();
         start(
                 host,
@@ -179,7 +179,7 @@
             return false;
         }
         open++;
-        counters.hostsOpened++;
+        counters.hostConnectionsOpened++;
         return true;
     }
 
--- a/src/main/java/mintstair/backend/HostConnectionPool.java
+++ b/src/main/java/mintstair/backend/HostConnectionPool.java
@@ -142,7 +142,7 @@
         }
     }
 
-    /** See {@link mintstair.proxy.Backend#failQueuedForUnavailable}. */
+    /** See {@link mintstair.proxy.Backend#failQueuedForUnavailableHosts}. */
     void failQueuedIfUnavailable() {
         if (!serving) {
             // A copy, as an attempt that fails may be followed by one that is sent here on purpose.
@@ -171,7 +171,7 @@
             connection.send(next, nowMicros);
             return;
         }
-        counters.heldBack(verdict);
+        counters.attemptHeldBack(verdict);
         next.stop(ConnectionEnd.NEVER_SENT);
         idle.addFirst(connection);
     }
@@ -182,7 +182,7 @@
         while (connecting < wanted
                 && connections.size() < MAX_CONNECTIONS
                 && pools.mayOpen(connecting < waiting.size())) {
-            counters.hostsSpare += connecting < waiting.size() ? 0 : 1;
+            counters.hostConnectionsPreconnected += connecting < waiting.size() ? 0 : 1;
             connecting++;
             HostConnection connection = new HostConnection(this, connector, idleReuse, address);
             connections.add(connection);
@@ -217,7 +217,7 @@
     /** Notes that a connection did not become ready; it ends one attempt, as there was one connection for each. */
     void openFailed(HostConnection connection, ConnectionEnd end) {
         connecting--;
-        counters.hostsNotUp++;
+        counters.hostConnectionsFailed++;
         preconnectFromMicros = loop.now() + preconnectBackoff.nextDelayMicros();
         closed(connection);
         PendingAttempt first = waiting.pollFirst();
--- a/src/main/java/mintstair/backend/HostConnector.java
+++ b/src/main/java/mintstair/backend/HostConnector.java
@@ -115,7 +115,7 @@
                     public void completed(WriteResult result) {
                         onWritten.run();
                         if (countsAsAttempt) {
-                            counters.written.incrementAndGet();
+                            counters.attemptsWritten.incrementAndGet();
                         }
                     }
                 });
--- a/src/main/java/mintstair/backend/PendingAttempt.java
+++ b/src/main/java/mintstair/backend/PendingAttempt.java
@@ -85,14 +85,14 @@
     byte[] begin(HostConnection on, long nowMicros) {
         connection = on;
         long timeoutMillis = Math.max(1, (timeoutAtMicros - nowMicros) / MICROS_PER_MILLI);
-        listener.begun(nowMicros, timeoutMillis * MICROS_PER_MILLI);
+        listener.onBegin(nowMicros, timeoutMillis * MICROS_PER_MILLI);
         return encoder.apply(timeoutMillis);
     }
 
     /** Forwards a part of a long reply; {@code onForwarded} runs when the client has got it. */
     void part(byte[] bytes, Runnable onForwarded) {
         streaming = true;
-        listener.part(bytes, onForwarded);
+        listener.onReplyPart(bytes, onForwarded);
     }
 
     /** Ends it with its reply, unless it has ended. */
@@ -104,7 +104,7 @@
         if (timer != null) {
             timer.cancel(false);
         }
-        listener.end(reply);
+        listener.onEnd(reply);
     }
 
     @Override
--- a/src/main/java/mintstair/discovery/EndpointWatch.java
+++ b/src/main/java/mintstair/discovery/EndpointWatch.java
@@ -134,7 +134,7 @@
             waitMicros = pacing.pollWaitMicros(lastCallSucceeded);
             stream.requestDelta(revision, waitMicros);
         }
-        counters.listCalls++;
+        counters.discoveryCalls++;
         stream.expectResponse(waitMicros, pacing.responseTimeoutMicros(waitMicros));
     }
 
@@ -143,7 +143,7 @@
     }
 
     private void recordFailure(String reason) {
-        counters.listCallsFailed++;
+        counters.discoveryCallsFailed++;
         lastCallSucceeded = false;
         failureLog.record(reason);
     }
--- a/src/main/java/mintstair/front/ClientSession.java
+++ b/src/main/java/mintstair/front/ClientSession.java
@@ -139,7 +139,7 @@
 
     private void release() {
         state = state.after(SessionState.Event.CLOSE);
-        front.counters.clientEnded(closeReason);
+        front.counters.clientConnectionClosed(closeReason);
         discardCommands();
         transcript.ended();
         front.remove(this);
--- a/src/main/java/mintstair/front/Front.java
+++ b/src/main/java/mintstair/front/Front.java
@@ -103,7 +103,7 @@
         // Past the limit a client is rejected with a message, by the loop; past the slack there is no time for one.
         if (openConnections.incrementAndGet() > maxClients + slack(maxClients)) {
             openConnections.decrementAndGet();
-            counters.shutOut.incrementAndGet();
+            counters.clientConnectionsDropped.incrementAndGet();
             connection.terminateSilently();
             return null;
         }
@@ -113,7 +113,7 @@
     }
 
     private void add(ClientSession session) {
-        counters.clientsOpened++;
+        counters.clientConnectionsOpened++;
         sessions.add(session);
         session.accepted(recorder);
         int staying = stayingClients();
@@ -156,12 +156,12 @@
     }
 
     private void evict(ClientSession session) {
-        counters.clientsIdledOut++;
+        counters.idleClientConnectionsEvicted++;
         session.drain(ClientCloseReason.IDLED_OUT);
     }
 
     private void reject(ClientSession session) {
-        counters.clientsTurnedAway++;
+        counters.clientConnectionsRejected++;
         session.reject();
     }
 
@@ -204,7 +204,7 @@
 
     /** Counts a message that breaks the protocol, or a request that cannot be accepted. */
     public final void countMalformed() {
-        counters.malformed++;
+        counters.malformedMessages++;
     }
 
     /** The rules for requests of any protocol. */
--- a/src/main/java/mintstair/front/RequestRules.java
+++ b/src/main/java/mintstair/front/RequestRules.java
@@ -68,7 +68,7 @@
                 cluster,
                 session,
                 "1".equals(values.get("r")),
-                dispatcher.mayHold(timeoutMicros),
+                dispatcher.effectiveTimeoutMicros(timeoutMicros),
                 after == null ? HostReport.UNKNOWN_POSITION : number("after", after) * MICROS_PER_MILLI,
                 statement,
                 null);
@@ -78,7 +78,7 @@
         if (id.length() > MAX_ID_LENGTH) {
             throw new ProtocolException("the id is too long");
         }
-        if (dispatcher.isOpen(id)) {
+        if (dispatcher.hasOpenRequest(id)) {
             // Hosts identify a request by its id, and could not tell the two apart.
             throw new ProtocolException("request " + id + " is open already");
         }
@@ -95,7 +95,7 @@
 
     private int cluster(Map<String, String> values) {
         long cluster = number("cluster", values.get("cluster"));
-        if (cluster > Integer.MAX_VALUE || !dispatcher.knowsCluster((int) cluster)) {
+        if (cluster > Integer.MAX_VALUE || !dispatcher.isClusterKnown((int) cluster)) {
             throw new ProtocolException("unknown cluster " + cluster);
         }
         return (int) cluster;
--- a/src/main/java/mintstair/proxy/ActionExecutor.java
+++ b/src/main/java/mintstair/proxy/ActionExecutor.java
@@ -67,7 +67,7 @@
 
     @Override
     public void gaveUp(RouterAction.GaveUp action) {
-        counters.gaveUp(action.reason());
+        counters.requestGivenUp(action.reason());
     }
 
     @Override
--- a/src/main/java/mintstair/proxy/AttemptSender.java
+++ b/src/main/java/mintstair/proxy/AttemptSender.java
@@ -55,7 +55,7 @@
         long abandonAtMicros = abandonAtMicros(action, request.exchange().deadlineMicros());
         AttemptVerdict verdict = router.mayBegin(nowMicros, action, request.exchange(), abandonAtMicros);
         if (verdict != AttemptVerdict.MAY_BEGIN) {
-            counters.heldBack(verdict);
+            counters.attemptHeldBack(verdict);
             reportNotSent(nowMicros, action, request.exchange().isOver());
             return;
         }
@@ -70,7 +70,7 @@
     private void countSent(RouterAction.Send action, AcceptedRequest request) {
         counters.attemptSent();
         if (action.attempt() > 0) {
-            counters.retried(request.hasAttempts() ? null : request.lastEnd());
+            counters.retrySent(request.hasAttempts() ? null : request.lastEnd());
         }
     }
 
@@ -124,21 +124,21 @@
         }
 
         @Override
-        public void begun(long nowMicros, long timeoutMicros) {
+        public void onBegin(long nowMicros, long timeoutMicros) {
             driver.execute(router.attemptStarted(nowMicros, action, timeoutMicros));
         }
 
         @Override
-        public void part(byte[] bytes, Runnable consumed) {
+        public void onReplyPart(byte[] bytes, Runnable onConsumed) {
             Backend.Attempt attempt = request.attempt(action.attempt());
             if (!request.isStreaming() && !request.exchange().isOver()) {
                 startStreaming(attempt);
             }
             if (request.isStreaming(attempt)) {
-                request.exchange().sendPart(bytes, consumed);
+                request.exchange().sendPart(bytes, onConsumed);
             } else {
                 // Another attempt of the request was faster.
-                consumed.run();
+                onConsumed.run();
                 attempt.cancel();
             }
         }
@@ -155,7 +155,7 @@
         }
 
         @Override
-        public void end(HostReply reply) {
+        public void onEnd(HostReply reply) {
             ended = true;
             boolean streamed = request.attemptEnded(action.attempt(), reply.end());
             counters.attemptEnded(reply.end());
--- a/src/main/java/mintstair/proxy/Backend.java
+++ b/src/main/java/mintstair/proxy/Backend.java
@@ -13,7 +13,7 @@
     /** Takes what comes back for something that was sent. */
     interface AttemptListener {
         /** It ended. Called exactly once, possibly before the call that sent it returns. */
-        void end(HostReply reply);
+        void onEnd(HostReply reply);
 
         /** Whether it may begin now; asked when it has a connection, right before it is written. */
         default AttemptVerdict mayBegin(long nowMicros) {
@@ -21,15 +21,15 @@
         }
 
         /** It is about to be written, with {@code timeoutMicros} as the time that its host may take. */
-        default void begun(long nowMicros, long timeoutMicros) {}
+        default void onBegin(long nowMicros, long timeoutMicros) {}
 
         /**
          * A part of a reply that is streamed as it is too long to be buffered; parts come in order, before the end.
          *
-         * @param consumed to be run when the part has been passed on, so that more is read
+         * @param onConsumed to be run when the part has been passed on, so that more is read
          */
-        default void part(byte[] bytes, Runnable consumed) {
-            consumed.run();
+        default void onReplyPart(byte[] bytes, Runnable onConsumed) {
+            onConsumed.run();
         }
     }
 
@@ -49,14 +49,14 @@
     Attempt send(String host, Statement statement, long writeByMicros, long abandonAtMicros, AttemptListener listener);
 
     /** Sends a health check to a host; {@code listener} gets exactly one end. */
-    void probe(String host, AttemptListener listener);
+    void sendHealthCheck(String host, AttemptListener listener);
 
     /** The endpoint list, or changes to it. */
-    void listed(EndpointList list);
+    void endpointsUpdated(EndpointList list);
 
     /**
      * Ends as never sent what waits for a connection to a host that is draining or removed. Called after the router has
      * been given the same list, so that it decides anew on what ends here.
      */
-    void failQueuedForUnavailable();
+    void failQueuedForUnavailableHosts();
 }
--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -60,13 +60,13 @@
     }
 
     /** Whether some host of this cluster was ever listed. */
-    public boolean knowsCluster(int cluster) {
-        return endpoints.knowsCluster(cluster);
+    public boolean isClusterKnown(int cluster) {
+        return endpoints.isClusterKnown(cluster);
     }
 
     /** Whether a request with this client id is without its final answer. */
-    public boolean isOpen(String id) {
-        return requests.isOpen(id);
+    public boolean hasOpenRequest(String id) {
+        return requests.hasOpenRequest(id);
     }
 
     /**
@@ -113,7 +113,7 @@
     }
 
     /** How long a request that comes now may be held, where its client waits for {@code timeoutMicros}. */
-    public long mayHold(long timeoutMicros) {
+    public long effectiveTimeoutMicros(long timeoutMicros) {
         long nowMicros = loop.now();
         if (nowMicros < drainingFromMicros) {
             return timeoutMicros;
@@ -127,7 +127,7 @@
      * @throws RuntimeException where the settings make no sense
      */
     public void applySettings(InstanceSettings settings) {
-        settings.classes.keySet().forEach(counters::addClass);
+        settings.classes.keySet().forEach(counters::addRequestClass);
         driver.execute(router.applySettings(loop.now(), settings));
     }
 
@@ -139,10 +139,10 @@
     /** The endpoint list, or changes to it; {@code cached} where it was read from a copy of an earlier run. */
     public void endpointsUpdated(EndpointList list, boolean cached) {
         endpoints.update(list);
-        backend.listed(list);
+        backend.endpointsUpdated(list);
         driver.handle(loop.now(), new RouterEvent.EndpointsUpdated(list, cached));
         // A connection may take longer to come up than a draining host may still be sent to.
-        backend.failQueuedForUnavailable();
+        backend.failQueuedForUnavailableHosts();
     }
 
     /** Adds the metrics of requests and hosts. */
--- a/src/main/java/mintstair/proxy/EventLoop.java
+++ b/src/main/java/mintstair/proxy/EventLoop.java
@@ -66,7 +66,7 @@
     }
 
     /** How many tasks threw an exception or error; each is a fault of the program. */
-    public long failures() {
+    public long failedTasks() {
         return failures.get();
     }
 
--- a/src/main/java/mintstair/proxy/HealthCheckSender.java
+++ b/src/main/java/mintstair/proxy/HealthCheckSender.java
@@ -21,7 +21,7 @@
     void send(String host) {
         long sentAtMicros = loop.now();
         counters.healthCheckSent();
-        backend.probe(host, reply -> ended(host, sentAtMicros, reply));
+        backend.sendHealthCheck(host, reply -> ended(host, sentAtMicros, reply));
     }
 
     private void ended(String host, long sentAtMicros, HostReply reply) {
--- a/src/main/java/mintstair/proxy/KnownEndpoints.java
+++ b/src/main/java/mintstair/proxy/KnownEndpoints.java
@@ -32,7 +32,7 @@
     }
 
     /** Whether some host of this cluster was ever listed. */
-    boolean knowsCluster(int cluster) {
+    boolean isClusterKnown(int cluster) {
         return clusters.contains(cluster);
     }
 
--- a/src/main/java/mintstair/proxy/RequestCompletion.java
+++ b/src/main/java/mintstair/proxy/RequestCompletion.java
@@ -33,7 +33,7 @@
     /** Gives the final answer, unless there was one or the client has left; the request is over then. */
     void answer(AcceptedRequest request, Response response) {
         if (request.exchange().respond(response)) {
-            counters.answered(request.requestClass(), response);
+            counters.requestCompleted(request.requestClass(), response);
             if (!request.isStreaming()) {
                 responseStarted(request);
             }
@@ -77,7 +77,7 @@
 
     /** The reply that is streamed to the client broke off before its end. */
     void streamBroken(AcceptedRequest request) {
-        counters.answered(request.requestClass(), new Response.Failed(STREAM_BROKEN, false));
+        counters.requestCompleted(request.requestClass(), new Response.Failed(STREAM_BROKEN, false));
         request.exchange().abort();
     }
 
--- a/src/main/java/mintstair/proxy/RequestTable.java
+++ b/src/main/java/mintstair/proxy/RequestTable.java
@@ -27,7 +27,7 @@
     }
 
     /** Whether a request with this client id is open. */
-    boolean isOpen(String id) {
+    boolean hasOpenRequest(String id) {
         return openIds.contains(id);
     }
 
--- a/src/main/java/mintstair/serve/ConfigurationReloader.java
+++ b/src/main/java/mintstair/serve/ConfigurationReloader.java
@@ -75,7 +75,7 @@
             if (withDiscovery) {
                 services.postgresql().discoverAt(changed.discovery());
             }
-            services.reloadCounters().reloadsOk++;
+            services.reloadCounters().reloadsSucceeded++;
         });
     }
 
--- a/src/main/java/mintstair/serve/MetricsPublisher.java
+++ b/src/main/java/mintstair/serve/MetricsPublisher.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 import mintstair.log.NonBlockingOutput;
 import mintstair.proxy.EventLoop;
-import mintstair.stats.HeapFloor;
 import mintstair.stats.MetricsSnapshot;
+import mintstair.stats.MinimumHeapUse;
 import mintstair.wire.AcceptRetryStrategy;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
@@ -29,7 +29,7 @@
     private final AcceptRetryStrategy acceptStrategy;
     private final List<Source> sources;
     private final AtomicReference<MetricsSnapshot> latest;
-    private final HeapFloor heap = new HeapFloor();
+    private final MinimumHeapUse heapUse = new MinimumHeapUse();
 
     /**
      * @param sources give their metrics in this order
@@ -54,15 +54,15 @@
     void publish() {
         MetricsSnapshot.Builder metrics = new MetricsSnapshot.Builder();
         sources.forEach(source -> source.addTo(metrics));
-        metrics.add("unexpected_errors", loop.failures())
+        metrics.add("unexpected_errors", loop.failedTasks())
                 .add("log_lines_dropped", NonBlockingOutput.droppedByInstalled())
                 .add("accepts_failed", acceptStrategy.failures());
         latest.set(metrics.build());
         Runtime runtime = Runtime.getRuntime();
-        heap.sample(runtime.totalMemory() - runtime.freeMemory());
+        heapUse.sample(runtime.totalMemory() - runtime.freeMemory());
     }
 
     private void logHeap() {
-        System.out.println("heap: least in use " + heap.take() / BYTES_PER_KB + " kB in the last minute");
+        System.out.println("heap: least in use " + heapUse.getAndReset() / BYTES_PER_KB + " kB in the last minute");
     }
 }
--- a/src/main/java/mintstair/serve/SimulatedHosts.java
+++ b/src/main/java/mintstair/serve/SimulatedHosts.java
@@ -54,33 +54,33 @@
         boolean lost = sent % REQUESTS_PER_LOST == 0;
         loop.execute(() -> {
             if (lost) {
-                listener.end(HostReply.of(ConnectionEnd.BROKEN_AFTER_WRITTEN));
+                listener.onEnd(HostReply.of(ConnectionEnd.BROKEN_AFTER_WRITTEN));
                 return;
             }
             // By the requests sent until now: those that wait with it are misdirected together.
             boolean misdirected = sent % REQUESTS_PER_MISDIRECTED == 0;
-            listener.end(parse(misdirected ? MISDIRECTED : row(host, "rehearsed")));
+            listener.onEnd(parse(misdirected ? MISDIRECTED : row(host, "rehearsed")));
         });
         return () -> {};
     }
 
     @Override
-    public void probe(String host, AttemptListener listener) {
+    public void sendHealthCheck(String host, AttemptListener listener) {
         loop.execute(() -> {
             int role = host.equals(PRIMARY) ? 1 : 0;
             String report = "inflight=1,util=0.5,x0=" + loop.now() / 1e6 + ",x1=" + role;
             HostReply reply = parse(row(host, report));
-            listener.end(new HostReply(reply.end(), null, protocol.report(reply.body())));
+            listener.onEnd(new HostReply(reply.end(), null, protocol.report(reply.body())));
         });
     }
 
     @Override
-    public void listed(EndpointList list) {
+    public void endpointsUpdated(EndpointList list) {
         // No connection depends on the list.
     }
 
     @Override
-    public void failQueuedForUnavailable() {
+    public void failQueuedForUnavailableHosts() {
         // Nothing is ever queued.
     }
 
--- a/src/main/java/mintstair/stats/Counters.java
+++ b/src/main/java/mintstair/stats/Counters.java
@@ -21,29 +21,29 @@
     private static final String BESIDE_ANOTHER = "beside_another";
 
     /** Messages of clients that were no valid request, so that the connection was closed or an error returned. */
-    public long malformed;
+    public long malformedMessages;
     /** Client connections that were opened. */
-    public long clientsOpened;
+    public long clientConnectionsOpened;
     /** Client connections that were closed with an error message, as descriptors were short. */
-    public long clientsTurnedAway;
+    public long clientConnectionsRejected;
     /** Client connections that were closed between two requests, as descriptors were short. */
-    public long clientsIdledOut;
+    public long idleClientConnectionsEvicted;
     /** Client connections that were closed at once and without a message, as too many came together. Any thread. */
-    public final AtomicLong shutOut = new AtomicLong();
+    public final AtomicLong clientConnectionsDropped = new AtomicLong();
     /** Connections to hosts that were begun. */
-    public long hostsOpened;
-    /** Of {@link #hostsOpened}, those that were begun before an attempt needed them. */
-    public long hostsSpare;
-    /** Of {@link #hostsOpened}, those that failed before they were ready. */
-    public long hostsNotUp;
+    public long hostConnectionsOpened;
+    /** Of {@link #hostConnectionsOpened}, those that were begun before an attempt needed them. */
+    public long hostConnectionsPreconnected;
+    /** Of {@link #hostConnectionsOpened}, those that failed before they were ready. */
+    public long hostConnectionsFailed;
     /** Attempts whose last byte was written to a host. Any thread. */
-    public final AtomicLong written = new AtomicLong();
+    public final AtomicLong attemptsWritten = new AtomicLong();
     /** Calls to service discovery. */
-    public long listCalls;
-    /** Of {@link #listCalls}, those that were rejected, broke or had no reply. */
-    public long listCallsFailed;
+    public long discoveryCalls;
+    /** Of {@link #discoveryCalls}, those that were rejected, broke or had no reply. */
+    public long discoveryCallsFailed;
     /** Reloads of the settings that succeeded. */
-    public long reloadsOk;
+    public long reloadsSucceeded;
     /** Reloads of the settings that failed; the settings before them stayed. */
     public long reloadsFailed;
 
@@ -108,7 +108,7 @@
     }
 
     /** An attempt that was decided on did not begin, for this reason. */
-    public void heldBack(AttemptVerdict reason) {
+    public void attemptHeldBack(AttemptVerdict reason) {
         attemptsHeldBack[reason.ordinal()]++;
     }
 
@@ -117,7 +117,7 @@
      *
      * @param previousEnd how the attempt before it ended; null where an earlier attempt is still out
      */
-    public void retried(ConnectionEnd previousEnd) {
+    public void retrySent(ConnectionEnd previousEnd) {
         increment(retriesByPreviousEnd, previousEnd == null ? BESIDE_ANOTHER : metricName(previousEnd));
     }
 
@@ -127,12 +127,12 @@
     }
 
     /** A client's connection ended, for this reason. */
-    public void clientEnded(Enum<?> reason) {
+    public void clientConnectionClosed(Enum<?> reason) {
         increment(clientsEnded, metricName(reason));
     }
 
     /** A request was rejected or failed without a host's answer, for this reason. */
-    public void gaveUp(GiveUpReason reason) {
+    public void requestGivenUp(GiveUpReason reason) {
         increment(givenUp, metricName(reason));
     }
 
@@ -142,12 +142,12 @@
     }
 
     /** Adds a request class with nothing counted yet, so that its metrics exist from the start. */
-    public void addClass(String requestClass) {
+    public void addRequestClass(String requestClass) {
         responsesOf(requestClass);
     }
 
     /** A request of this class had its final answer. */
-    public void answered(String requestClass, Response response) {
+    public void requestCompleted(String requestClass, Response response) {
         int kind = response.kind().ordinal();
         responses[kind]++;
         responsesOf(requestClass)[kind]++;
@@ -166,7 +166,7 @@
         responsesByClass.forEach((name, counts) -> metrics.add("served." + name, count(counts, Response.Kind.SERVED))
                 .add("refused." + name, count(counts, Response.Kind.REJECTED))
                 .add("failed." + name, count(counts, Response.Kind.FAILED)));
-        metrics.add("attempts", written.get());
+        metrics.add("attempts", attemptsWritten.get());
         metrics.add("rules_broken", sum(invariantViolations));
         invariantViolations.forEach((rule, count) -> metrics.add("rule_broken." + rule, count));
         clientsEnded.forEach((reason, count) -> metrics.add("clients_ended." + reason, count));
@@ -177,7 +177,7 @@
                 metrics.add("held_back." + metricName(reason), attemptsHeldBack[reason.ordinal()]);
             }
         }
-        metrics.add("reloads_ok", reloadsOk).add("reloads_failed", reloadsFailed);
+        metrics.add("reloads_ok", reloadsSucceeded).add("reloads_failed", reloadsFailed);
     }
 
     private static long count(long[] counts, Response.Kind kind) {
@@ -219,21 +219,21 @@
         line.append(" failed=").append(count(responses, Response.Kind.FAILED));
         line.append(" abandoned=").append(requestsAbandoned);
         line.append(" overdue=").append(requestsOverdue);
-        line.append(" malformed=").append(malformed);
+        line.append(" malformed=").append(malformedMessages);
         line.append(" sent=").append(attemptsSent);
         line.append(" probes=").append(healthChecksSent);
     }
 
     private void appendConnections(StringBuilder line) {
-        line.append(" client_connections=").append(clientsOpened);
-        line.append(" clients_turned_away=").append(clientsTurnedAway);
-        line.append(" clients_shut_out=").append(shutOut);
-        line.append(" clients_idled_out=").append(clientsIdledOut);
-        line.append(" host_connections=").append(hostsOpened);
-        line.append(" host_connections_spare=").append(hostsSpare);
-        line.append(" host_connections_not_up=").append(hostsNotUp);
-        line.append(" list_calls=").append(listCalls);
-        line.append(" list_calls_failed=").append(listCallsFailed);
+        line.append(" client_connections=").append(clientConnectionsOpened);
+        line.append(" clients_turned_away=").append(clientConnectionsRejected);
+        line.append(" clients_shut_out=").append(clientConnectionsDropped);
+        line.append(" clients_idled_out=").append(idleClientConnectionsEvicted);
+        line.append(" host_connections=").append(hostConnectionsOpened);
+        line.append(" host_connections_spare=").append(hostConnectionsPreconnected);
+        line.append(" host_connections_not_up=").append(hostConnectionsFailed);
+        line.append(" list_calls=").append(discoveryCalls);
+        line.append(" list_calls_failed=").append(discoveryCallsFailed);
     }
 
     private void appendAttempts(StringBuilder line) {
--- a/src/main/java/mintstair/stats/HeapFloor.java
+++ b/src/main/java/mintstair/stats/MinimumHeapUse.java
@@ -6,7 +6,7 @@
  * sampled as the platform's memory beans, which report it exactly, take too long to start. Not safe for use by several
  * threads.
  */
-public final class HeapFloor {
+public final class MinimumHeapUse {
     private static final long NONE = Long.MAX_VALUE;
 
     private long smallestBytes = NONE;
@@ -17,7 +17,7 @@
     }
 
     /** Returns the smallest sample in bytes and begins anew; 0 where there was no sample since the last call. */
-    public long take() {
+    public long getAndReset() {
         long smallest = smallestBytes == NONE ? 0 : smallestBytes;
         smallestBytes = NONE;
         return smallest;
--- a/src/test/java/mintstair/backend/ConnectionPoolsTest.java
+++ b/src/test/java/mintstair/backend/ConnectionPoolsTest.java
@@ -63,7 +63,7 @@
                         entry("speaks", host.port()),
                         entry("silent", silent.getLocalPort()),
                         entry("closed", closed.getLocalPort())));
-        loop.execute(() -> pools.listed(list));
+        loop.execute(() -> pools.endpointsUpdated(list));
     }
 
     @AfterEach
@@ -134,7 +134,7 @@
         }
         host.script.put("vitals", Act.NOISE);
         CompletableFuture<HostReply> report = new CompletableFuture<>();
-        loop.execute(() -> pools.probe("speaks", report::complete));
+        loop.execute(() -> pools.sendHealthCheck("speaks", report::complete));
         assertEquals(
                 ConnectionEnd.REPORT_UNREADABLE,
                 report.get(20, TimeUnit.SECONDS).end());
@@ -194,7 +194,7 @@
         for (String name : new String[] {"a", "b", "c", "d"}) {
             entries.add(entry(name, host.port()));
         }
-        loop.execute(() -> few.listed(new EndpointList(1, true, entries)));
+        loop.execute(() -> few.endpointsUpdated(new EndpointList(1, true, entries)));
         loop.execute(few::clientsAccepted);
         CompletableFuture<Long> opened = new CompletableFuture<>();
         for (int i = 0; i < 40; i++) {
@@ -207,7 +207,7 @@
                     () -> few.send(to, timeout -> words, loop.now() + SECOND, loop.now() + SECOND, end::complete));
             assertEquals(ConnectionEnd.SERVED, end.get(20, TimeUnit.SECONDS).end());
         }
-        loop.execute(() -> opened.complete(counters.hostsOpened));
+        loop.execute(() -> opened.complete(counters.hostConnectionsOpened));
         assertEquals(4, opened.get(20, TimeUnit.SECONDS));
     }
 
@@ -217,19 +217,19 @@
         Counters counters = new Counters();
         ConnectionPools starting =
                 new ConnectionPools(loop, new PgProtocol(), transport, SECOND, 15 * SECOND, 6, new Random(1), counters);
-        loop.execute(() ->
-                starting.listed(new EndpointList(1, true, List.of(entry("a", host.port()), entry("b", host.port())))));
+        loop.execute(() -> starting.endpointsUpdated(
+                new EndpointList(1, true, List.of(entry("a", host.port()), entry("b", host.port())))));
         CompletableFuture<Long> before = new CompletableFuture<>();
         // Later than the refill that follows the delay after a host is listed.
         loop.at(loop.now() + 2_500_000, () -> {
-            before.complete(counters.hostsOpened);
+            before.complete(counters.hostConnectionsOpened);
             starting.clientsAccepted();
         });
         assertEquals(0, before.get(20, TimeUnit.SECONDS));
         long opened = 0;
         while (opened < 2) {
             CompletableFuture<Long> now = new CompletableFuture<>();
-            loop.at(loop.now() + 50_000, () -> now.complete(counters.hostsOpened));
+            loop.at(loop.now() + 50_000, () -> now.complete(counters.hostConnectionsOpened));
             opened = now.get(20, TimeUnit.SECONDS);
         }
         assertEquals(2, opened);
@@ -252,7 +252,7 @@
     @Test
     void connectionsOfARemovedHostAreClosed() throws Exception {
         assertServed("before");
-        loop.execute(() -> pools.listed(new EndpointList(2, true, List.of())));
+        loop.execute(() -> pools.endpointsUpdated(new EndpointList(2, true, List.of())));
         Program.await(() -> host.open() == 0, "the end of its connections");
     }
 
@@ -324,7 +324,7 @@
             Program.await(() -> connectsInProgress(port) == 0, "the last try to end");
             CompletableFuture<Void> listed = new CompletableFuture<>();
             loop.execute(() -> {
-                pools.listed(new EndpointList(2, false, List.of(entry("full", port))));
+                pools.endpointsUpdated(new EndpointList(2, false, List.of(entry("full", port))));
                 listed.complete(null);
             });
             listed.join();
--- a/src/test/java/mintstair/discovery/EndpointWatchTest.java
+++ b/src/test/java/mintstair/discovery/EndpointWatchTest.java
@@ -81,8 +81,8 @@
 
         watch(-1, 0, script, () -> queries.size() > 4 && lists.size() > 1);
 
-        assertEquals(3, counters.listCallsFailed);
-        assertTrue(counters.listCalls >= 5);
+        assertEquals(3, counters.discoveryCallsFailed);
+        assertTrue(counters.discoveryCalls >= 5);
         assertEquals("null", queries.get(0));
         assertEquals("null", queries.get(1), "there is no revision yet");
         for (int i = 2; i < 5; i++) {
--- a/src/test/java/mintstair/front/ClientSessionTest.java
+++ b/src/test/java/mintstair/front/ClientSessionTest.java
@@ -136,7 +136,7 @@
             awaitAttempts(1);
 
             // The rest of the last message does not come in time.
-            Program.await(() -> onLoop(() -> counters.malformed) == 1, "the session to terminate");
+            Program.await(() -> onLoop(() -> counters.malformedMessages) == 1, "the session to terminate");
             replyToLastAttempt("w");
 
             assertEquals("served w", client.answer());
--- a/src/test/java/mintstair/front/FrontFixture.java
+++ b/src/test/java/mintstair/front/FrontFixture.java
@@ -53,13 +53,13 @@
         }
 
         @Override
-        public void probe(String host, AttemptListener listener) {}
+        public void sendHealthCheck(String host, AttemptListener listener) {}
 
         @Override
-        public void listed(EndpointList list) {}
+        public void endpointsUpdated(EndpointList list) {}
 
         @Override
-        public void failQueuedForUnavailable() {}
+        public void failQueuedForUnavailableHosts() {}
     }
 
     @BeforeEach
@@ -103,7 +103,7 @@
                 .message('C', "SELECT 1")
                 .bytes();
         HostReply reply = new HostReply(ConnectionEnd.SERVED, body, HostReport.NONE);
-        loop.execute(() -> backend.attempts.get(backend.attempts.size() - 1).end(reply));
+        loop.execute(() -> backend.attempts.get(backend.attempts.size() - 1).onEnd(reply));
     }
 
     /** Keeps the loop busy until the latch is released. */
--- a/src/test/java/mintstair/pins/MetricNamesTest.java
+++ b/src/test/java/mintstair/pins/MetricNamesTest.java
@@ -115,14 +115,14 @@
     void figuresThatCountByReasonsHaveTheseNames() throws IOException {
         Counters counters = new Counters();
         for (ClientCloseReason why : ClientCloseReason.values()) {
-            counters.clientEnded(why);
+            counters.clientConnectionClosed(why);
         }
         for (ConnectionEnd end : ConnectionEnd.values()) {
-            counters.retried(end);
+            counters.retrySent(end);
         }
-        counters.retried(null);
+        counters.retrySent(null);
         for (GiveUpReason reason : GiveUpReason.values()) {
-            counters.gaveUp(reason);
+            counters.requestGivenUp(reason);
         }
         for (InvariantMonitor.Violation rule : InvariantMonitor.Violation.values()) {
             counters.invariantViolated(rule.name().toLowerCase(java.util.Locale.ROOT));
--- a/src/test/java/mintstair/proxy/DeadlineGuardTest.java
+++ b/src/test/java/mintstair/proxy/DeadlineGuardTest.java
@@ -58,6 +58,6 @@
         clockMicros.set(DEADLINE_MICROS + DeadlineGuard.GRACE_MICROS);
 
         assertFalse(expired.await(50, TimeUnit.MILLISECONDS));
-        assertEquals(0, loop.failures());
+        assertEquals(0, loop.failedTasks());
     }
 }
--- a/src/test/java/mintstair/proxy/DispatcherTest.java
+++ b/src/test/java/mintstair/proxy/DispatcherTest.java
@@ -52,7 +52,7 @@
         }
 
         void reply(ConnectionEnd end) {
-            listener.end(new HostReply(end, BODY, HostReport.NONE));
+            listener.onEnd(new HostReply(end, BODY, HostReport.NONE));
         }
     }
 
@@ -67,13 +67,13 @@
         }
 
         @Override
-        public void probe(String host, AttemptListener listener) {}
+        public void sendHealthCheck(String host, AttemptListener listener) {}
 
         @Override
-        public void listed(EndpointList list) {}
+        public void endpointsUpdated(EndpointList list) {}
 
         @Override
-        public void failQueuedForUnavailable() {}
+        public void failQueuedForUnavailableHosts() {}
     }
 
     private static final class RecordingClient implements ResponseListener {
@@ -161,14 +161,14 @@
     void replyOfTheHostIsTheAnswer() throws Exception {
         onLoop(() -> {
             submitWrite();
-            assertTrue(dispatcher.isOpen("id"));
+            assertTrue(dispatcher.hasOpenRequest("id"));
             assertEquals(1, metric("in_flight"));
             assertEquals(PRIMARY, onlyAttempt().host);
 
             onlyAttempt().reply(ConnectionEnd.SERVED);
 
             assertEquals(List.of(new Response.Served(PRIMARY, BODY)), client.responses);
-            assertFalse(dispatcher.isOpen("id"));
+            assertFalse(dispatcher.hasOpenRequest("id"));
             assertEquals(0, metric("in_flight"));
             assertEquals(1, metric("served.write"));
         });
@@ -205,7 +205,7 @@
         onLoop(() -> {
             submitWrite();
 
-            onlyAttempt().listener.part(BODY, () -> {});
+            onlyAttempt().listener.onReplyPart(BODY, () -> {});
             assertEquals(1, client.parts.size());
             assertEquals(List.of(), client.responses);
             assertEquals(1, metric("in_flight"));
@@ -220,7 +220,7 @@
     void streamedReplyThatBreaksOffIsCutAndCountsAsFailed() throws Exception {
         onLoop(() -> {
             submitWrite();
-            onlyAttempt().listener.part(BODY, () -> {});
+            onlyAttempt().listener.onReplyPart(BODY, () -> {});
 
             onlyAttempt().reply(ConnectionEnd.BROKEN_AFTER_WRITTEN);
 
@@ -235,12 +235,12 @@
     void disconnectedClientHasItsStreamedReplyCancelled() throws Exception {
         onLoop(() -> {
             Exchange exchange = submitWrite();
-            onlyAttempt().listener.part(BODY, () -> {});
+            onlyAttempt().listener.onReplyPart(BODY, () -> {});
 
             dispatcher.clientDisconnected(exchange);
 
             assertTrue(onlyAttempt().cancelled);
-            assertFalse(dispatcher.isOpen("id"));
+            assertFalse(dispatcher.hasOpenRequest("id"));
             assertEquals(0, metric("in_flight"));
         });
     }
@@ -260,13 +260,13 @@
     void requestThatIsInFlightAtTheEndOfTheDrainIsAnswered() throws Exception {
         onLoop(() -> {
             submitWrite();
-            assertEquals(TIMEOUT_MICROS, dispatcher.mayHold(TIMEOUT_MICROS));
+            assertEquals(TIMEOUT_MICROS, dispatcher.effectiveTimeoutMicros(TIMEOUT_MICROS));
 
             dispatcher.drainBy(loop.now(), loop.now());
-            assertEquals(1, dispatcher.mayHold(TIMEOUT_MICROS));
+            assertEquals(1, dispatcher.effectiveTimeoutMicros(TIMEOUT_MICROS));
         });
 
-        Program.await(() -> !loopState(() -> dispatcher.isOpen("id")), "the answer");
+        Program.await(() -> !loopState(() -> dispatcher.hasOpenRequest("id")), "the answer");
         assertEquals(1, onLoop(() -> client.responses.size()));
     }
 
--- a/src/test/java/mintstair/proxy/EventLoopTest.java
+++ b/src/test/java/mintstair/proxy/EventLoopTest.java
@@ -69,7 +69,7 @@
             });
 
             assertTrue(threeRuns.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
-            assertEquals(2, loop.failures());
+            assertEquals(2, loop.failedTasks());
         }
     }
 }
--- a/src/test/java/mintstair/proxy/KnownEndpointsTest.java
+++ b/src/test/java/mintstair/proxy/KnownEndpointsTest.java
@@ -53,8 +53,8 @@
 
         assertEquals(1, endpoints.countListed());
         assertFalse(endpoints.isServing("a"));
-        assertTrue(endpoints.knowsCluster(1));
-        assertTrue(endpoints.knowsCluster(2));
-        assertFalse(endpoints.knowsCluster(3));
+        assertTrue(endpoints.isClusterKnown(1));
+        assertTrue(endpoints.isClusterKnown(2));
+        assertFalse(endpoints.isClusterKnown(3));
     }
 }
--- a/src/test/java/mintstair/proxy/RequestTableTest.java
+++ b/src/test/java/mintstair/proxy/RequestTableTest.java
@@ -43,7 +43,7 @@
         AcceptedRequest request = add(1, "a");
 
         assertSame(request, table.get(1));
-        assertTrue(table.isOpen("a"));
+        assertTrue(table.hasOpenRequest("a"));
         assertEquals(1, table.countInFlight());
     }
 
@@ -53,7 +53,7 @@
         request.addAttempt(0, ATTEMPT);
 
         abandon(request);
-        assertFalse(table.isOpen("a"));
+        assertFalse(table.hasOpenRequest("a"));
         assertEquals(0, table.countInFlight());
         assertSame(request, table.get(1));
 
@@ -72,7 +72,7 @@
         first.attemptEnded(0, ConnectionEnd.CALLED_OFF);
         table.close(first);
 
-        assertTrue(table.isOpen("a"));
+        assertTrue(table.hasOpenRequest("a"));
         assertSame(second, table.get(2));
         assertEquals(1, table.countInFlight());
     }
--- a/src/test/java/mintstair/serve/DrainingEndpointsTest.java
+++ b/src/test/java/mintstair/serve/DrainingEndpointsTest.java
@@ -87,8 +87,8 @@
     }
 
     private void awaitAttempts() {
-        long failed = service.counters.listCallsFailed;
-        Program.await(() -> service.counters.listCallsFailed > failed + 4, "some attempts");
+        long failed = service.counters.discoveryCallsFailed;
+        Program.await(() -> service.counters.discoveryCallsFailed > failed + 4, "some attempts");
     }
 
     @Test
--- a/src/test/java/mintstair/stats/CountersTest.java
+++ b/src/test/java/mintstair/stats/CountersTest.java
@@ -38,11 +38,11 @@
 
     @Test
     void responsesAreCountedInTotalAndByClass() {
-        counters.addClass("read");
-        counters.answered("read", new Response.Served("host", new byte[0]));
-        counters.answered("read", new Response.Rejected(5));
-        counters.answered("write", new Response.Rejected(5));
-        counters.answered("write", new Response.Failed("late", true));
+        counters.addRequestClass("read");
+        counters.requestCompleted("read", new Response.Served("host", new byte[0]));
+        counters.requestCompleted("read", new Response.Rejected(5));
+        counters.requestCompleted("write", new Response.Rejected(5));
+        counters.requestCompleted("write", new Response.Failed("late", true));
 
         assertTrue(counters.toString().contains(" served=1 refused=2 failed=1 "), counters.toString());
         assertEquals(
@@ -57,9 +57,9 @@
 
     @Test
     void retriesAreCountedByTheEndOfTheAttemptBefore() {
-        counters.retried(ConnectionEnd.GARBLED);
-        counters.retried(ConnectionEnd.GARBLED);
-        counters.retried(null);
+        counters.retrySent(ConnectionEnd.GARBLED);
+        counters.retrySent(ConnectionEnd.GARBLED);
+        counters.retrySent(null);
 
         assertEquals(2, snapshot().value("retried_after.garbled"));
         assertEquals(1, snapshot().value("retried_after.beside_another"));
@@ -67,9 +67,9 @@
 
     @Test
     void requestsThatAreGivenUpAreCountedByReason() {
-        counters.gaveUp(GiveUpReason.SLOW_START);
-        counters.gaveUp(GiveUpReason.SLOW_START);
-        counters.gaveUp(GiveUpReason.NO_PRIMARY);
+        counters.requestGivenUp(GiveUpReason.SLOW_START);
+        counters.requestGivenUp(GiveUpReason.SLOW_START);
+        counters.requestGivenUp(GiveUpReason.NO_PRIMARY);
 
         assertEquals(2, snapshot().value("given_up.slow_start"));
         assertTrue(counters.toString().endsWith(" given_up={no_primary=1, slow_start=2}"), counters.toString());
@@ -88,7 +88,7 @@
 
     @Test
     void attemptsThatDidNotBeginAreCountedByReason() {
-        counters.heldBack(AttemptVerdict.DECISION_EXPIRED);
+        counters.attemptHeldBack(AttemptVerdict.DECISION_EXPIRED);
 
         assertEquals(1, snapshot().value("held_back.decision_expired"));
         assertEquals(0, snapshot().value("held_back.client_gone"));
--- a/src/test/java/mintstair/stats/HeapFloorTest.java
+++ b/src/test/java/mintstair/stats/MinimumHeapUseTest.java
@@ -4,20 +4,20 @@
 
 import org.junit.jupiter.api.Test;
 
-class HeapFloorTest {
+class MinimumHeapUseTest {
     /** Garbage between two collections does not count, and growth shows in the next period: the minimum starts anew. */
     @Test
     void eachPeriodHasItsOwnMinimum() {
-        HeapFloor floor = new HeapFloor();
-        assertEquals(0, floor.take());
+        MinimumHeapUse heapUse = new MinimumHeapUse();
+        assertEquals(0, heapUse.getAndReset());
 
         for (long used : new long[] {9_000, 14_000, 7_000, 12_000}) {
-            floor.sample(used);
+            heapUse.sample(used);
         }
-        assertEquals(7_000, floor.take());
+        assertEquals(7_000, heapUse.getAndReset());
 
-        floor.sample(11_000);
-        floor.sample(15_000);
-        assertEquals(11_000, floor.take(), "the live objects grew");
+        heapUse.sample(11_000);
+        heapUse.sample(15_000);
+        assertEquals(11_000, heapUse.getAndReset(), "the live objects grew");
     }
 }
