--- a/src/main/java/mintstair/proxy/AcceptedRequest.java
+++ b/src/main/java/mintstair/proxy/AcceptedRequest.java
@@ -6,15 +6,15 @@
 import mintstair.request.Exchange;
 
 /**
- * A request from its acceptance until it is over and its last attempt has ended: its exchange, its attempts that are
- * out and the guard of its deadline. To be used on the event loop only.
+ * An accepted request, kept until it is over and its last attempt has ended: its exchange, its in-flight attempts and
+ * the guard of its deadline. Used on the event loop only.
  */
 final class AcceptedRequest {
     private final Exchange exchange;
     private final Map<Integer, Backend.Attempt> attempts = new HashMap<>();
     private DeadlineGuard deadlineGuard;
     private Backend.Attempt streamingAttempt;
-    private ConnectionEnd lastEnd;
+    private ConnectionEnd lastAttemptEnd;
     private boolean idReleased;
 
     AcceptedRequest(Exchange exchange) {
@@ -29,7 +29,7 @@
         return exchange.number();
     }
 
-    /** The client's own id for it. */
+    /** Returns the id that the client assigned to the request. */
     String id() {
         return exchange.request().id();
     }
@@ -46,53 +46,58 @@
         deadlineGuard.cancel();
     }
 
-    /** Adds an attempt that is out. */
+    /** Adds an in-flight attempt. */
     void addAttempt(int number, Backend.Attempt attempt) {
         attempts.put(number, attempt);
     }
 
-    /** The attempt of this number; null where it is not out. */
+    /** Returns the in-flight attempt with this number, or null if there is none. */
     Backend.Attempt attempt(int number) {
         return attempts.get(number);
     }
 
-    boolean hasAttempts() {
+    boolean hasInFlightAttempts() {
         return !attempts.isEmpty();
     }
 
-    /** Removes an attempt that has ended; returns whether its reply was the one that is streamed. */
+    /** Removes an attempt that has ended. Returns whether its reply was being streamed to the client. */
     boolean attemptEnded(int number, ConnectionEnd end) {
-        lastEnd = end;
+        lastAttemptEnd = end;
         Backend.Attempt removed = attempts.remove(number);
         return removed != null && removed == streamingAttempt;
     }
 
-    /** How the last attempt that has ended did; null where none has. */
-    ConnectionEnd lastEnd() {
-        return lastEnd;
+    /** Returns how the most recently ended attempt ended, or null if no attempt has ended. */
+    ConnectionEnd lastAttemptEnd() {
+        return lastAttemptEnd;
     }
 
-    /** From here on the reply of this attempt is streamed to the client, and no other can be the answer. */
+    /** Selects the attempt whose reply is streamed to the client; no other reply can be the response after this. */
     void startStreaming(Backend.Attempt attempt) {
         streamingAttempt = attempt;
     }
 
-    /** Whether the reply of some attempt is, or was, streamed. */
+    /** Returns whether the reply of any attempt is being streamed or has been streamed. */
     boolean isStreaming() {
         return streamingAttempt != null;
     }
 
+    /** Returns whether the reply of this attempt is being streamed or has been streamed. */
     boolean isStreaming(Backend.Attempt attempt) {
         return streamingAttempt == attempt;
     }
 
+    /** Cancels the attempt whose reply is streamed, if there is one. */
     void cancelStreaming() {
         if (streamingAttempt != null) {
             streamingAttempt.cancel();
         }
     }
 
-    /** Returns true at the first call only: another request may have the same id by the next. */
+    /**
+     * Marks the client's id as available for other requests. Returns true for the first call only, as another request
+     * may already use the same id at the time of a later call.
+     */
     boolean releaseId() {
         boolean first = !idReleased;
         idReleased = true;
--- a/src/main/java/mintstair/proxy/ActionExecutor.java
+++ b/src/main/java/mintstair/proxy/ActionExecutor.java
@@ -5,7 +5,7 @@
 import mintstair.routing.RouterAction;
 import mintstair.stats.Counters;
 
-/** Executes the router's actions. To be used on the event loop only. */
+/** Executes the actions that the router returns. Used on the event loop only. */
 final class ActionExecutor implements RouterAction.Visitor {
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -49,7 +49,7 @@
     public void reject(RouterAction.Reject action) {
         AcceptedRequest request = requests.get(action.request());
         if (request != null) {
-            completion.answer(request, new Response.Rejected(ceilToMillis(action.retryAfterMicros())));
+            completion.respond(request, new Response.Rejected(ceilToMillis(action.retryAfterMicros())));
         }
     }
 
--- a/src/main/java/mintstair/proxy/AttemptSender.java
+++ b/src/main/java/mintstair/proxy/AttemptSender.java
@@ -11,8 +11,8 @@
 import mintstair.stats.Counters;
 
 /**
- * Sends attempts to the backend, and takes to their requests and to the router what comes back. To be used on the event
- * loop only.
+ * Sends attempts to the backend and passes their replies and results on to the requests and the router. Used on the
+ * event loop only.
  */
 final class AttemptSender {
     private final EventLoop loop;
@@ -40,7 +40,7 @@
         this.counters = counters;
     }
 
-    /** Starts the attempt, unless it may no longer begin; its end is reported to the router either way. */
+    /** Starts the attempt, unless it may no longer begin. Its end is reported to the router in either case. */
     void send(RouterAction.Send action) {
         AcceptedRequest request = requests.get(action.request());
         long nowMicros = loop.now();
@@ -49,7 +49,7 @@
             return;
         }
         if (!request.exchange().isClientWaiting()) {
-            // The connection was closed, and the event that reports it still waits for this thread.
+            // The connection was closed, but the task that reports it is still queued on the event loop.
             completion.clientDisconnected(request.exchange());
         }
         long abandonAtMicros = abandonAtMicros(action, request.exchange().deadlineMicros());
@@ -70,7 +70,7 @@
     private void countSent(RouterAction.Send action, AcceptedRequest request) {
         counters.attemptSent();
         if (action.attempt() > 0) {
-            counters.retrySent(request.hasAttempts() ? null : request.lastEnd());
+            counters.retrySent(request.hasInFlightAttempts() ? null : request.lastAttemptEnd());
         }
     }
 
@@ -91,7 +91,7 @@
                         action.request(), action.attempt(), action.host(), end, latencyMicros, requestOver, report));
     }
 
-    /** An attempt between the call that sends it and its end. */
+    /** An attempt that has been passed to the backend and may still be in flight. */
     private final class SentAttempt implements Backend.AttemptListener {
         private final RouterAction.Send action;
         private final AcceptedRequest request;
@@ -137,19 +137,19 @@
             if (request.isStreaming(attempt)) {
                 request.exchange().sendPart(bytes, onConsumed);
             } else {
-                // Another attempt of the request was faster.
+                // The response is already provided by another attempt, or the request is over.
                 onConsumed.run();
                 attempt.cancel();
             }
         }
 
-        /** With its first part this reply becomes the only possible answer, and no deadline applies to it any more. */
+        /** Makes this reply the only possible response, to which the deadline no longer applies. */
         private void startStreaming(Backend.Attempt attempt) {
             request.startStreaming(attempt);
             request.cancelDeadlineGuard();
             completion.responseStarted(request);
-            // The host has done its work. How fast the client reads is no sign of the host's health, and does not use
-            // its capacity.
+            // The host has executed the request. How fast the client reads the response neither indicates the health of
+            // the host nor uses its capacity.
             long nowMicros = loop.now();
             reportEnded(nowMicros, action, ConnectionEnd.SERVED, nowMicros - sentAtMicros, true, HostReport.NONE);
         }
@@ -160,9 +160,9 @@
             boolean streamed = request.attemptEnded(action.attempt(), reply.end());
             counters.attemptEnded(reply.end());
             if (reply.end().isServed() && (streamed || !request.isStreaming())) {
-                completion.answer(request, new Response.Served(action.host(), reply.body()));
+                completion.respond(request, new Response.Served(action.host(), reply.body()));
             } else if (streamed && !request.exchange().isOver()) {
-                completion.streamBroken(request);
+                completion.streamTruncated(request);
             }
             long nowMicros = loop.now();
             boolean over = request.exchange().isOver();
@@ -170,7 +170,7 @@
                 requests.close(request);
             }
             if (!streamed) {
-                // The end of a streamed one was reported with its first part.
+                // The end of a streamed attempt was already reported when its first part arrived.
                 boolean requestOver = over || request.isStreaming();
                 reportEnded(nowMicros, action, reply.end(), nowMicros - sentAtMicros, requestOver, reply.report());
             }
--- a/src/main/java/mintstair/proxy/Backend.java
+++ b/src/main/java/mintstair/proxy/Backend.java
@@ -6,57 +6,66 @@
 import mintstair.request.Statement;
 
 /**
- * The database hosts as the dispatcher sees them. All calls, in both directions, are made on the event loop. Times are
- * microseconds on its clock.
+ * Sends statements and health checks to the database hosts on behalf of the dispatcher. All methods, including those of
+ * the nested interfaces, are called on the event loop only. Times are microseconds on its clock.
  */
 public interface Backend {
-    /** Takes what comes back for something that was sent. */
+    /** Receives the progress and the result of an attempt or a health check. */
     interface AttemptListener {
-        /** It ended. Called exactly once, possibly before the call that sent it returns. */
+        /** Handles the end. Called exactly once, possibly before the method that sends the attempt returns. */
         void onEnd(HostReply reply);
 
-        /** Whether it may begin now; asked when it has a connection, right before it is written. */
+        /** Returns whether the attempt may begin now. Called when it has a connection, right before it is written. */
         default AttemptVerdict mayBegin(long nowMicros) {
             return AttemptVerdict.MAY_BEGIN;
         }
 
-        /** It is about to be written, with {@code timeoutMicros} as the time that its host may take. */
+        /**
+         * Handles the beginning of the attempt, right before its first byte is written.
+         *
+         * @param timeoutMicros the execution time limit that is sent to the host
+         */
         default void onBegin(long nowMicros, long timeoutMicros) {}
 
         /**
-         * A part of a reply that is streamed as it is too long to be buffered; parts come in order, before the end.
+         * Handles a part of a reply that is streamed because it is too long to be buffered. Parts arrive in order and
+         * before the end.
          *
-         * @param onConsumed to be run when the part has been passed on, so that more is read
+         * @param onConsumed to be run when the part has been forwarded, so that reading from the host continues
          */
         default void onReplyPart(byte[] bytes, Runnable onConsumed) {
             onConsumed.run();
         }
     }
 
-    /** Something that was sent. */
+    /** A handle to an attempt or a health check. */
     interface Attempt {
-        /** Stops waiting for it: it ends as cancelled, or as never sent. Does nothing where it has ended. */
+        /**
+         * Cancels the attempt: it ends as cancelled or, if it has not been written, as never sent. Does nothing if it
+         * has already ended.
+         */
         void cancel();
     }
 
     /**
      * Sends a statement to a host.
      *
-     * @param writeByMicros when it must be written at the latest; else it is not sent
+     * @param writeByMicros the latest time at which the statement may be written; if it is not written by then, it is
+     *     not sent
      * @param abandonAtMicros when to stop waiting for the reply
-     * @param listener gets exactly one end
+     * @param listener receives exactly one end
      */
     Attempt send(String host, Statement statement, long writeByMicros, long abandonAtMicros, AttemptListener listener);
 
-    /** Sends a health check to a host; {@code listener} gets exactly one end. */
+    /** Sends a health check to a host; {@code listener} receives exactly one end. */
     void sendHealthCheck(String host, AttemptListener listener);
 
-    /** The endpoint list, or changes to it. */
+    /** Applies a snapshot or a delta of the endpoint list. */
     void endpointsUpdated(EndpointList list);
 
     /**
-     * Ends as never sent what waits for a connection to a host that is draining or removed. Called after the router has
-     * been given the same list, so that it decides anew on what ends here.
+     * Ends, as never sent, the attempts that wait for a connection to a draining or removed host. Called after the
+     * router has received the same endpoint list, so that its new decisions take the list into account.
      */
     void failQueuedForUnavailableHosts();
 }
--- a/src/main/java/mintstair/proxy/DeadlineGuard.java
+++ b/src/main/java/mintstair/proxy/DeadlineGuard.java
@@ -3,12 +3,11 @@
 import java.util.concurrent.Future;
 
 /**
- * Reports that a request is still without its answer shortly after its deadline. The router is to answer each request
- * in time; this is the safeguard for the case that it does not, so that a client never waits for ever. To be used on
- * the event loop only.
+ * Detects that a request has no final response shortly after its deadline. The router is responsible for responding in
+ * time; this guard ensures that no client waits forever if the router fails to do so. Used on the event loop only.
  */
 final class DeadlineGuard {
-    /** How long the router may be late before the guard acts. */
+    /** How long after the deadline the router may still respond before the guard expires. */
     static final long GRACE_MICROS = 10_000;
 
     private final EventLoop loop;
@@ -22,7 +21,7 @@
         this.onExpired = onExpired;
     }
 
-    /** Starts a guard that runs {@code onExpired} once, unless it is cancelled before. */
+    /** Starts a guard that runs {@code onExpired} once, unless it is cancelled first. */
     static DeadlineGuard start(EventLoop loop, long deadlineMicros, Runnable onExpired) {
         DeadlineGuard guard = new DeadlineGuard(loop, deadlineMicros + GRACE_MICROS, onExpired);
         guard.schedule();
@@ -33,7 +32,7 @@
         timer = loop.at(expiresAtMicros, this::timerFired);
     }
 
-    /** The timer runs on another clock than the loop and may fire early. */
+    /** Reschedules the timer if it fired early, which can happen as it runs on a different clock than the loop. */
     private void timerFired() {
         if (loop.now() < expiresAtMicros) {
             schedule();
@@ -42,7 +41,7 @@
         }
     }
 
-    /** Stops the guard; it may be called more than once. */
+    /** Stops the guard. May be called more than once. */
     void cancel() {
         timer.cancel(false);
     }
--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -15,8 +15,9 @@
 import mintstair.stats.MetricsSnapshot;
 
 /**
- * The entry point of the core for fronts and services: accepts requests, and passes on what changes around them. It
- * knows no protocol. Times are microseconds on the event loop's clock. To be used on the event loop only.
+ * The entry point of the protocol-independent core: accepts requests from the fronts and applies changes of the
+ * settings, the endpoint list and the fleet size. Times are microseconds on the event loop's clock. Used on the event
+ * loop only.
  */
 public final class Dispatcher {
     private static final long RELEASE_TIMEOUT_MICROS = 1_000_000;
@@ -36,7 +37,11 @@
     private long drainingFromMicros = NOT_DRAINING;
     private long drainedByMicros;
 
-    /** @param log takes the lines for operators, one call a line */
+    /**
+     * Creates a dispatcher that executes the decisions of {@code router} through {@code backend}.
+     *
+     * @param log receives the log lines for operators, one line per call
+     */
     public Dispatcher(EventLoop loop, RequestRouter router, Backend backend, Counters counters, Consumer<String> log) {
         this.loop = loop;
         this.router = router;
@@ -54,17 +59,17 @@
         action.accept(executor);
     }
 
-    /** The request classes of the current settings, which a front looks up before it submits a request. */
+    /** Returns the request classes of the current settings, against which a front validates a request. */
     public RequestClasses classes() {
         return router.classes();
     }
 
-    /** Whether some host of this cluster was ever listed. */
+    /** Returns whether a host of this cluster has ever been listed. */
     public boolean isClusterKnown(int cluster) {
         return endpoints.isClusterKnown(cluster);
     }
 
-    /** Whether a request with this client id is without its final answer. */
+    /** Returns whether a request with this client id has not yet received its final response. */
     public boolean hasOpenRequest(String id) {
         return requests.hasOpenRequest(id);
     }
@@ -72,12 +77,13 @@
     /**
      * Accepts a request.
      *
-     * @param waitedMicros how much of its timeout has passed since it was read from the connection
-     * @param client gets its one final answer, unless it disconnects first; possibly before this call returns
+     * @param received the request as it was read from the client's connection
+     * @param waitedMicros how much of its timeout has passed since it was read
+     * @param client receives the one final response, unless it disconnects first; possibly before this method returns
      */
-    public Exchange submit(ProxyRequest read, long waitedMicros, ResponseListener client) {
+    public Exchange submit(ProxyRequest received, long waitedMicros, ResponseListener client) {
         long nowMicros = loop.now();
-        ProxyRequest request = read.withReducedTimeout(waitedMicros);
+        ProxyRequest request = received.withReducedTimeout(waitedMicros);
         long number = ++lastRequestNumber;
         Exchange exchange = new Exchange(number, request, nowMicros, client);
         AcceptedRequest accepted = new AcceptedRequest(exchange);
@@ -89,12 +95,12 @@
         return exchange;
     }
 
-    /** The client of an exchange has left; does nothing where that is over. */
+    /** Abandons the request of a client that has disconnected. Does nothing if the exchange is over. */
     public void clientDisconnected(Exchange exchange) {
         completion.clientDisconnected(exchange);
     }
 
-    /** Sends a host a statement that frees what it holds for a client, if it is serving; the reply is discarded. */
+    /** Sends a serving host a statement that releases a client's resources, and discards the reply. */
     public void release(String host, Statement statement) {
         if (endpoints.isServing(host)) {
             long untilMicros = loop.now() + RELEASE_TIMEOUT_MICROS;
@@ -103,8 +109,8 @@
     }
 
     /**
-     * Prepares the end of this process: requests that come after {@code fromMicros}, and all that are in flight at
-     * {@code byMicros}, get their answer by {@code byMicros}.
+     * Schedules the shutdown of this process: requests that arrive after {@code fromMicros}, and all requests that are
+     * in flight at {@code byMicros}, receive their final response by {@code byMicros}.
      */
     public void drainBy(long fromMicros, long byMicros) {
         drainingFromMicros = fromMicros;
@@ -112,7 +118,11 @@
         loop.at(byMicros, () -> driver.execute(router.shutDown(loop.now())));
     }
 
-    /** How long a request that comes now may be held, where its client waits for {@code timeoutMicros}. */
+    /**
+     * Returns the timeout for a request that arrives now: that of its client, limited to the time left to drain.
+     *
+     * @param timeoutMicros how long the client waits for the response
+     */
     public long effectiveTimeoutMicros(long timeoutMicros) {
         long nowMicros = loop.now();
         if (nowMicros < drainingFromMicros) {
@@ -122,30 +132,34 @@
     }
 
     /**
-     * Switches to other settings, as {@link RequestRouter#applySettings} does.
+     * Applies new settings, as {@link RequestRouter#applySettings} does.
      *
-     * @throws RuntimeException where the settings make no sense
+     * @throws RuntimeException if the settings are invalid
      */
     public void applySettings(InstanceSettings settings) {
         settings.classes.keySet().forEach(counters::addRequestClass);
         driver.execute(router.applySettings(loop.now(), settings));
     }
 
-    /** The estimate of the number of proxies changed. */
+    /** Applies a change of the fleet size. */
     public void fleetSizeChanged(RouterEvent.FleetSizeChanged event) {
         driver.handle(loop.now(), event);
     }
 
-    /** The endpoint list, or changes to it; {@code cached} where it was read from a copy of an earlier run. */
+    /**
+     * Applies a snapshot or a delta of the endpoint list.
+     *
+     * @param cached whether it is the cached list of an earlier run
+     */
     public void endpointsUpdated(EndpointList list, boolean cached) {
         endpoints.update(list);
         backend.endpointsUpdated(list);
         driver.handle(loop.now(), new RouterEvent.EndpointsUpdated(list, cached));
-        // A connection may take longer to come up than a draining host may still be sent to.
+        // Connecting can take longer than the period in which a draining host may still be sent requests.
         backend.failQueuedForUnavailableHosts();
     }
 
-    /** Adds the metrics of requests and hosts. */
+    /** Adds the metrics of requests and hosts to a snapshot. */
     public void addTo(MetricsSnapshot.Builder snapshot) {
         metrics.addTo(snapshot);
     }
--- a/src/main/java/mintstair/proxy/HealthCheckSender.java
+++ b/src/main/java/mintstair/proxy/HealthCheckSender.java
@@ -4,7 +4,7 @@
 import mintstair.routing.RouterEvent;
 import mintstair.stats.Counters;
 
-/** Sends health checks to the backend, and their results to the router. To be used on the event loop only. */
+/** Sends health checks to the hosts and passes their results to the router. Used on the event loop only. */
 final class HealthCheckSender {
     private final EventLoop loop;
     private final RouterDriver driver;
--- a/src/main/java/mintstair/proxy/KnownEndpoints.java
+++ b/src/main/java/mintstair/proxy/KnownEndpoints.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import mintstair.request.EndpointList;
 
-/** The hosts and clusters of the endpoint list, as far as the core needs them. To be used on the event loop only. */
+/** Tracks which hosts and clusters the endpoint list contains. Used on the event loop only. */
 final class KnownEndpoints {
     private final Set<String> listedHosts = new HashSet<>();
     private final Set<String> servingHosts = new HashSet<>();
@@ -18,30 +18,30 @@
         }
         for (EndpointList.Entry entry : list.entries()) {
             clusters.add(entry.cluster());
-            setMember(listedHosts, entry.host(), entry.state() != EndpointList.State.REMOVED);
-            setMember(servingHosts, entry.host(), entry.state() == EndpointList.State.SERVING);
+            addOrRemove(listedHosts, entry.host(), entry.state() != EndpointList.State.REMOVED);
+            addOrRemove(servingHosts, entry.host(), entry.state() == EndpointList.State.SERVING);
         }
     }
 
-    private static void setMember(Set<String> hosts, String host, boolean member) {
-        if (member) {
+    private static void addOrRemove(Set<String> hosts, String host, boolean present) {
+        if (present) {
             hosts.add(host);
         } else {
             hosts.remove(host);
         }
     }
 
-    /** Whether some host of this cluster was ever listed. */
+    /** Returns whether a host of this cluster has ever been listed. */
     boolean isClusterKnown(int cluster) {
         return clusters.contains(cluster);
     }
 
-    /** Whether the host is listed and takes requests. */
+    /** Returns whether the host is listed as serving. */
     boolean isServing(String host) {
         return servingHosts.contains(host);
     }
 
-    /** How many hosts are listed, draining ones included. */
+    /** Returns the number of listed hosts, including draining ones. */
     int countListed() {
         return listedHosts.size();
     }
--- a/src/main/java/mintstair/proxy/ProxyMetrics.java
+++ b/src/main/java/mintstair/proxy/ProxyMetrics.java
@@ -4,7 +4,10 @@
 import mintstair.stats.Counters;
 import mintstair.stats.MetricsSnapshot;
 
-/** Publishes the metrics of requests and hosts: counters, and gauges that are read when asked for. Event loop only. */
+/**
+ * Publishes the metrics of requests and hosts: counters, and gauges that are computed for each snapshot. Used on the
+ * event loop only.
+ */
 final class ProxyMetrics {
     private final EventLoop loop;
     private final RequestRouter router;
@@ -21,6 +24,7 @@
         this.counters = counters;
     }
 
+    /** Adds the metrics to a snapshot. */
     void addTo(MetricsSnapshot.Builder metrics) {
         counters.addTo(metrics);
         metrics.add("in_flight", requests.countInFlight());
--- a/src/main/java/mintstair/proxy/RequestCompletion.java
+++ b/src/main/java/mintstair/proxy/RequestCompletion.java
@@ -7,13 +7,13 @@
 import mintstair.stats.Counters;
 
 /**
- * The ways in which a request can be over: answered, abandoned by its client, overdue, or with a streamed answer that
- * broke off. To be used on the event loop only.
+ * Completes requests: with a final response, or because the client disconnected, the deadline passed or a streamed
+ * reply was truncated. Used on the event loop only.
  */
 final class RequestCompletion {
-    private static final String OVERDUE = "its time ran out";
+    private static final String DEADLINE_EXCEEDED = "its time ran out";
     private static final String NOT_SERVED = "no host could serve it";
-    private static final String STREAM_BROKEN = "its host broke off";
+    private static final String REPLY_TRUNCATED = "the reply of the host was truncated";
 
     private final EventLoop loop;
     private final RequestRouter router;
@@ -30,8 +30,8 @@
         this.counters = counters;
     }
 
-    /** Gives the final answer, unless there was one or the client has left; the request is over then. */
-    void answer(AcceptedRequest request, Response response) {
+    /** Sends the final response, unless the request is already over, and closes the request. */
+    void respond(AcceptedRequest request, Response response) {
         if (request.exchange().respond(response)) {
             counters.requestCompleted(request.requestClass(), response);
             if (!request.isStreaming()) {
@@ -41,28 +41,28 @@
         requests.close(request);
     }
 
-    /** The client is given its answer, or the first part of it: the router's invariant checks are to know. */
+    /** Reports to the router's invariant checks that the client is sent its response, or the first part of it. */
     void responseStarted(AcceptedRequest request) {
         driver.execute(router.responseStarted(loop.now(), request.number()));
     }
 
-    /** Gives the final answer of a request that the router gives up. */
+    /** Sends the final response to a request that the router gives up. */
     void fail(AcceptedRequest request) {
         boolean late = loop.now() >= request.exchange().deadlineMicros();
-        answer(request, new Response.Failed(late ? OVERDUE : NOT_SERVED, late));
+        respond(request, new Response.Failed(late ? DEADLINE_EXCEEDED : NOT_SERVED, late));
     }
 
-    /** Fails a request that has no answer though its deadline has passed. */
+    /** Fails a request that has no final response although its deadline has passed. Does nothing if it is over. */
     void deadlineExpired(AcceptedRequest request) {
         if (request.exchange().isOver()) {
             return;
         }
         counters.requestOverdue();
-        answer(request, new Response.Failed(OVERDUE, true));
+        respond(request, new Response.Failed(DEADLINE_EXCEEDED, true));
         reportDisconnected(request.exchange());
     }
 
-    /** The client of an exchange has left; does nothing where that is over. */
+    /** Abandons the request of a client that has disconnected. Does nothing if the exchange is over. */
     void clientDisconnected(Exchange exchange) {
         if (exchange.isOver()) {
             return;
@@ -75,9 +75,9 @@
         reportDisconnected(exchange);
     }
 
-    /** The reply that is streamed to the client broke off before its end. */
-    void streamBroken(AcceptedRequest request) {
-        counters.requestCompleted(request.requestClass(), new Response.Failed(STREAM_BROKEN, false));
+    /** Aborts a streamed response because the reply of the host ended early, and counts the request as failed. */
+    void streamTruncated(AcceptedRequest request) {
+        counters.requestCompleted(request.requestClass(), new Response.Failed(REPLY_TRUNCATED, false));
         request.exchange().abort();
     }
 
--- a/src/main/java/mintstair/proxy/RequestTable.java
+++ b/src/main/java/mintstair/proxy/RequestTable.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 
 /**
- * The accepted requests by their number, and the client ids of those that are open. To be used on the event loop only.
+ * Holds the accepted requests by their number, and the client ids of those that are open. Used on the event loop only.
  *
- * <p>A request is open until it has its final answer or its client has left; it stays in the table until, after that,
- * its last attempt has ended.
+ * <p>A request is open until it has received its final response or its client has disconnected. It stays in the table
+ * until, in addition, its last attempt has ended.
  */
 final class RequestTable {
     private final Map<Long, AcceptedRequest> requests = new HashMap<>();
@@ -21,28 +21,31 @@
         openIds.add(request.id());
     }
 
-    /** The request of this number; null where it is over and has no attempts out. */
+    /** Returns the request with this number, or null if it is over and has no in-flight attempts. */
     AcceptedRequest get(long number) {
         return requests.get(number);
     }
 
-    /** Whether a request with this client id is open. */
+    /** Returns whether a request with this client id is open. */
     boolean hasOpenRequest(String id) {
         return openIds.contains(id);
     }
 
-    /** Closes a request that is over. To be called again when an attempt of it ends, as the last one has it removed. */
+    /**
+     * Closes a request that is over, and removes it if no attempt is in flight. Must be called again whenever an
+     * attempt of a closed request ends.
+     */
     void close(AcceptedRequest request) {
         if (request.releaseId()) {
             openIds.remove(request.id());
         }
         request.cancelDeadlineGuard();
-        if (!request.hasAttempts()) {
+        if (!request.hasInFlightAttempts()) {
             requests.remove(request.number());
         }
     }
 
-    /** How many requests are open, or have a streamed answer that is not finished. */
+    /** Returns the number of requests that are not over; a streamed response counts until it is complete. */
     int countInFlight() {
         int inFlight = 0;
         for (AcceptedRequest request : requests.values()) {
--- a/src/main/java/mintstair/proxy/RouterDriver.java
+++ b/src/main/java/mintstair/proxy/RouterDriver.java
@@ -9,11 +9,11 @@
 import mintstair.routing.RouterEvent;
 
 /**
- * Hands events to the router, has the actions that it returns executed, and calls it when its next timer is due. To be
- * used on the event loop only.
+ * Passes events to the router, executes the actions that it returns, and calls it when its next timer is due. Used on
+ * the event loop only.
  *
- * <p>Actions run to completion one after another: those that an action leads to are executed after it, in order, not
- * inside it.
+ * <p>Each action runs to completion before the next one starts. Actions that result from executing an action are queued
+ * behind the pending ones, not executed recursively.
  */
 final class RouterDriver {
     private static final long NO_TIMER = Long.MAX_VALUE;
@@ -26,19 +26,23 @@
     private Future<?> timer;
     private long timerAtMicros = NO_TIMER;
 
-    /** @param executor executes one action; it may call this object again */
+    /**
+     * Creates a driver that has no timer running.
+     *
+     * @param executor executes one action; it may call the methods of this object
+     */
     RouterDriver(EventLoop loop, RequestRouter router, Consumer<RouterAction> executor) {
         this.loop = loop;
         this.router = router;
         this.executor = executor;
     }
 
-    /** Hands an event to the router and executes what it decides. */
+    /** Passes an event to the router and executes the resulting actions. */
     void handle(long nowMicros, RouterEvent event) {
         execute(router.handle(nowMicros, event));
     }
 
-    /** Executes actions of the router, after those that are pending. */
+    /** Executes actions of the router, after all pending actions. */
     void execute(List<RouterAction> actions) {
         pending.addAll(actions);
         if (executing) {
@@ -59,7 +63,10 @@
         }
     }
 
-    /** A timer that is earlier than the router's next one stays: it finds nothing due, and sets the next. */
+    /**
+     * Starts a timer for the router's next one if none runs that is as early. An earlier timer is kept: when it fires,
+     * nothing is due yet, and the next timer is started.
+     */
     private void adjustTimer() {
         long nextMicros = router.nextTimerMicros();
         if (nextMicros >= timerAtMicros) {
--- a/src/main/java/mintstair/stats/Counters.java
+++ b/src/main/java/mintstair/stats/Counters.java
@@ -11,40 +11,41 @@
 import mintstair.request.Response;
 
 /**
- * Counts events since the start of the process, for one protocol. Every value is a number of events. Everything here is
- * read and written on the event loop only, but for the fields of type {@link AtomicLong}, which any thread may use.
+ * Counts the events of one protocol since the start of the process. Used on the event loop only, except for the fields
+ * of type {@link AtomicLong}, which any thread may use.
  *
- * <p>Fields are counted by the part that sees the event; they are public, as each is incremented at one or two places.
+ * <p>The public fields are incremented by the component that observes the event; each is incremented at one or two
+ * places only.
  */
 public final class Counters {
-    /** Stands in metric names for the end that a retry followed, where the attempt before it is still out. */
-    private static final String BESIDE_ANOTHER = "beside_another";
+    /** Replaces the previous attempt's end in the name of the retry metric while an earlier attempt is in flight. */
+    private static final String PREVIOUS_IN_FLIGHT = "beside_another";
 
-    /** Messages of clients that were no valid request, so that the connection was closed or an error returned. */
+    /** Client messages that were not a valid request and led to an error response or a closed connection. */
     public long malformedMessages;
-    /** Client connections that were opened. */
+    /** Client connections that were accepted, except for {@link #clientConnectionsDropped}. */
     public long clientConnectionsOpened;
-    /** Client connections that were closed with an error message, as descriptors were short. */
+    /** Client connections that were closed with an error message because file descriptors ran short. */
     public long clientConnectionsRejected;
-    /** Client connections that were closed between two requests, as descriptors were short. */
+    /** Client connections that were closed between two requests because file descriptors ran short. */
     public long idleClientConnectionsEvicted;
-    /** Client connections that were closed at once and without a message, as too many came together. Any thread. */
+    /** Client connections that were closed at once, without a message, because too many were opened together. */
     public final AtomicLong clientConnectionsDropped = new AtomicLong();
-    /** Connections to hosts that were begun. */
+    /** Connections to hosts that the proxy started to open. */
     public long hostConnectionsOpened;
-    /** Of {@link #hostConnectionsOpened}, those that were begun before an attempt needed them. */
+    /** The connections in {@link #hostConnectionsOpened} that were opened before an attempt needed them. */
     public long hostConnectionsPreconnected;
-    /** Of {@link #hostConnectionsOpened}, those that failed before they were ready. */
+    /** The connections in {@link #hostConnectionsOpened} that failed before they were ready. */
     public long hostConnectionsFailed;
-    /** Attempts whose last byte was written to a host. Any thread. */
+    /** Attempts whose last byte was written to a host. */
     public final AtomicLong attemptsWritten = new AtomicLong();
     /** Calls to service discovery. */
     public long discoveryCalls;
-    /** Of {@link #discoveryCalls}, those that were rejected, broke or had no reply. */
+    /** The calls in {@link #discoveryCalls} that were rejected, lost their connection or received no reply. */
     public long discoveryCallsFailed;
     /** Reloads of the settings that succeeded. */
     public long reloadsSucceeded;
-    /** Reloads of the settings that failed; the settings before them stayed. */
+    /** Reloads of the settings that failed, so that the previous settings remained in effect. */
     public long reloadsFailed;
 
     private long requestsAccepted;
@@ -53,7 +54,7 @@
     private long attemptsSent;
     private long healthChecksSent;
     private final long[] responses = newResponseCounts();
-    /** Responses of each request class, by the ordinal of their kind; those of a class that was removed stay. */
+    /** The number of responses of each kind, by request class. Classes that have been removed are retained. */
     private final Map<String, long[]> responsesByClass = new LinkedHashMap<>();
 
     private final long[] attemptEnds = new long[ConnectionEnd.values().length];
@@ -67,86 +68,86 @@
         return new long[Response.Kind.values().length];
     }
 
-    /** A request was accepted. */
+    /** Counts an accepted request. */
     public void requestAccepted() {
         requestsAccepted++;
     }
 
-    /** How many requests were accepted. */
+    /** Returns the number of accepted requests. */
     public long requestsAccepted() {
         return requestsAccepted;
     }
 
-    /** A client left before its answer. */
+    /** Counts a request whose client disconnected before its response. */
     public void requestAbandoned() {
         requestsAbandoned++;
     }
 
-    /** Requests whose clients disconnected before their response. */
+    /** Returns the number of requests whose client disconnected before its response. */
     public long requestsAbandoned() {
         return requestsAbandoned;
     }
 
-    /** A request had no answer when its deadline had passed, and was failed by its guard. */
+    /** Counts a request that the deadline guard failed because it had no response after its deadline. */
     public void requestOverdue() {
         requestsOverdue++;
     }
 
-    /** An attempt was handed to the connections. */
+    /** Counts an attempt that was passed to the backend. */
     public void attemptSent() {
         attemptsSent++;
     }
 
-    /** How many attempts were handed to the connections. */
+    /** Returns the number of attempts that were passed to the backend. */
     public long attemptsSent() {
         return attemptsSent;
     }
 
-    /** An attempt that was handed to the connections has ended. */
+    /** Counts the end of an attempt that was passed to the backend. */
     public void attemptEnded(ConnectionEnd end) {
         attemptEnds[end.ordinal()]++;
     }
 
-    /** An attempt that was decided on did not begin, for this reason. */
+    /** Counts an attempt that the router decided on but that did not begin, by the reason. */
     public void attemptHeldBack(AttemptVerdict reason) {
         attemptsHeldBack[reason.ordinal()]++;
     }
 
     /**
-     * A further attempt for a request was sent.
+     * Counts an attempt that is not the first one of its request.
      *
-     * @param previousEnd how the attempt before it ended; null where an earlier attempt is still out
+     * @param previousEnd how the previous attempt ended; null if an earlier attempt is still in flight
      */
     public void retrySent(ConnectionEnd previousEnd) {
-        increment(retriesByPreviousEnd, previousEnd == null ? BESIDE_ANOTHER : metricName(previousEnd));
+        increment(retriesByPreviousEnd, previousEnd == null ? PREVIOUS_IN_FLIGHT : metricName(previousEnd));
     }
 
-    /** A health check was sent. */
+    /** Counts a health check that was sent. */
     public void healthCheckSent() {
         healthChecksSent++;
     }
 
-    /** A client's connection ended, for this reason. */
+    /** Counts a client connection that was closed, by the reason. */
     public void clientConnectionClosed(Enum<?> reason) {
         increment(clientsEnded, metricName(reason));
     }
 
-    /** A request was rejected or failed without a host's answer, for this reason. */
+    /** Counts a request that was rejected or failed without a host's reply, by the reason. */
     public void requestGivenUp(GiveUpReason reason) {
         increment(givenUp, metricName(reason));
     }
 
-    /** An invariant was violated, which is a fault of the program. */
+    /** Counts the violation of an invariant, which indicates a fault of the program. */
     public void invariantViolated(String rule) {
         increment(invariantViolations, rule);
     }
 
-    /** Adds a request class with nothing counted yet, so that its metrics exist from the start. */
+    /** Adds a request class, so that its metrics are published before its first response. */
     public void addRequestClass(String requestClass) {
         responsesOf(requestClass);
     }
 
-    /** A request of this class had its final answer. */
+    /** Counts the final response to a request of this class. */
     public void requestCompleted(String requestClass, Response response) {
         int kind = response.kind().ordinal();
         responses[kind]++;
@@ -161,7 +162,7 @@
         counts.merge(name, 1L, Long::sum);
     }
 
-    /** Adds what is published on the control address. */
+    /** Adds the metrics that are published on the control address. */
     public void addTo(MetricsSnapshot.Builder metrics) {
         responsesByClass.forEach((name, counts) -> metrics.add("served." + name, count(counts, Response.Kind.SERVED))
                 .add("refused." + name, count(counts, Response.Kind.REJECTED))
@@ -197,7 +198,8 @@
     }
 
     /**
-     * One line of names and values, for the clients' counter commands and the log; its form is read by other programs.
+     * Returns one line of names and values, for the counter commands of the protocols and for the log. Other programs
+     * parse it.
      */
     @Override
     public String toString() {
--- a/src/main/java/mintstair/stats/MetricsSnapshot.java
+++ b/src/main/java/mintstair/stats/MetricsSnapshot.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The values of all metrics at one moment, in the order in which they were added. Immutable. */
+/** The values of all metrics at one point in time, in the order in which they were added. Immutable. */
 public final class MetricsSnapshot {
     private static final String PREFIX = "svc.";
 
@@ -14,12 +14,16 @@
         this.values = Collections.unmodifiableMap(values);
     }
 
-    /** The value of a metric by its name without prefix, such as {@code served.lobby-read}; 0 where there is none. */
+    /**
+     * Returns the value of a metric, or 0 if the snapshot does not contain it.
+     *
+     * @param name the name without the prefix, such as {@code served.lobby-read}
+     */
     public long value(String name) {
         return values.getOrDefault(name, 0L);
     }
 
-    /** One line for each metric: {@code svc.NAME=VALUE}. */
+    /** Returns one line for each metric: {@code svc.NAME=VALUE}. */
     @Override
     public String toString() {
         StringBuilder lines = new StringBuilder();
@@ -28,17 +32,17 @@
         return lines.toString();
     }
 
-    /** Collects values; those that are added under the same name by several parts are summed. For use by one thread. */
+    /** Collects metric values and sums those that are added under the same name. Not thread-safe. */
     public static final class Builder {
         private final Map<String, Long> values = new LinkedHashMap<>();
 
-        /** Adds to the metric of this name, which is 0 at first. */
+        /** Adds a value to the metric of this name, which is initially 0. */
         public Builder add(String name, long value) {
             values.merge(name, value, Long::sum);
             return this;
         }
 
-        /** A snapshot of what was added up to now. */
+        /** Returns a snapshot of the values that have been added so far. */
         public MetricsSnapshot build() {
             return new MetricsSnapshot(new LinkedHashMap<>(values));
         }
--- a/src/main/java/mintstair/stats/MinimumHeapUse.java
+++ b/src/main/java/mintstair/stats/MinimumHeapUse.java
@@ -1,25 +1,25 @@
 package mintstair.stats;
 
 /**
- * The smallest heap use that was sampled since the last read. Where a garbage collection fell into that time, this is
- * close to the size of the live objects, else an upper bound of it; it must not grow over a long day. The heap is
- * sampled as the platform's memory beans, which report it exactly, take too long to start. Not safe for use by several
- * threads.
+ * The smallest sampled heap use since the last read. If a garbage collection ran in that period, the value is close to
+ * the size of the live objects; otherwise it is an upper bound. A value that keeps growing over a day indicates a
+ * memory leak. The heap is sampled because the JVM's memory beans, which report the exact size, take too long to
+ * initialize. Not thread-safe.
  */
 public final class MinimumHeapUse {
-    private static final long NONE = Long.MAX_VALUE;
+    private static final long NO_SAMPLE = Long.MAX_VALUE;
 
-    private long smallestBytes = NONE;
+    private long smallestBytes = NO_SAMPLE;
 
-    /** Takes one sample: the bytes in use now, garbage included. */
+    /** Records one sample: the bytes in use now, including garbage. */
     public void sample(long usedBytes) {
         smallestBytes = Math.min(smallestBytes, usedBytes);
     }
 
-    /** Returns the smallest sample in bytes and begins anew; 0 where there was no sample since the last call. */
+    /** Returns the smallest sample in bytes since the last call, or 0 if there was none, and resets the minimum. */
     public long getAndReset() {
-        long smallest = smallestBytes == NONE ? 0 : smallestBytes;
-        smallestBytes = NONE;
+        long smallest = smallestBytes == NO_SAMPLE ? 0 : smallestBytes;
+        smallestBytes = NO_SAMPLE;
         return smallest;
     }
 }
--- a/src/test/java/mintstair/proxy/DeadlineGuardTest.java
+++ b/src/test/java/mintstair/proxy/DeadlineGuardTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void expiresOnceTheGraceAfterTheDeadlineIsOver() throws Exception {
+    void expiresWhenTheGracePeriodAfterTheDeadlineEnds() throws Exception {
         loop.execute(() -> DeadlineGuard.start(loop, DEADLINE_MICROS, expired::countDown));
 
         clockMicros.set(DEADLINE_MICROS + DeadlineGuard.GRACE_MICROS);
@@ -32,9 +32,9 @@
         assertTrue(expired.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
-    /** The timer of the guard runs in real time; the loop's clock stands still here. */
+    /** The timer of the guard runs in real time, while the loop's clock changes only when the test sets it. */
     @Test
-    void waitsOnWhereItsTimerFiresBeforeTheLoopsClockIsThere() throws Exception {
+    void doesNotExpireIfItsTimerFiresBeforeTheLoopClockReachesTheExpiryTime() throws Exception {
         loop.execute(() -> DeadlineGuard.start(loop, DEADLINE_MICROS, expired::countDown));
         clockMicros.set(DEADLINE_MICROS + DeadlineGuard.GRACE_MICROS - 1);
 
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void neverExpiresOnceCancelled() throws Exception {
+    void doesNotExpireAfterItWasCancelled() throws Exception {
         CountDownLatch cancelled = new CountDownLatch(1);
         loop.execute(() -> {
             DeadlineGuard guard = DeadlineGuard.start(loop, DEADLINE_MICROS, expired::countDown);
--- a/src/test/java/mintstair/proxy/DispatcherTest.java
+++ b/src/test/java/mintstair/proxy/DispatcherTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The way of a request through the core, with the real router and a backend that the test plays. */
+/** Tests the path of a request through the core, with the real router and a backend whose replies the test sends. */
 class DispatcherTest {
     private static final long TIMEOUT_SECONDS = 20;
     private static final long TIMEOUT_MICROS = 5_000_000;
@@ -35,13 +35,13 @@
     private static final Statement STATEMENT = timeoutMillis -> new byte[0];
     private static final byte[] BODY = {1, 2};
 
-    /** Something that was sent, to be replied to by the test. */
-    private static final class Sent implements Backend.Attempt {
+    /** An attempt that was sent; the test sends the reply. */
+    private static final class SentAttempt implements Backend.Attempt {
         private final String host;
         private final Backend.AttemptListener listener;
         private boolean cancelled;
 
-        Sent(String host, Backend.AttemptListener listener) {
+        SentAttempt(String host, Backend.AttemptListener listener) {
             this.host = host;
             this.listener = listener;
         }
@@ -57,12 +57,12 @@
     }
 
     private static final class RecordingBackend implements Backend {
-        private final List<Sent> sent = new ArrayList<>();
+        private final List<SentAttempt> sentAttempts = new ArrayList<>();
 
         @Override
         public Attempt send(String host, Statement statement, long writeBy, long abandonAt, AttemptListener listener) {
-            Sent attempt = new Sent(host, listener);
-            sent.add(attempt);
+            SentAttempt attempt = new SentAttempt(host, listener);
+            sentAttempts.add(attempt);
             return attempt;
         }
 
@@ -79,8 +79,8 @@
     private static final class RecordingClient implements ResponseListener {
         private final List<Response> responses = new ArrayList<>();
         private final List<byte[]> parts = new ArrayList<>();
-        private boolean gone;
-        private boolean cut;
+        private boolean disconnected;
+        private boolean aborted;
 
         @Override
         public void onResponse(Response response) {
@@ -88,19 +88,19 @@
         }
 
         @Override
-        public void onResponsePart(byte[] bytes, Runnable written) {
+        public void onResponsePart(byte[] bytes, Runnable onWritten) {
             parts.add(bytes);
-            written.run();
+            onWritten.run();
         }
 
         @Override
         public boolean isDisconnected() {
-            return gone;
+            return disconnected;
         }
 
         @Override
         public void onResponseAborted() {
-            cut = true;
+            aborted = true;
         }
     }
 
@@ -110,7 +110,7 @@
     private Dispatcher dispatcher;
 
     @BeforeEach
-    void startWithAPrimary() throws Exception {
+    void startWithOnePrimary() throws Exception {
         dispatcher = new Dispatcher(loop, RouterFixtures.router(loop.now()), backend, new Counters(), line -> {});
         EndpointList.Entry primary = RouterFixtures.primary(PRIMARY, EndpointList.State.SERVING);
         onLoop(() -> dispatcher.endpointsUpdated(new EndpointList(1, true, List.of(primary)), false));
@@ -146,9 +146,9 @@
         return dispatcher.submit(request, 0, client);
     }
 
-    private Sent onlyAttempt() {
-        assertEquals(1, backend.sent.size());
-        return backend.sent.get(0);
+    private SentAttempt onlyAttempt() {
+        assertEquals(1, backend.sentAttempts.size());
+        return backend.sentAttempts.get(0);
     }
 
     private long metric(String name) {
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void replyOfTheHostIsTheAnswer() throws Exception {
+    void replyOfTheHostIsSentAsTheResponse() throws Exception {
         onLoop(() -> {
             submitWrite();
             assertTrue(dispatcher.hasOpenRequest("id"));
@@ -175,33 +175,33 @@
     }
 
     @Test
-    void nothingIsSentForAClientThatIsGone() throws Exception {
+    void noAttemptIsSentForADisconnectedClient() throws Exception {
         onLoop(() -> {
-            client.gone = true;
+            client.disconnected = true;
 
             Exchange exchange = submitWrite();
 
             assertTrue(exchange.isOver());
-            assertEquals(List.of(), backend.sent);
+            assertEquals(List.of(), backend.sentAttempts);
             assertEquals(1, metric("held_back.request_over"));
         });
     }
 
     @Test
-    void writeThatMayHaveRunIsNotSentTwice() throws Exception {
+    void writeThatMayHaveBeenExecutedIsNotRetried() throws Exception {
         onLoop(() -> {
             submitWrite();
 
             onlyAttempt().reply(ConnectionEnd.BROKEN_AFTER_WRITTEN);
 
             assertInstanceOf(Response.Failed.class, client.responses.get(0));
-            assertEquals(1, backend.sent.size());
+            assertEquals(1, backend.sentAttempts.size());
             assertEquals(1, metric("failed.write"));
         });
     }
 
     @Test
-    void streamedReplyIsInFlightUntilItsEnd() throws Exception {
+    void requestWithAStreamedReplyIsInFlightUntilTheReplyEnds() throws Exception {
         onLoop(() -> {
             submitWrite();
 
@@ -217,14 +217,14 @@
     }
 
     @Test
-    void streamedReplyThatBreaksOffIsCutAndCountsAsFailed() throws Exception {
+    void truncatedStreamedReplyAbortsTheResponseAndCountsAsFailed() throws Exception {
         onLoop(() -> {
             submitWrite();
             onlyAttempt().listener.onReplyPart(BODY, () -> {});
 
             onlyAttempt().reply(ConnectionEnd.BROKEN_AFTER_WRITTEN);
 
-            assertTrue(client.cut);
+            assertTrue(client.aborted);
             assertEquals(List.of(), client.responses);
             assertEquals(1, metric("failed.write"));
             assertEquals(0, metric("in_flight"));
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void disconnectedClientHasItsStreamedReplyCancelled() throws Exception {
+    void streamedReplyIsCancelledWhenItsClientDisconnects() throws Exception {
         onLoop(() -> {
             Exchange exchange = submitWrite();
             onlyAttempt().listener.onReplyPart(BODY, () -> {});
@@ -246,10 +246,10 @@
     }
 
     @Test
-    void statementsThatFreeResourcesGoToServingHostsOnly() throws Exception {
+    void releaseStatementsAreSentToServingHostsOnly() throws Exception {
         onLoop(() -> {
             dispatcher.release("unknown", STATEMENT);
-            assertEquals(List.of(), backend.sent);
+            assertEquals(List.of(), backend.sentAttempts);
 
             dispatcher.release(PRIMARY, STATEMENT);
             assertEquals(PRIMARY, onlyAttempt().host);
@@ -257,7 +257,7 @@
     }
 
     @Test
-    void requestThatIsInFlightAtTheEndOfTheDrainIsAnswered() throws Exception {
+    void requestInFlightAtTheEndOfTheDrainReceivesAResponse() throws Exception {
         onLoop(() -> {
             submitWrite();
             assertEquals(TIMEOUT_MICROS, dispatcher.effectiveTimeoutMicros(TIMEOUT_MICROS));
@@ -266,7 +266,7 @@
             assertEquals(1, dispatcher.effectiveTimeoutMicros(TIMEOUT_MICROS));
         });
 
-        Program.await(() -> !loopState(() -> dispatcher.hasOpenRequest("id")), "the answer");
+        Program.await(() -> !loopState(() -> dispatcher.hasOpenRequest("id")), "the response");
         assertEquals(1, onLoop(() -> client.responses.size()));
     }
 
--- a/src/test/java/mintstair/proxy/EventLoopTest.java
+++ b/src/test/java/mintstair/proxy/EventLoopTest.java
@@ -10,7 +10,7 @@
 import mintstair.time.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
-/** The loop's clock does not follow changes of the wall clock, and a task that fails is reported and stops no other. */
+/** Tests that the loop's clock ignores changes of the wall clock and that a failed task does not stop the loop. */
 class EventLoopTest {
     private static final long HOUR_MICROS = 3_600_000_000L;
     private static final long START_MICROS = 1_700_000_000_000_000L;
@@ -34,10 +34,11 @@
     }
 
     /**
-     * The pause, between the first two readings of the clock, is longer than the difference that a reading may have.
+     * The thread is paused for 150 ms between the first two readings of the nanosecond clock, far longer than the gap
+     * that a pair of readings may have. The pause must not become an offset between the clock and Unix time.
      */
     @Test
-    void clockIsExactWhenItsThreadWasPausedDuringItsStart() {
+    void clockIsAccurateIfItsThreadIsPausedDuringItsCreation() {
         AtomicLong nanos = new AtomicLong();
         AtomicInteger readings = new AtomicInteger();
 
@@ -50,21 +51,21 @@
 
         long wallMicros = START_MICROS + nanos.get() / 1_000;
         long differenceMicros = clock.getAsLong() - wallMicros;
-        assertTrue(Math.abs(differenceMicros) < 1_000, "off by " + differenceMicros);
+        assertTrue(Math.abs(differenceMicros) < 1_000, "differs from Unix time by " + differenceMicros + " us");
     }
 
     @Test
-    void periodicTaskThatFailsRunsAgainAndItsFailuresAreCounted() throws Exception {
+    void periodicTaskThatThrowsRunsAgainAndItsFailuresAreCounted() throws Exception {
         AtomicInteger runs = new AtomicInteger();
         CountDownLatch threeRuns = new CountDownLatch(3);
         try (EventLoop loop = new EventLoop()) {
             loop.every(1_000, () -> {
                 threeRuns.countDown();
                 if (runs.incrementAndGet() == 1) {
-                    throw new IllegalStateException("as the test wants it");
+                    throw new IllegalStateException("thrown by the test");
                 }
                 if (runs.get() == 2) {
-                    throw new AssertionError("as the test wants it");
+                    throw new AssertionError("thrown by the test");
                 }
             });
 
--- a/src/test/java/mintstair/proxy/KnownEndpointsTest.java
+++ b/src/test/java/mintstair/proxy/KnownEndpointsTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void deltaChangesOnlyTheHostsThatItNames() {
+    void deltaChangesOnlyTheHostsThatItContains() {
         snapshot(entry("a", 1, State.SERVING), entry("b", 1, State.SERVING));
 
         delta(entry("b", 1, State.REMOVED));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void snapshotReplacesAllHostsButClustersStayKnown() {
+    void snapshotReplacesAllHostsButRetainsKnownClusters() {
         snapshot(entry("a", 1, State.SERVING));
 
         snapshot(entry("b", 2, State.SERVING));
--- a/src/test/java/mintstair/proxy/RequestTableTest.java
+++ b/src/test/java/mintstair/proxy/RequestTableTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void requestIsFoundByItsNumberAndItsIdIsOpen() {
+    void addedRequestIsFoundByItsNumberAndItsIdIsOpen() {
         AcceptedRequest request = add(1, "a");
 
         assertSame(request, table.get(1));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void closedRequestStaysUntilItsLastAttemptHasEnded() {
+    void closedRequestIsRetainedUntilItsLastAttemptEnds() {
         AcceptedRequest request = add(1, "a");
         request.addAttempt(0, ATTEMPT);
 
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void lateEndOfAnAttemptDoesNotCloseANewRequestOfTheSameId() {
+    void lateEndOfAnAttemptDoesNotCloseANewRequestWithTheSameId() {
         AcceptedRequest first = add(1, "a");
         first.addAttempt(0, ATTEMPT);
         abandon(first);
--- a/src/test/java/mintstair/proxy/RouterDriverTest.java
+++ b/src/test/java/mintstair/proxy/RouterDriverTest.java
@@ -13,7 +13,7 @@
 class RouterDriverTest {
     private static final RouterAction FIRST = new RouterAction.Log("first");
     private static final RouterAction SECOND = new RouterAction.Log("second");
-    private static final RouterAction FOLLOWING = new RouterAction.Log("following");
+    private static final RouterAction RESULTING = new RouterAction.Log("resulting");
 
     private final EventLoop loop = new EventLoop();
     private final List<RouterAction> executed = new ArrayList<>();
@@ -25,32 +25,32 @@
     }
 
     @Test
-    void actionsThatAnActionLeadsToAreExecutedAfterThoseThatArePending() {
+    void actionsThatResultFromAnActionAreExecutedAfterPendingActions() {
         driver = new RouterDriver(loop, RouterFixtures.router(loop.now()), action -> {
             if (action == FIRST) {
-                driver.execute(List.of(FOLLOWING));
-                assertEquals(List.of(), executed, "executed inside the first");
+                driver.execute(List.of(RESULTING));
+                assertEquals(List.of(), executed, "executed within the first action");
             }
             executed.add(action);
         });
 
         driver.execute(List.of(FIRST, SECOND));
 
-        assertEquals(List.of(FIRST, SECOND, FOLLOWING), executed);
+        assertEquals(List.of(FIRST, SECOND, RESULTING), executed);
     }
 
     @Test
-    void actionThatFailsDoesNotKeepThoseAfterItFromBeingExecutedLater() {
+    void actionsQueuedBehindAFailedActionAreExecutedByTheNextCall() {
         driver = new RouterDriver(loop, RouterFixtures.router(loop.now()), action -> {
             if (action == FIRST) {
-                throw new IllegalStateException("as the test wants it");
+                throw new IllegalStateException("thrown by the test");
             }
             executed.add(action);
         });
         assertThrows(IllegalStateException.class, () -> driver.execute(List.of(FIRST, SECOND)));
 
-        driver.execute(List.of(FOLLOWING));
+        driver.execute(List.of(RESULTING));
 
-        assertEquals(List.of(SECOND, FOLLOWING), executed);
+        assertEquals(List.of(SECOND, RESULTING), executed);
     }
 }
--- a/src/test/java/mintstair/stats/CountersTest.java
+++ b/src/test/java/mintstair/stats/CountersTest.java
@@ -9,7 +9,7 @@
 import mintstair.request.Response;
 import org.junit.jupiter.api.Test;
 
-/** The names and their order are read by other programs. */
+/** Tests the published counters, whose names and order other programs rely on. */
 class CountersTest {
     private final Counters counters = new Counters();
 
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void retriesAreCountedByTheEndOfTheAttemptBefore() {
+    void retriesAreCountedByTheEndOfThePreviousAttempt() {
         counters.retrySent(ConnectionEnd.GARBLED);
         counters.retrySent(ConnectionEnd.GARBLED);
         counters.retrySent(null);
--- a/src/test/java/mintstair/stats/MetricsSnapshotTest.java
+++ b/src/test/java/mintstair/stats/MetricsSnapshotTest.java
@@ -6,7 +6,7 @@
 
 class MetricsSnapshotTest {
     @Test
-    void valuesOfOneNameAreSummedAndKeepTheOrderOfTheFirst() {
+    void valuesOfTheSameNameAreSummedInTheOrderOfFirstAddition() {
         MetricsSnapshot snapshot = new MetricsSnapshot.Builder()
                 .add("attempts", 2)
                 .add("in_flight", 1)
@@ -17,12 +17,12 @@
     }
 
     @Test
-    void unknownMetricIsZero() {
+    void unknownMetricHasTheValueZero() {
         assertEquals(0, new MetricsSnapshot.Builder().build().value("attempts"));
     }
 
     @Test
-    void snapshotDoesNotChangeWithItsBuilder() {
+    void laterAdditionsToTheBuilderDoNotChangeASnapshot() {
         MetricsSnapshot.Builder builder = new MetricsSnapshot.Builder().add("attempts", 1);
         MetricsSnapshot snapshot = builder.build();
 
--- a/src/test/java/mintstair/stats/MinimumHeapUseTest.java
+++ b/src/test/java/mintstair/stats/MinimumHeapUseTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class MinimumHeapUseTest {
-    /** Garbage between two collections does not count, and growth shows in the next period: the minimum starts anew. */
+    /** Garbage between two collections must not count; without the reset, growth of the live objects would not show. */
     @Test
     void eachPeriodHasItsOwnMinimum() {
         MinimumHeapUse heapUse = new MinimumHeapUse();
@@ -18,6 +18,6 @@
 
         heapUse.sample(11_000);
         heapUse.sample(15_000);
-        assertEquals(11_000, heapUse.getAndReset(), "the live objects grew");
+        assertEquals(11_000, heapUse.getAndReset(), "the minimum must reflect the growth of the live objects");
     }
 }
