--- a/src/main/java/mintstair/proxy/HealthCheckSender.java
+++ b/src/main/java/mintstair/proxy/HealthCheckSender.java
@@ -4,7 +4,7 @@
 import mintstair.routing.RouterEvent;
 import mintstair.stats.Counters;
 
-/** Sends health checks to the backend, and their results to the router. To be used on the event loop only. */
+/** Sends health checks to the hosts and passes their results to the router. Used on the event loop only. */
 final class HealthCheckSender {
     private final EventLoop loop;
     private final RouterDriver driver;
@@ -21,7 +21,7 @@
     void send(String host) {
         long sentAtMicros = loop.now();
         counters.healthCheckSent();
-        backend.probe(host, reply -> ended(host, sentAtMicros, reply));
+        backend.sendHealthCheck(host, reply -> ended(host, sentAtMicros, reply));
     }
 
     private void ended(String host, long sentAtMicros, HostReply reply) {
--- a/src/test/java/mintstair/proxy/DispatcherTest.java
+++ b/src/test/java/mintstair/proxy/DispatcherTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The way of a request through the core, with the real router and a backend that the test plays. */
+/** Tests the path of a request through the core, with the real router and a backend whose replies the test sends. */
 class DispatcherTest {
     private static final long TIMEOUT_SECONDS = 20;
     private static final long TIMEOUT_MICROS = 5_000_000;
@@ -35,13 +35,13 @@
     private static final Statement STATEMENT = timeoutMillis -> new byte[0];
     private static final byte[] BODY = {1, 2};
 
-    /** Something that was sent, to be replied to by the test. */
-    private static final class Sent implements Backend.Attempt {
+    /** An attempt that was sent; the test sends the reply. */
+    private static final class SentAttempt implements Backend.Attempt {
         private final String host;
         private final Backend.AttemptListener listener;
         private boolean cancelled;
 
-        Sent(String host, Backend.AttemptListener listener) {
+        SentAttempt(String host, Backend.AttemptListener listener) {
             this.host = host;
             this.listener = listener;
         }
@@ -52,35 +52,35 @@
         }
 
         void reply(ConnectionEnd end) {
-            listener.end(new HostReply(end, BODY, HostReport.NONE));
+            listener.onEnd(new HostReply(end, BODY, HostReport.NONE));
         }
     }
 
     private static final class RecordingBackend implements Backend {
-        private final List<Sent> sent = new ArrayList<>();
+        private final List<SentAttempt> sentAttempts = new ArrayList<>();
 
         @Override
         public Attempt send(String host, Statement statement, long writeBy, long abandonAt, AttemptListener listener) {
-            Sent attempt = new Sent(host, listener);
-            sent.add(attempt);
+            SentAttempt attempt = new SentAttempt(host, listener);
+            sentAttempts.add(attempt);
             return attempt;
         }
 
         @Override
-        public void probe(String host, AttemptListener listener) {}
+        public void sendHealthCheck(String host, AttemptListener listener) {}
 
         @Override
-        public void listed(EndpointList list) {}
+        public void endpointsUpdated(EndpointList list) {}
 
         @Override
-        public void failQueuedForUnavailable() {}
+        public void failQueuedForUnavailableHosts() {}
     }
 
     private static final class RecordingClient implements ResponseListener {
         private final List<Response> responses = new ArrayList<>();
         private final List<byte[]> parts = new ArrayList<>();
-        private boolean gone;
-        private boolean cut;
+        private boolean disconnected;
+        private boolean aborted;
 
         @Override
         public void onResponse(Response response) {
@@ -88,19 +88,19 @@
         }
 
         @Override
-        public void onResponsePart(byte[] bytes, Runnable written) {
+        public void onResponsePart(byte[] bytes, Runnable onWritten) {
             parts.add(bytes);
-            written.run();
+            onWritten.run();
         }
 
         @Override
         public boolean isDisconnected() {
-            return gone;
+            return disconnected;
         }
 
         @Override
         public void onResponseAborted() {
-            cut = true;
+            aborted = true;
         }
     }
 
@@ -110,7 +110,7 @@
     private Dispatcher dispatcher;
 
     @BeforeEach
-    void startWithAPrimary() throws Exception {
+    void startWithOnePrimary() throws Exception {
         dispatcher = new Dispatcher(loop, RouterFixtures.router(loop.now()), backend, new Counters(), line -> {});
         EndpointList.Entry primary = RouterFixtures.primary(PRIMARY, EndpointList.State.SERVING);
         onLoop(() -> dispatcher.endpointsUpdated(new EndpointList(1, true, List.of(primary)), false));
@@ -146,9 +146,9 @@
         return dispatcher.submit(request, 0, client);
     }
 
-    private Sent onlyAttempt() {
-        assertEquals(1, backend.sent.size());
-        return backend.sent.get(0);
+    private SentAttempt onlyAttempt() {
+        assertEquals(1, backend.sentAttempts.size());
+        return backend.sentAttempts.get(0);
     }
 
     private long metric(String name) {
@@ -158,54 +158,54 @@
     }
 
     @Test
-    void replyOfTheHostIsTheAnswer() throws Exception {
+    void replyOfTheHostIsSentAsTheResponse() throws Exception {
         onLoop(() -> {
             submitWrite();
-            assertTrue(dispatcher.isOpen("id"));
+            assertTrue(dispatcher.hasOpenRequest("id"));
             assertEquals(1, metric("in_flight"));
             assertEquals(PRIMARY, onlyAttempt().host);
 
             onlyAttempt().reply(ConnectionEnd.SERVED);
 
             assertEquals(List.of(new Response.Served(PRIMARY, BODY)), client.responses);
-            assertFalse(dispatcher.isOpen("id"));
+            assertFalse(dispatcher.hasOpenRequest("id"));
             assertEquals(0, metric("in_flight"));
             assertEquals(1, metric("served.write"));
         });
     }
 
     @Test
-    void nothingIsSentForAClientThatIsGone() throws Exception {
+    void noAttemptIsSentForADisconnectedClient() throws Exception {
         onLoop(() -> {
-            client.gone = true;
+            client.disconnected = true;
 
             Exchange exchange = submitWrite();
 
             assertTrue(exchange.isOver());
-            assertEquals(List.of(), backend.sent);
+            assertEquals(List.of(), backend.sentAttempts);
             assertEquals(1, metric("held_back.request_over"));
         });
     }
 
     @Test
-    void writeThatMayHaveRunIsNotSentTwice() throws Exception {
+    void writeThatMayHaveBeenExecutedIsNotRetried() throws Exception {
         onLoop(() -> {
             submitWrite();
 
             onlyAttempt().reply(ConnectionEnd.BROKEN_AFTER_WRITTEN);
 
             assertInstanceOf(Response.Failed.class, client.responses.get(0));
-            assertEquals(1, backend.sent.size());
+            assertEquals(1, backend.sentAttempts.size());
             assertEquals(1, metric("failed.write"));
         });
     }
 
     @Test
-    void streamedReplyIsInFlightUntilItsEnd() throws Exception {
+    void requestWithAStreamedReplyIsInFlightUntilTheReplyEnds() throws Exception {
         onLoop(() -> {
             submitWrite();
 
-            onlyAttempt().listener.part(BODY, () -> {});
+            onlyAttempt().listener.onReplyPart(BODY, () -> {});
             assertEquals(1, client.parts.size());
             assertEquals(List.of(), client.responses);
             assertEquals(1, metric("in_flight"));
@@ -217,14 +217,14 @@
     }
 
     @Test
-    void streamedReplyThatBreaksOffIsCutAndCountsAsFailed() throws Exception {
+    void truncatedStreamedReplyAbortsTheResponseAndCountsAsFailed() throws Exception {
         onLoop(() -> {
             submitWrite();
-            onlyAttempt().listener.part(BODY, () -> {});
+            onlyAttempt().listener.onReplyPart(BODY, () -> {});
 
             onlyAttempt().reply(ConnectionEnd.BROKEN_AFTER_WRITTEN);
 
-            assertTrue(client.cut);
+            assertTrue(client.aborted);
             assertEquals(List.of(), client.responses);
             assertEquals(1, metric("failed.write"));
             assertEquals(0, metric("in_flight"));
@@ -232,24 +232,24 @@
     }
 
     @Test
-    void disconnectedClientHasItsStreamedReplyCancelled() throws Exception {
+    void streamedReplyIsCancelledWhenItsClientDisconnects() throws Exception {
         onLoop(() -> {
             Exchange exchange = submitWrite();
-            onlyAttempt().listener.part(BODY, () -> {});
+            onlyAttempt().listener.onReplyPart(BODY, () -> {});
 
             dispatcher.clientDisconnected(exchange);
 
             assertTrue(onlyAttempt().cancelled);
-            assertFalse(dispatcher.isOpen("id"));
+            assertFalse(dispatcher.hasOpenRequest("id"));
             assertEquals(0, metric("in_flight"));
         });
     }
 
     @Test
-    void statementsThatFreeResourcesGoToServingHostsOnly() throws Exception {
+    void releaseStatementsAreSentToServingHostsOnly() throws Exception {
         onLoop(() -> {
             dispatcher.release("unknown", STATEMENT);
-            assertEquals(List.of(), backend.sent);
+            assertEquals(List.of(), backend.sentAttempts);
 
             dispatcher.release(PRIMARY, STATEMENT);
             assertEquals(PRIMARY, onlyAttempt().host);
@@ -257,16 +257,16 @@
     }
 
     @Test
-    void requestThatIsInFlightAtTheEndOfTheDrainIsAnswered() throws Exception {
+    void requestInFlightAtTheEndOfTheDrainReceivesAResponse() throws Exception {
         onLoop(() -> {
             submitWrite();
-            assertEquals(TIMEOUT_MICROS, dispatcher.mayHold(TIMEOUT_MICROS));
+            assertEquals(TIMEOUT_MICROS, dispatcher.effectiveTimeoutMicros(TIMEOUT_MICROS));
 
             dispatcher.drainBy(loop.now(), loop.now());
-            assertEquals(1, dispatcher.mayHold(TIMEOUT_MICROS));
+            assertEquals(1, dispatcher.effectiveTimeoutMicros(TIMEOUT_MICROS));
         });
 
-        Program.await(() -> !loopState(() -> dispatcher.isOpen("id")), "the answer");
+        Program.await(() -> !loopState(() -> dispatcher.hasOpenRequest("id")), "the response");
         assertEquals(1, onLoop(() -> client.responses.size()));
     }
 
--- a/src/test/java/mintstair/proxy/KnownEndpointsTest.java
+++ b/src/test/java/mintstair/proxy/KnownEndpointsTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void deltaChangesOnlyTheHostsThatItNames() {
+    void deltaChangesOnlyTheHostsThatItContains() {
         snapshot(entry("a", 1, State.SERVING), entry("b", 1, State.SERVING));
 
         delta(entry("b", 1, State.REMOVED));
@@ -46,15 +46,15 @@
     }
 
     @Test
-    void snapshotReplacesAllHostsButClustersStayKnown() {
+    void snapshotReplacesAllHostsButRetainsKnownClusters() {
         snapshot(entry("a", 1, State.SERVING));
 
         snapshot(entry("b", 2, State.SERVING));
 
         assertEquals(1, endpoints.countListed());
         assertFalse(endpoints.isServing("a"));
-        assertTrue(endpoints.knowsCluster(1));
-        assertTrue(endpoints.knowsCluster(2));
-        assertFalse(endpoints.knowsCluster(3));
+        assertTrue(endpoints.isClusterKnown(1));
+        assertTrue(endpoints.isClusterKnown(2));
+        assertFalse(endpoints.isClusterKnown(3));
     }
 }
--- a/src/test/java/mintstair/proxy/RequestTableTest.java
+++ b/src/test/java/mintstair/proxy/RequestTableTest.java
@@ -39,21 +39,21 @@
     }
 
     @Test
-    void requestIsFoundByItsNumberAndItsIdIsOpen() {
+    void addedRequestIsFoundByItsNumberAndItsIdIsOpen() {
         AcceptedRequest request = add(1, "a");
 
         assertSame(request, table.get(1));
-        assertTrue(table.isOpen("a"));
+        assertTrue(table.hasOpenRequest("a"));
         assertEquals(1, table.countInFlight());
     }
 
     @Test
-    void closedRequestStaysUntilItsLastAttemptHasEnded() {
+    void closedRequestIsRetainedUntilItsLastAttemptEnds() {
         AcceptedRequest request = add(1, "a");
         request.addAttempt(0, ATTEMPT);
 
         abandon(request);
-        assertFalse(table.isOpen("a"));
+        assertFalse(table.hasOpenRequest("a"));
         assertEquals(0, table.countInFlight());
         assertSame(request, table.get(1));
 
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void lateEndOfAnAttemptDoesNotCloseANewRequestOfTheSameId() {
+    void lateEndOfAnAttemptDoesNotCloseANewRequestWithTheSameId() {
         AcceptedRequest first = add(1, "a");
         first.addAttempt(0, ATTEMPT);
         abandon(first);
@@ -72,7 +72,7 @@
         first.attemptEnded(0, ConnectionEnd.CALLED_OFF);
         table.close(first);
 
-        assertTrue(table.isOpen("a"));
+        assertTrue(table.hasOpenRequest("a"));
         assertSame(second, table.get(2));
         assertEquals(1, table.countInFlight());
     }
