--- a/src/test/java/mintstair/decision/FleetTest.java
+++ b/src/test/java/mintstair/decision/FleetTest.java
@@ -307,7 +307,7 @@
                 s.replicaReadCheck(),
                 s.positionsInResponses(),
                 s.listReportsRole(),
-                s.subscribe(),
+                s.subscribesToEndpoints(),
                 s.clientsMarkRetries(),
                 s.healthCheckCost(),
                 s.crossZoneCost(),
