--- a/src/main/java/mintstair/membership/FleetMember.java
+++ b/src/main/java/mintstair/membership/FleetMember.java
@@ -53,8 +53,8 @@
     private final Thread thread;
     private final String address;
     private final MonotonicClock clock = new MonotonicClock();
-    private final AtomicLong garbledMessages = new AtomicLong();
-    private final AtomicLong unsentMessages = new AtomicLong();
+    private final AtomicLong malformedMessages = new AtomicLong();
+    private final AtomicLong sendFailures = new AtomicLong();
     private volatile MembershipView view;
     private volatile SwimStatistics statistics;
     private volatile boolean closing;
@@ -125,13 +125,13 @@
     }
 
     /** Datagrams received that were not well-formed messages of this fleet. */
-    public long garbledMessages() {
-        return garbledMessages.get();
+    public long malformedMessages() {
+        return malformedMessages.get();
     }
 
     /** Messages that could not be sent. */
-    public long unsentMessages() {
-        return unsentMessages.get();
+    public long sendFailures() {
+        return sendFailures.get();
     }
 
     /** The text of the {@code members} command. */
@@ -212,7 +212,7 @@
             if (message.isPresent()) {
                 swim.received(nowMicros(), message.get());
             } else {
-                garbledMessages.incrementAndGet();
+                malformedMessages.incrementAndGet();
             }
         }
     }
@@ -239,12 +239,12 @@
         public void send(String receiver, Message message) {
             try {
                 if (!isSent(receiver, message)) {
-                    unsentMessages.incrementAndGet();
+                    sendFailures.incrementAndGet();
                 }
             } catch (IOException | ConfigException e) {
                 // Like a datagram lost on the network, which the protocol expects; a malformed address in an update
                 // is never reached.
-                unsentMessages.incrementAndGet();
+                sendFailures.incrementAndGet();
             }
         }
 
--- a/src/main/java/mintstair/membership/MembersReport.java
+++ b/src/main/java/mintstair/membership/MembersReport.java
@@ -44,7 +44,7 @@
         ClusterSizeEstimate estimate = view.sizeEstimate();
         text.append("view version=").append(view.version());
         text.append(" settled=").append(estimate.settled());
-        text.append(" quorum=").append(estimate.quorum());
+        text.append(" quorum=").append(estimate.hasQuorum());
         text.append(" counted=").append(estimate.counted());
         text.append(" largest=").append(estimate.largest());
         text.append('\n');
--- a/src/main/java/mintstair/membership/swim/ClusterSizeEstimate.java
+++ b/src/main/java/mintstair/membership/swim/ClusterSizeEstimate.java
@@ -6,6 +6,6 @@
  * @param largest the largest size that was configured or observed
  * @param counted members that may run and may themselves be settled, this one included
  * @param settled whether this member may use its share among the {@code counted} ones
- * @param quorum whether this member sees more than half of the expected members alive
+ * @param hasQuorum whether this member sees more than half of the expected members alive
  */
-public record ClusterSizeEstimate(int largest, int counted, boolean settled, boolean quorum) {}
+public record ClusterSizeEstimate(int largest, int counted, boolean settled, boolean hasQuorum) {}
--- a/src/main/java/mintstair/serve/MembershipService.java
+++ b/src/main/java/mintstair/serve/MembershipService.java
@@ -89,7 +89,7 @@
     private static void addSizeEstimate(ClusterSizeEstimate size, MetricsSnapshot.Builder metrics) {
         metrics.add("members_counted", size.counted())
                 .add("members_settled", size.settled() ? 1 : 0)
-                .add("members_quorum", size.quorum() ? 1 : 0);
+                .add("members_quorum", size.hasQuorum() ? 1 : 0);
     }
 
     private void addProtocolCounts(SwimStatistics statistics, MetricsSnapshot.Builder metrics) {
@@ -104,8 +104,8 @@
                 .add("member_stalls", statistics.stalls())
                 .add("member_messages_sent", statistics.sentMessages())
                 .add("member_messages_heard", statistics.receivedMessages())
-                .add("member_messages_garbled", member.garbledMessages())
-                .add("member_messages_unsent", member.unsentMessages())
+                .add("member_messages_garbled", member.malformedMessages())
+                .add("member_messages_unsent", member.sendFailures())
                 .add("member_turned_away", statistics.rejected())
                 .add("member_namesakes", statistics.nameConflicts());
     }
--- a/src/test/java/mintstair/bench/MembershipBench.java
+++ b/src/test/java/mintstair/bench/MembershipBench.java
@@ -82,17 +82,17 @@
 
     private static SimulatedFleet agreed(int size, SwimSettings settings, double loss, long seed, boolean connections) {
         SimulatedFleet play = new SimulatedFleet(size, settings, loss, seed);
-        play.connections = connections;
+        play.connectionsEnabled = connections;
         play.startAll();
-        play.untilAgreed(60 * S);
+        play.awaitConvergence(60 * S);
         return play;
     }
 
     private static double load(int size, double loss) {
         SimulatedFleet play = agreed(size, SwimSettings.forLocalNetwork(size), loss, 1, true);
-        long before = play.nodes.stream().mapToLong(n -> n.messages).sum();
-        play.pass(10 * S);
-        return (play.nodes.stream().mapToLong(n -> n.messages).sum() - before) / 10.0 / size;
+        long before = play.nodes.stream().mapToLong(n -> n.sentMessages).sum();
+        play.advance(10 * S);
+        return (play.nodes.stream().mapToLong(n -> n.sentMessages).sum() - before) / 10.0 / size;
     }
 
     /**
@@ -109,22 +109,22 @@
                     ? agreed(size, SwimSettings.forLocalNetwork(size), 0.05, i, true)
                     : play;
             SimulatedFleet.Node victim = play.nodes.get(size - 1 - i % Math.max(1, size / 10));
-            play.pass(5 * S + i * 77_773L % 400_000);
-            play.deaths.remove(victim.number);
-            play.suspicions.remove(victim.number);
-            long begun = play.now;
+            play.advance(5 * S + i * 77_773L % 400_000);
+            play.deaths.remove(victim.index);
+            play.suspicions.remove(victim.index);
+            long begun = play.nowMicros;
             if (machine) {
-                play.lose(victim);
+                play.failMachine(victim);
             } else {
                 play.kill(victim);
             }
             int others = play.running().size();
-            while (play.now - begun < 100 * S
-                    && play.deaths.getOrDefault(victim.number, Map.of()).size() < others) {
-                play.pass(20_000);
+            while (play.nowMicros - begun < 100 * S
+                    && play.deaths.getOrDefault(victim.index, Map.of()).size() < others) {
+                play.advance(20_000);
             }
-            all.add((play.now - begun) / 1e6);
-            first.add((Collections.min(play.suspicions.get(victim.number).values()) - begun) / 1e6);
+            all.add((play.nowMicros - begun) / 1e6);
+            first.add((Collections.min(play.suspicions.get(victim.index).values()) - begun) / 1e6);
         }
         Collections.sort(all);
         String name = (machine ? "lost_machine" : "killed_process") + "_known_to_all_s_" + size;
@@ -144,7 +144,7 @@
         SimulatedFleet play = agreed(100, settings, loss, 3, false);
         play.falseDeaths = 0;
         play.falseSuspicions = 0;
-        play.pass(seconds * S);
+        play.advance(seconds * S);
         double periods = 100 * seconds / 0.4 / 10_000;
         return new double[] {play.falseSuspicions / periods, play.falseDeaths / periods};
     }
@@ -155,9 +155,9 @@
         play.falseDeaths = 0;
         for (int i = 0; i < rounds; i++) {
             for (int n = 0; n < 5; n++) {
-                play.stall(play.nodes.get((i * 5 + n) % 50), play.now + 12 * S);
+                play.stall(play.nodes.get((i * 5 + n) % 50), play.nowMicros + 12 * S);
             }
-            play.pass(40 * S);
+            play.advance(40 * S);
         }
         return new double[] {play.falseDeaths};
     }
@@ -165,9 +165,9 @@
     private static double heal(int size) {
         SimulatedFleet play = agreed(size, SwimSettings.forLocalNetwork(size), 0.01, 9, true);
         play.network = SimulatedFleet.partitioned(0.01, size * 2 / 5);
-        play.pass(120 * S);
+        play.advance(120 * S);
         play.network = SimulatedFleet.lossy(0.01);
-        return play.untilAgreed(60 * S) / 1e6;
+        return play.awaitConvergence(60 * S) / 1e6;
     }
 
     private static void figure(String name, double value) {
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -34,8 +34,8 @@
         double sum = 0;
         for (SimulatedFleet.Node node : play.running()) {
             ClusterSizeEstimate s = node.swim.sizeEstimate();
-            ReadWriteSplitter router = (ReadWriteSplitter) fixtures[node.number].router;
-            router.onFleetSize(play.now, new FleetSize(s.largest(), s.counted(), s.settled()));
+            ReadWriteSplitter router = (ReadWriteSplitter) fixtures[node.index].router;
+            router.onFleetSize(play.nowMicros, new FleetSize(s.largest(), s.counted(), s.settled()));
             sum += node.isStalled() ? 0 : 1 / router.effectiveFleetSize();
         }
         return sum;
@@ -43,9 +43,9 @@
 
     /** Lets time pass; at no moment may all parts together be more than the whole. */
     private void pass(long time) {
-        for (long end = play.now + time; play.now < end; play.pass(200_000)) {
+        for (long end = play.nowMicros + time; play.nowMicros < end; play.advance(200_000)) {
             most = Math.max(most, sum());
-            assertTrue(most <= 1 + 1e-9, "parts add up to " + most + " at " + play.now / 1e6);
+            assertTrue(most <= 1 + 1e-9, "parts add up to " + most + " at " + play.nowMicros / 1e6);
         }
     }
 
@@ -104,7 +104,7 @@
         });
         pass(30 * S);
         assertEquals(0.5 * 0.7 + 0.5, sum(), 1e-9);
-        play.nodes.subList(30, 60).forEach(play::lose);
+        play.nodes.subList(30, 60).forEach(play::failMachine);
         pass(150 * S);
         assertEquals(0.5 * 0.4 + 0.5, sum(), 1e-9);
     }
@@ -125,8 +125,8 @@
                     case 3 ->
                         play.nodes
                                 .subList(some, some + 30)
-                                .forEach(n -> play.stall(n, play.now + chance.nextInt(60) * S));
-                    default -> play.nodes.stream().filter(n -> !n.runs).toList().forEach(play::start);
+                                .forEach(n -> play.stall(n, play.nowMicros + chance.nextInt(60) * S));
+                    default -> play.nodes.stream().filter(n -> !n.isRunning).toList().forEach(play::start);
                 }
                 pass(chance.nextInt(60) * S);
             }
--- a/src/test/java/mintstair/membership/FleetMemberTest.java
+++ b/src/test/java/mintstair/membership/FleetMemberTest.java
@@ -75,7 +75,7 @@
         Program.await(
                 () -> count(first, MemberState.ALIVE) == 1 && count(second, MemberState.ALIVE) == 1,
                 "both to know each other");
-        Program.await(() -> first.garbledMessages() > 0 && second.garbledMessages() > 0, "the stranger to be rejected");
+        Program.await(() -> first.malformedMessages() > 0 && second.malformedMessages() > 0, "the stranger to be rejected");
 
         sendRandomBytes(NodeConfig.address(address(first)));
 
--- a/src/test/java/mintstair/membership/SimulatedFleet.java
+++ b/src/test/java/mintstair/membership/SimulatedFleet.java
@@ -43,39 +43,39 @@
     /** One member of the fleet. */
     public final class Node implements SwimActions {
         /** Index of the node, which is also its address. */
-        public final int number;
+        public final int index;
 
         public final String name;
         public Swim swim;
         /** Whether its process runs. */
-        public boolean runs;
+        public boolean isRunning;
         /** Messages that it has sent. */
-        public long messages;
+        public long sentMessages;
         /** Whether its machine runs; one that does not does not even refuse connections. */
-        private boolean machineRuns = true;
+        private boolean isMachineRunning = true;
 
         private long stalledUntil;
         private long nextWake = Long.MAX_VALUE;
         /** What arrives while it is stalled, as in a socket's receive buffer. */
         private final List<Message> receiveBuffer = new ArrayList<>();
 
-        Node(int number) {
-            this.number = number;
-            name = "p" + number;
+        Node(int index) {
+            this.index = index;
+            name = "p" + index;
         }
 
         @Override
         public void send(String address, Message message) {
-            messages++;
+            sentMessages++;
             int to = Integer.parseInt(address);
-            long delay = network.delay(number, to, random);
+            long delay = network.delay(index, to, random);
             if (delay >= 0) {
-                at(now + delay, () -> nodes.get(to).receive(message));
+                at(nowMicros + delay, () -> nodes.get(to).receive(message));
             }
         }
 
         private void receive(Message message) {
-            if (!runs) {
+            if (!isRunning) {
                 return;
             }
             if (isStalled()) {
@@ -84,7 +84,7 @@
                 }
                 return;
             }
-            swim.received(now, message);
+            swim.received(nowMicros, message);
             scheduleTick();
         }
 
@@ -92,12 +92,12 @@
         public void checkConnection(long sequence, String target, String address) {
             Node to = nodes.get(Integer.parseInt(address));
             Swim requester = swim;
-            boolean connectable = connections && network.connects(number, to.number) && to.machineRuns;
-            long delay = Math.max(MIN_CHECK_DELAY_MICROS, network.delay(number, to.number, random));
+            boolean connectable = connectionsEnabled && network.connects(index, to.index) && to.isMachineRunning;
+            long delay = Math.max(MIN_CHECK_DELAY_MICROS, network.delay(index, to.index, random));
             long duration = connectable ? CHECK_DELAYS * delay : Long.MAX_VALUE;
-            at(now + Math.min(duration, ConnectionChecker.TIMEOUT_MICROS), () -> {
-                if (runs && swim == requester && !isStalled()) {
-                    swim.connectionChecked(now, sequence, checkResult(to, duration));
+            at(nowMicros + Math.min(duration, ConnectionChecker.TIMEOUT_MICROS), () -> {
+                if (isRunning && swim == requester && !isStalled()) {
+                    swim.connectionChecked(nowMicros, sequence, checkResult(to, duration));
                 }
             });
         }
@@ -106,28 +106,28 @@
             if (duration > ConnectionChecker.TIMEOUT_MICROS) {
                 return ConnectionCheckResult.UNRESPONSIVE;
             }
-            if (!to.runs) {
+            if (!to.isRunning) {
                 return ConnectionCheckResult.PROCESS_GONE;
             }
-            boolean answers = !to.isStalled() && network.connects(to.number, number);
+            boolean answers = !to.isStalled() && network.connects(to.index, index);
             return answers ? ConnectionCheckResult.ANSWERED : ConnectionCheckResult.UNRESPONSIVE;
         }
 
         @Override
         public void memberChanged(GossipUpdate update, MemberState previous) {
             int changed = Integer.parseInt(update.address());
-            boolean isWrong = nodes.get(changed).runs && update.reporter().equals(name);
+            boolean isWrong = nodes.get(changed).isRunning && update.reporter().equals(name);
             switch (update.state()) {
                 case DEAD -> {
                     falseDeaths += isWrong ? 1 : 0;
-                    deaths.computeIfAbsent(changed, key -> new HashMap<>()).put(number, now);
+                    deaths.computeIfAbsent(changed, key -> new HashMap<>()).put(index, nowMicros);
                 }
                 case SUSPECT -> {
                     falseSuspicions += isWrong ? 1 : 0;
-                    suspicions.computeIfAbsent(changed, key -> new HashMap<>()).putIfAbsent(number, now);
+                    suspicions.computeIfAbsent(changed, key -> new HashMap<>()).putIfAbsent(index, nowMicros);
                 }
                 case ALIVE ->
-                    deaths.computeIfAbsent(changed, key -> new HashMap<>()).remove(number);
+                    deaths.computeIfAbsent(changed, key -> new HashMap<>()).remove(index);
                 default -> {
                     // A member that left was neither suspected nor declared dead.
                 }
@@ -135,7 +135,7 @@
         }
 
         private void scheduleTick() {
-            long next = Math.max(now, swim.nextTickMicros());
+            long next = Math.max(nowMicros, swim.nextTickMicros());
             if (next < nextWake) {
                 nextWake = next;
                 at(next, () -> wake(next));
@@ -143,7 +143,7 @@
         }
 
         private void wake(long due) {
-            if (!runs || nextWake != due) {
+            if (!isRunning || nextWake != due) {
                 return;
             }
             nextWake = Long.MAX_VALUE;
@@ -152,15 +152,15 @@
                 at(stalledUntil, () -> wake(stalledUntil));
                 return;
             }
-            swim.tick(now);
-            receiveBuffer.forEach(message -> swim.received(now, message));
+            swim.tick(nowMicros);
+            receiveBuffer.forEach(message -> swim.received(nowMicros, message));
             receiveBuffer.clear();
             scheduleTick();
         }
 
         /** Whether its process is stopped now. */
         public boolean isStalled() {
-            return now < stalledUntil;
+            return nowMicros < stalledUntil;
         }
 
         public MembershipView view() {
@@ -180,11 +180,11 @@
     /** Running members suspected, counted where they are suspected. */
     public long falseSuspicions;
     /** The virtual time. */
-    public long now = START_MICROS;
+    public long nowMicros = START_MICROS;
 
     public Network network;
     /** Whether connections can succeed at all; without, a crashed process is as unresponsive as a partitioned one. */
-    public boolean connections = true;
+    public boolean connectionsEnabled = true;
 
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
@@ -243,25 +243,25 @@
 
     /** Starts a new process under another name than the node's. */
     public void start(Node node, String name) {
-        node.runs = true;
-        node.machineRuns = true;
+        node.isRunning = true;
+        node.isMachineRunning = true;
         node.stalledUntil = 0;
         node.receiveBuffer.clear();
         node.nextWake = Long.MAX_VALUE;
         List<String> seeds = List.of("0", "1", "2");
-        node.swim = new Swim(now, random.nextLong(), name, "" + node.number, seeds, settings, node);
+        node.swim = new Swim(nowMicros, random.nextLong(), name, "" + node.index, seeds, settings, node);
         node.scheduleTick();
     }
 
     /** Ends the process; its machine refuses connections from now on. */
     public void kill(Node node) {
-        node.runs = false;
+        node.isRunning = false;
     }
 
     /** Ends the machine. */
-    public void lose(Node node) {
-        node.runs = false;
-        node.machineRuns = false;
+    public void failMachine(Node node) {
+        node.isRunning = false;
+        node.isMachineRunning = false;
     }
 
     /** Stops the process until this time. */
@@ -270,15 +270,15 @@
     }
 
     /** Lets this time pass. */
-    public void pass(long time) {
-        for (long end = now + time; ; ) {
+    public void advance(long time) {
+        for (long end = nowMicros + time; ; ) {
             Event next = events.peek();
             if (next == null || next.at > end) {
-                now = end;
+                nowMicros = end;
                 return;
             }
             events.poll();
-            now = next.at;
+            nowMicros = next.at;
             next.action.run();
         }
     }
@@ -288,11 +288,11 @@
     }
 
     public List<Node> running() {
-        return nodes.stream().filter(node -> node.runs).toList();
+        return nodes.stream().filter(node -> node.isRunning).toList();
     }
 
     /** Whether all running members see exactly each other alive, and nobody suspect. */
-    public boolean agrees() {
+    public boolean hasConverged() {
         long others = running().size() - 1L;
         return running().stream()
                 .allMatch(node -> count(node, MemberState.ALIVE) == others && count(node, MemberState.SUSPECT) == 0);
@@ -305,10 +305,10 @@
     }
 
     /** Lets time pass until all agree; returns how long that took, or -1 if it took longer than {@code limit}. */
-    public long untilAgreed(long limit) {
-        for (long start = now; now - start <= limit; pass(AGREEMENT_STEP_MICROS)) {
-            if (agrees()) {
-                return now - start;
+    public long awaitConvergence(long limit) {
+        for (long start = nowMicros; nowMicros - start <= limit; advance(AGREEMENT_STEP_MICROS)) {
+            if (hasConverged()) {
+                return nowMicros - start;
             }
         }
         return -1;
--- a/src/test/java/mintstair/membership/SwimTest.java
+++ b/src/test/java/mintstair/membership/SwimTest.java
@@ -21,26 +21,26 @@
 
     private static SimulatedFleet convergedFleet(int size, double loss) {
         SimulatedFleet fleet = new SimulatedFleet(size, size, loss, 42).startAll();
-        assertTrue(fleet.untilAgreed(60 * SECOND) >= 0, "the members find each other");
+        assertTrue(fleet.awaitConvergence(60 * SECOND) >= 0, "the members find each other");
         return fleet;
     }
 
     /** How long until all others learned that this member is dead; -1 if some did not within {@code limit}. */
     private static long detectionTime(SimulatedFleet fleet, int dead, long limit) {
-        long start = fleet.now;
+        long start = fleet.nowMicros;
         fleet.deaths.remove(dead);
-        while (fleet.now - start < limit) {
-            fleet.pass(50_000);
+        while (fleet.nowMicros - start < limit) {
+            fleet.advance(50_000);
             if (fleet.deaths.getOrDefault(dead, Map.of()).size()
                     >= fleet.running().size()) {
-                return fleet.now - start;
+                return fleet.nowMicros - start;
             }
         }
         return -1;
     }
 
     private static long messages(SimulatedFleet fleet) {
-        return fleet.nodes.stream().mapToLong(node -> node.messages).sum();
+        return fleet.nodes.stream().mapToLong(node -> node.sentMessages).sum();
     }
 
     private static ClusterSizeEstimate estimate(SimulatedFleet.Node node) {
@@ -72,7 +72,7 @@
         for (int i = 0; i < 2; i++) {
             SimulatedFleet fleet = convergedFleet(sizes[i], 0.05);
             long before = messages(fleet);
-            fleet.pass(10 * SECOND);
+            fleet.advance(10 * SECOND);
             load[i] = (messages(fleet) - before) / 10.0 / sizes[i];
             fleet.kill(fleet.nodes.get(7));
             detection[i] = detectionTime(fleet, 7, 20 * SECOND);
@@ -92,13 +92,13 @@
         SimulatedFleet.Node newcomer = fleet.nodes.get(1);
         fleet.start(seed);
         for (int i = 1; i < 1_024; i++) {
-            GossipUpdate alive = new GossipUpdate("p" + i, "" + i, fleet.now, MemberState.ALIVE, 0, "p" + i);
-            seed.swim.received(fleet.now, new Message(alive, new Message.GossipOnly(), List.of()));
+            GossipUpdate alive = new GossipUpdate("p" + i, "" + i, fleet.nowMicros, MemberState.ALIVE, 0, "p" + i);
+            seed.swim.received(fleet.nowMicros, new Message(alive, new Message.GossipOnly(), List.of()));
         }
         assertEquals(1_023, seed.view().peers().size());
 
         fleet.start(newcomer);
-        fleet.pass(10 * SECOND);
+        fleet.advance(10 * SECOND);
 
         assertEquals(1_023, newcomer.view().peers().size());
         assertEquals(0, newcomer.swim.statistics().rejected());
@@ -108,11 +108,11 @@
     @Test
     void packetLossCausesSuspicionsButNoDeaths() {
         SimulatedFleet fleet = new SimulatedFleet(60, 60, 0.05, 7);
-        fleet.connections = false;
+        fleet.connectionsEnabled = false;
         fleet.startAll();
-        fleet.untilAgreed(60 * SECOND);
+        fleet.awaitConvergence(60 * SECOND);
 
-        fleet.pass(100 * SECOND);
+        fleet.advance(100 * SECOND);
 
         assertTrue(fleet.falseSuspicions > 0, "some were suspected, or this test shows nothing");
         assertEquals(0, fleet.falseDeaths);
@@ -127,7 +127,7 @@
     void lostMachineIsDetectedByItsSilence() {
         SimulatedFleet fleet = convergedFleet(30, 0.05);
 
-        fleet.lose(fleet.nodes.get(9));
+        fleet.failMachine(fleet.nodes.get(9));
 
         long detection = detectionTime(fleet, 9, 60 * SECOND);
         assertTrue(
@@ -139,18 +139,18 @@
     void stalledMemberRefutesItsSuspicionAndDeclaresNobodyDead() {
         SimulatedFleet fleet = convergedFleet(9, 0);
         SimulatedFleet.Node stalled = fleet.nodes.get(4);
-        fleet.pass(20 * SECOND);
+        fleet.advance(20 * SECOND);
         assertTrue(isSettled(stalled));
 
-        fleet.stall(stalled, fleet.now + 5 * SECOND);
-        fleet.pass(5 * SECOND);
+        fleet.stall(stalled, fleet.nowMicros + 5 * SECOND);
+        fleet.advance(5 * SECOND);
 
         assertEquals(8, fleet.suspicions.get(4).size(), "all others suspected it");
-        assertTrue(fleet.untilAgreed(5 * SECOND) >= 0);
+        assertTrue(fleet.awaitConvergence(5 * SECOND) >= 0);
         assertFalse(isSettled(stalled), "its view may be outdated");
         assertEquals(0, fleet.falseDeaths);
         assertEquals(1, stalled.swim.statistics().stalls());
-        fleet.pass(20 * SECOND);
+        fleet.advance(20 * SECOND);
         assertTrue(isSettled(stalled));
     }
 
@@ -160,11 +160,11 @@
         SimulatedFleet fleet = convergedFleet(9, 0);
         SimulatedFleet.Node stalled = fleet.nodes.get(4);
 
-        fleet.stall(stalled, fleet.now + 60 * SECOND);
-        fleet.pass(60 * SECOND);
+        fleet.stall(stalled, fleet.nowMicros + 60 * SECOND);
+        fleet.advance(60 * SECOND);
 
         assertEquals(8, fleet.deaths.get(4).size());
-        assertTrue(fleet.untilAgreed(15 * SECOND) >= 0);
+        assertTrue(fleet.awaitConvergence(15 * SECOND) >= 0);
         assertFalse(isSettled(stalled));
         assertEquals(
                 8,
@@ -177,15 +177,15 @@
     @Test
     void partitionedFleetHasOneQuorumDropsTheFarSideAndHeals() {
         SimulatedFleet fleet = convergedFleet(50, 0.01);
-        fleet.pass(30 * SECOND);
+        fleet.advance(30 * SECOND);
         List<SimulatedFleet.Node> minority = fleet.nodes.subList(0, 20);
         List<SimulatedFleet.Node> majority = fleet.nodes.subList(20, 50);
 
         fleet.network = SimulatedFleet.partitioned(0.01, 20);
         long fenced = -1;
-        for (long start = fleet.now; fleet.now - start < 180 * SECOND; fleet.pass(500_000)) {
-            if (fenced < 0 && minority.stream().noneMatch(node -> estimate(node).quorum())) {
-                fenced = fleet.now;
+        for (long start = fleet.nowMicros; fleet.nowMicros - start < 180 * SECOND; fleet.advance(500_000)) {
+            if (fenced < 0 && minority.stream().noneMatch(node -> estimate(node).hasQuorum())) {
+                fenced = fleet.nowMicros;
             }
             if (majority.stream().anyMatch(node -> estimate(node).counted() < 50)) {
                 break;
@@ -193,15 +193,15 @@
         }
 
         assertTrue(
-                fenced > 0 && fleet.now - fenced > 20 * SECOND,
-                "minority without quorum at " + fenced + ", dropped at " + fleet.now);
-        fleet.pass(30 * SECOND);
+                fenced > 0 && fleet.nowMicros - fenced > 20 * SECOND,
+                "minority without quorum at " + fenced + ", dropped at " + fleet.nowMicros);
+        fleet.advance(30 * SECOND);
         assertTrue(majority.stream().allMatch(node -> isSettledWith(node, 30)));
         assertTrue(minority.stream().noneMatch(SwimTest::isSettled));
         fleet.network = SimulatedFleet.lossy(0.01);
-        long healed = fleet.untilAgreed(30 * SECOND);
+        long healed = fleet.awaitConvergence(30 * SECOND);
         assertTrue(healed >= 0 && healed < 20 * SECOND, "healed in " + healed);
-        fleet.pass(40 * SECOND);
+        fleet.advance(40 * SECOND);
         assertTrue(fleet.nodes.stream().allMatch(node -> isSettledWith(node, 50)));
     }
 
@@ -210,11 +210,11 @@
         SimulatedFleet fleet = convergedFleet(9, 0);
 
         fleet.network = (from, to, random) -> (from == 2 && to == 5) || (from == 7 && to == 1) ? -1 : 500;
-        fleet.pass(40 * SECOND);
+        fleet.advance(40 * SECOND);
         assertEquals(0, fleet.falseSuspicions);
 
         fleet.network = (from, to, random) -> from == 2 || to == 2 ? 300_000 : 500;
-        fleet.pass(40 * SECOND);
+        fleet.advance(40 * SECOND);
         assertTrue(fleet.falseSuspicions > 0, "a round trip of 600 ms is longer than a period");
         assertEquals(0, fleet.falseDeaths);
     }
@@ -225,23 +225,23 @@
         SwimSettings retention60s = SwimSettings.forLocalNetwork(6).withRetentionMicros(60 * SECOND);
         SimulatedFleet fleet = new SimulatedFleet(8, retention60s, 0, 3);
         fleet.nodes.subList(0, 6).forEach(fleet::start);
-        assertTrue(fleet.untilAgreed(20 * SECOND) >= 0);
+        assertTrue(fleet.awaitConvergence(20 * SECOND) >= 0);
 
         fleet.nodes.get(5).swim.leave();
         fleet.kill(fleet.nodes.get(5));
-        fleet.pass(20 * SECOND);
+        fleet.advance(20 * SECOND);
         fleet.start(fleet.nodes.get(6));
-        fleet.pass(9 * SECOND);
+        fleet.advance(9 * SECOND);
         assertEquals(MemberState.LEFT, state(fleet.nodes.get(6), "p5"));
 
-        fleet.pass(5 * SECOND);
+        fleet.advance(5 * SECOND);
         fleet.start(fleet.nodes.get(7));
-        fleet.pass(100 * SECOND);
+        fleet.advance(100 * SECOND);
         for (SimulatedFleet.Node node : fleet.running()) {
             assertNull(state(node, "p5"), node.name);
             assertEquals(7, estimate(node).counted(), node.name);
         }
-        assertTrue(fleet.agrees());
+        assertTrue(fleet.hasConverged());
     }
 
     /** The older process takes no share, as the others do not count it. */
@@ -251,12 +251,12 @@
         SimulatedFleet.Node older = fleet.nodes.get(3);
         SimulatedFleet.Node newer = fleet.nodes.get(5);
         fleet.nodes.subList(0, 5).forEach(fleet::start);
-        fleet.untilAgreed(20 * SECOND);
-        fleet.pass(30 * SECOND);
+        fleet.awaitConvergence(20 * SECOND);
+        fleet.advance(30 * SECOND);
         assertTrue(isSettled(older));
 
         fleet.start(newer, "p3");
-        fleet.pass(30 * SECOND);
+        fleet.advance(30 * SECOND);
 
         assertFalse(isSettled(older));
         assertTrue(older.swim.statistics().nameConflicts() > 0);
@@ -271,13 +271,13 @@
             Random random = new Random(seed);
             for (int i = 0; i < 25; i++) {
                 injectFault(fleet, random);
-                fleet.pass(random.nextInt(20) * SECOND);
+                fleet.advance(random.nextInt(20) * SECOND);
             }
 
             fleet.network = SimulatedFleet.lossy(0.02);
-            fleet.nodes.stream().filter(node -> !node.runs).toList().forEach(fleet::start);
+            fleet.nodes.stream().filter(node -> !node.isRunning).toList().forEach(fleet::start);
 
-            assertTrue(fleet.untilAgreed(120 * SECOND) >= 0, "seed " + seed);
+            assertTrue(fleet.awaitConvergence(120 * SECOND) >= 0, "seed " + seed);
         }
     }
 
@@ -287,9 +287,9 @@
             case 0 -> fleet.network = SimulatedFleet.partitioned(0.05, 1 + random.nextInt(11));
             case 1 -> fleet.network = SimulatedFleet.lossy(0.2 * random.nextDouble());
             case 2 -> fleet.kill(node);
-            case 3 -> fleet.stall(node, fleet.now + random.nextInt(30) * SECOND);
+            case 3 -> fleet.stall(node, fleet.nowMicros + random.nextInt(30) * SECOND);
             default -> {
-                if (!node.runs) {
+                if (!node.isRunning) {
                     fleet.start(node);
                 }
             }
--- a/src/test/java/mintstair/membership/swim/ClusterSizeEstimatorTest.java
+++ b/src/test/java/mintstair/membership/swim/ClusterSizeEstimatorTest.java
@@ -19,10 +19,10 @@
     @Test
     void quorumIsMoreThanHalfOfTheConfiguredSize() {
         estimator.update(0, 2, 2, SPREAD);
-        assertFalse(estimator.current().quorum());
+        assertFalse(estimator.current().hasQuorum());
 
         estimator.update(0, 3, 3, SPREAD);
-        assertTrue(estimator.current().quorum());
+        assertTrue(estimator.current().hasQuorum());
     }
 
     @Test
