--- a/src/main/java/mintstair/membership/AddressCache.java
+++ b/src/main/java/mintstair/membership/AddressCache.java
@@ -7,8 +7,8 @@
 import mintstair.config.NodeConfig;
 
 /**
- * Resolved addresses of members. Each is resolved once, as resolving may block; a host name that changes its address
- * is not followed. Not thread-safe.
+ * Caches the resolved addresses of members. Each address is resolved once, because resolving may block; a later change
+ * of a host name's address is not noticed while the entry is cached. Not thread-safe.
  */
 final class AddressCache {
     private static final int MAX_ADDRESSES = 8_192;
@@ -16,20 +16,20 @@
     private final Map<String, InetSocketAddress> resolved = new HashMap<>();
 
     /**
-     * The socket address for host:port; unresolved if the host is unknown.
+     * Returns the socket address for {@code host:port}; it is unresolved if the host name cannot be resolved.
      *
-     * @throws ConfigException if the text is not an address
+     * @throws ConfigException if the text is not of the form {@code host:port}
      */
     InetSocketAddress resolve(String address) {
-        InetSocketAddress known = resolved.get(address);
-        if (known != null) {
-            return known;
+        InetSocketAddress cached = resolved.get(address);
+        if (cached != null) {
+            return cached;
         }
         if (resolved.size() >= MAX_ADDRESSES) {
             resolved.clear();
         }
-        InetSocketAddress found = NodeConfig.address(address);
-        resolved.put(address, found);
-        return found;
+        InetSocketAddress socketAddress = NodeConfig.address(address);
+        resolved.put(address, socketAddress);
+        return socketAddress;
     }
 }
--- a/src/main/java/mintstair/membership/ConnectionChecker.java
+++ b/src/main/java/mintstair/membership/ConnectionChecker.java
@@ -16,27 +16,28 @@
 import mintstair.membership.swim.ConnectionCheckResult;
 
 /**
- * Connections that distinguish a crashed process from an unresponsive one. Each member listens, sends its name to
- * whoever connects, and closes. The kernel of a stopped process accepts the connection, and no name comes; where the
- * process is gone the connection is refused.
+ * Checks by a TCP connection whether a member's process has ended or is only unresponsive. Each member listens, sends
+ * its name on every accepted connection and closes it. If the process has ended, the connection is refused. If the
+ * process is stopped, its kernel still accepts the connection, but no name is received.
  *
- * <p>Never blocks. Not thread-safe: used by the thread that owns the selector.
+ * <p>No method blocks. Not thread-safe: used only by the thread that owns the selector.
  */
 final class ConnectionChecker implements AutoCloseable {
     /** Receives the result of each check. */
     interface Listener {
-        void checked(long sequence, ConnectionCheckResult result);
+        /** Called once for each check, with the sequence number that was given to {@link ConnectionChecker#start}. */
+        void onCheckCompleted(long sequence, ConnectionCheckResult result);
     }
 
     /**
-     * Bound of the checks in flight; further ones count as unresponsive. The protocol probes one member at a time, so
-     * one or two of these descriptors are in use, each for at most {@link #TIMEOUT_MICROS}.
+     * Maximum number of checks in flight; further checks are reported as unresponsive. The protocol probes one member
+     * at a time, so normally one or two descriptors are in use, each for at most {@link #TIMEOUT_MICROS}.
      */
     static final int MAX_IN_FLIGHT = 1_024;
 
     static final long TIMEOUT_MICROS = 250_000;
 
-    /** A connection to another member, and what it has sent so far. */
+    /** A connection to another member and the bytes received on it so far. */
     private static final class PendingCheck {
         private final SocketChannel channel;
         private final long sequence;
@@ -51,12 +52,12 @@
             this.deadlineMicros = deadlineMicros;
         }
 
-        /** Reads what has arrived; whether the reply is complete. */
+        /** Reads the bytes that have arrived; returns true at the end of the stream or once the buffer is full. */
         boolean readReply() throws IOException {
             return channel.read(reply) < 0 || !reply.hasRemaining();
         }
 
-        /** The result for a reply that is complete or was cut off. */
+        /** Returns the result for the bytes received so far, which must be exactly the target's name and a newline. */
         ConnectionCheckResult result() {
             String line = new String(reply.array(), 0, reply.position(), StandardCharsets.UTF_8);
             return line.equals(nameLine(target)) ? ConnectionCheckResult.ANSWERED : ConnectionCheckResult.PROCESS_GONE;
@@ -71,9 +72,9 @@
     private final Set<PendingCheck> inFlight = new LinkedHashSet<>();
 
     /**
-     * Binds the server socket.
+     * Binds the server socket and registers it with the selector.
      *
-     * @param name this member's name, which is sent to whoever connects
+     * @param name this member's name, sent on each accepted connection
      * @param listen address of the server socket
      * @throws IOException if the address is not available
      */
@@ -99,14 +100,14 @@
     }
 
     /**
-     * Starts a check; the listener may be called before this returns.
+     * Starts a check. The listener may be called before this method returns.
      *
-     * @param sequence number that is handed to the listener with the result
+     * @param sequence number that identifies the check and is passed to the listener with the result
      * @param target name of the member that is expected to answer
      */
     void start(long nowMicros, long sequence, String target, InetSocketAddress address) {
         if (inFlight.size() >= MAX_IN_FLIGHT || address.isUnresolved()) {
-            listener.checked(sequence, ConnectionCheckResult.UNRESPONSIVE);
+            listener.onCheckCompleted(sequence, ConnectionCheckResult.UNRESPONSIVE);
             return;
         }
         PendingCheck check = null;
@@ -116,9 +117,9 @@
             inFlight.add(check);
             connect(check, address);
         } catch (IOException e) {
-            // No socket or no route at this end: that is no evidence about the other end.
+            // A local failure, such as no free descriptor or no route, says nothing about the target's process.
             if (check == null) {
-                listener.checked(sequence, ConnectionCheckResult.UNRESPONSIVE);
+                listener.onCheckCompleted(sequence, ConnectionCheckResult.UNRESPONSIVE);
             } else {
                 finish(check, ConnectionCheckResult.UNRESPONSIVE);
             }
@@ -135,10 +136,10 @@
         channel.register(selector, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, check);
     }
 
-    /** Handles a ready key if it belongs to one of these connections; returns whether it does. */
+    /** Handles a ready key if it belongs to this checker; returns whether it does. */
     boolean handle(SelectionKey key) {
         if (key.attachment() == this) {
-            answerCaller();
+            acceptAndSendName();
             return true;
         }
         if (key.attachment() instanceof PendingCheck check) {
@@ -148,15 +149,15 @@
         return false;
     }
 
-    /** Sends this member's name; such a short line fits the socket's buffer, so that one write is enough. */
-    private void answerCaller() {
-        try (SocketChannel caller = server.accept()) {
-            if (caller != null) {
-                caller.configureBlocking(false);
-                caller.write(ByteBuffer.wrap(nameLine(name).getBytes(StandardCharsets.UTF_8)));
+    /** Accepts a connection and sends this member's name; the line fits the send buffer, so one write is enough. */
+    private void acceptAndSendName() {
+        try (SocketChannel peer = server.accept()) {
+            if (peer != null) {
+                peer.configureBlocking(false);
+                peer.write(ByteBuffer.wrap(nameLine(name).getBytes(StandardCharsets.UTF_8)));
             }
         } catch (IOException e) {
-            // The caller has closed the connection; its check has ended without this answer.
+            // The peer has closed the connection, so its check has already ended.
         }
     }
 
@@ -174,17 +175,17 @@
             finish(check, isRefused(e) ? ConnectionCheckResult.PROCESS_GONE : ConnectionCheckResult.UNRESPONSIVE);
             return;
         } catch (IOException e) {
-            // A reset counts like a close: what arrived before decides.
+            // A reset counts as the end of the stream: the result depends on the bytes received before it.
         }
         finish(check, check.result());
     }
 
-    /** Unlike a time-out or a missing route, a refusal shows that the machine runs and the process does not. */
+    /** A refusal, unlike a timeout or a missing route, shows that the machine is up and the process is not running. */
     private static boolean isRefused(ConnectException failure) {
         return String.valueOf(failure.getMessage()).contains("refused");
     }
 
-    /** Ends checks that have timed out. */
+    /** Reports checks that have timed out as unresponsive. */
     void expire(long nowMicros) {
         for (PendingCheck check : Set.copyOf(inFlight)) {
             if (nowMicros >= check.deadlineMicros) {
@@ -196,14 +197,14 @@
     private void finish(PendingCheck check, ConnectionCheckResult result) {
         inFlight.remove(check);
         closeQuietly(check.channel);
-        listener.checked(check.sequence, result);
+        listener.onCheckCompleted(check.sequence, result);
     }
 
     private static void closeQuietly(SocketChannel channel) {
         try {
             channel.close();
         } catch (IOException e) {
-            // The descriptor is released even then, and the result does not depend on it.
+            // The descriptor is released even if close fails, and the result of the check does not depend on it.
         }
     }
 
--- a/src/main/java/mintstair/membership/FleetMember.java
+++ b/src/main/java/mintstair/membership/FleetMember.java
@@ -26,17 +26,17 @@
 import mintstair.time.MonotonicClock;
 
 /**
- * This proxy as a member of its fleet: a daemon thread that drives the protocol with a datagram socket and a server
- * socket at the same port.
+ * Runs this proxy as a member of its fleet: a daemon thread drives the membership protocol with a datagram socket and a
+ * server socket on the same port.
  *
- * <p>Only that thread touches {@link Swim} and the sockets. All public methods may be called from any thread.
+ * <p>Only that thread uses {@link Swim} and the sockets. All public methods may be called from any thread.
  */
 public final class FleetMember implements AutoCloseable {
-    /** Datagrams handled before the time is checked again, so that a flood does not delay this member's probes. */
+    /** Bounds the datagrams handled between two ticks, so that a flood of them does not delay this member's probes. */
     private static final int MAX_DATAGRAMS_PER_ITERATION = 64;
     /**
-     * How long {@link #close} waits for the announcement that this member leaves. The process is killed 3.7 s after
-     * SIGTERM, and on a busy machine the thread may need some time to run.
+     * How long {@link #close} waits until this member has announced that it leaves. The process is killed 3.7 s after
+     * SIGTERM, and on a busy machine the thread may not be scheduled at once.
      */
     private static final long LEAVE_TIMEOUT_MILLIS = 1_500;
 
@@ -49,7 +49,7 @@
     private final Consumer<String> log;
     private final AddressCache addresses = new AddressCache();
     private final ByteBuffer receiveBuffer = ByteBuffer.allocate(MessageCodec.MAX_DATAGRAM_BYTES + 1);
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch terminated = new CountDownLatch(1);
     private final Thread thread;
     private final String address;
     private final MonotonicClock clock = new MonotonicClock();
@@ -60,14 +60,15 @@
     private volatile boolean closing;
 
     /**
-     * Binds the sockets; {@link #start} begins the protocol.
+     * Binds the sockets. The protocol runs from the call of {@link #start}.
      *
      * @param config the fleet and the addresses
      * @param name this member's name, unique in the fleet
-     * @param configuredSize how many members the settings expect
+     * @param configuredSize fleet size given in the configuration
      * @param seed seed of the protocol's random decisions
-     * @param viewListener receives each new view, on the member's thread; the first one in {@link #start}
-     * @param log receives lines for people
+     * @param viewListener receives each new view on the member's thread, and the first one on the thread that calls
+     *     {@link #start}
+     * @param log receives log lines
      * @throws ConfigException if the name cannot be sent in a datagram
      * @throws IOException if the address is not available
      */
@@ -83,7 +84,7 @@
         codec = new MessageCodec(config.fleet());
         this.viewListener = viewListener;
         this.log = log;
-        sockets = MembershipSockets.bind(config.listen(), name, this::connectionChecked);
+        sockets = MembershipSockets.bind(config.listen(), name, this::onConnectionChecked);
         address = advertisedAddress(config, sockets.port());
         SwimSettings settings = SwimSettings.forLocalNetwork(configuredSize).withPeriodMicros(config.periodMicros());
         swim = new Swim(nowMicros(), seed, name, address, config.seeds(), settings, new NetworkActions());
@@ -95,8 +96,9 @@
 
     private static void requireValidName(String name) {
         if (!name.matches("[!-~]{1," + MessageCodec.MAX_NAME_BYTES + "}")) {
-            throw new ConfigException(
-                    "membership: name must have 1 to " + MessageCodec.MAX_NAME_BYTES + " printable ASCII characters");
+            throw new ConfigException("membership: name must have 1 to " + MessageCodec.MAX_NAME_BYTES
+                    + " printable ASCII characters without spaces, found " + name.length() + " characters: "
+                    + name.replaceAll("[^ -~]", "?"));
         }
     }
 
@@ -111,35 +113,35 @@
     public void start() {
         viewListener.accept(view);
         thread.start();
-        log.accept("membership: " + view.self().name() + " at " + address);
+        log.accept("membership: started member " + view.self().name() + " at " + address);
     }
 
-    /** The newest view. */
+    /** Returns the latest view. */
     public MembershipView view() {
         return view;
     }
 
-    /** Counters of the protocol up to now. */
+    /** Returns the protocol's counters as of the last iteration of the member's thread. */
     public SwimStatistics statistics() {
         return statistics;
     }
 
-    /** Datagrams received that were not well-formed messages of this fleet. */
+    /** Returns the number of received datagrams that were not well-formed messages of this fleet. */
     public long malformedMessages() {
         return malformedMessages.get();
     }
 
-    /** Messages that could not be sent. */
+    /** Returns the number of messages that could not be sent. */
     public long sendFailures() {
         return sendFailures.get();
     }
 
-    /** The text of the {@code members} command. */
+    /** Returns the output of the {@code members} command. */
     public String report() {
         return MembersReport.format(view, nowMicros());
     }
 
-    /** Unix microseconds at the start, and from there on monotonic. */
+    /** Returns the Unix time of the start in microseconds, advanced by a monotonic clock since then. */
     private long nowMicros() {
         return clock.getAsLong();
     }
@@ -153,9 +155,9 @@
             }
             swim.leave();
         } catch (IOException e) {
-            log.accept("membership: stopped: " + e.getMessage());
+            log.accept("membership: stopped by an I/O error: " + e.getMessage());
         } finally {
-            ended.countDown();
+            terminated.countDown();
             closeSockets();
         }
     }
@@ -164,7 +166,7 @@
         try {
             sockets.close();
         } catch (IOException e) {
-            log.accept("membership: close: " + e.getMessage());
+            log.accept("membership: closing the sockets failed: " + e.getMessage());
         }
     }
 
@@ -172,7 +174,7 @@
         awaitEvents();
         long versionBefore = swim.version();
         ClusterSizeEstimate estimateBefore = swim.sizeEstimate();
-        // Time comes first: after a stall the protocol has to know of it before it handles what arrived meanwhile.
+        // The tick precedes the events: a stall must be detected before messages that arrived during it are handled.
         swim.tick(nowMicros());
         handleEvents();
         sockets.connectionChecker().expire(nowMicros());
@@ -210,45 +212,45 @@
             }
             Optional<Message> message = codec.decode(receiveBuffer.flip());
             if (message.isPresent()) {
-                swim.received(nowMicros(), message.get());
+                swim.onMessage(nowMicros(), message.get());
             } else {
                 malformedMessages.incrementAndGet();
             }
         }
     }
 
-    private void connectionChecked(long sequence, ConnectionCheckResult result) {
-        swim.connectionChecked(nowMicros(), sequence, result);
+    private void onConnectionChecked(long sequence, ConnectionCheckResult result) {
+        swim.onConnectionChecked(nowMicros(), sequence, result);
     }
 
-    /** Announces that this member leaves; returns when that is done, or after 1.5 s. */
+    /** Announces that this member leaves and stops its thread; returns when that is done, or after 1.5 s. */
     @Override
     public void close() {
         closing = true;
         sockets.selector().wakeup();
         try {
-            ended.await(LEAVE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            terminated.await(LEAVE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Does at once what the protocol asks for. */
+    /** Performs the protocol's actions on the network, synchronously. */
     private final class NetworkActions implements SwimActions {
         @Override
         public void send(String receiver, Message message) {
             try {
-                if (!isSent(receiver, message)) {
+                if (!trySend(receiver, message)) {
                     sendFailures.incrementAndGet();
                 }
             } catch (IOException | ConfigException e) {
-                // Like a datagram lost on the network, which the protocol expects; a malformed address in an update
-                // is never reached.
+                // The protocol tolerates lost datagrams. An update may also contain a malformed address, to which
+                // nothing can be sent.
                 sendFailures.incrementAndGet();
             }
         }
 
-        private boolean isSent(String receiver, Message message) throws IOException {
+        private boolean trySend(String receiver, Message message) throws IOException {
             InetSocketAddress resolved = addresses.resolve(receiver);
             return !resolved.isUnresolved()
                     && sockets.datagrams().send(ByteBuffer.wrap(codec.encode(message)), resolved) != 0;
@@ -259,13 +261,13 @@
             try {
                 sockets.connectionChecker().start(nowMicros(), sequence, target, addresses.resolve(targetAddress));
             } catch (ConfigException e) {
-                // A malformed address in an update: nothing can be reached there.
-                swim.connectionChecked(nowMicros(), sequence, ConnectionCheckResult.UNRESPONSIVE);
+                // The update contains a malformed address, to which no connection can be opened.
+                swim.onConnectionChecked(nowMicros(), sequence, ConnectionCheckResult.UNRESPONSIVE);
             }
         }
 
         @Override
-        public void memberChanged(GossipUpdate update, MemberState previous) {
+        public void onMemberChanged(GossipUpdate update, MemberState previous) {
             String state = update.state().name().toLowerCase(Locale.ROOT);
             String source = update.reporter().equals(update.name()) ? "" : ", reported by " + update.reporter();
             log.accept("membership: " + update.name() + " is " + state + source);
--- a/src/main/java/mintstair/membership/MembersReport.java
+++ b/src/main/java/mintstair/membership/MembersReport.java
@@ -6,7 +6,7 @@
 import mintstair.membership.swim.GossipUpdate;
 import mintstair.membership.swim.MembershipView;
 
-/** The text of the {@code members} command: this member, the others by name, and the cluster size estimate. */
+/** Formats the output of the {@code members} command: this member, its peers by name, the cluster size estimate. */
 final class MembersReport {
     private MembersReport() {}
 
--- a/src/main/java/mintstair/membership/MembershipSockets.java
+++ b/src/main/java/mintstair/membership/MembershipSockets.java
@@ -7,12 +7,16 @@
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
 
-/** The sockets of a member, at one port and on one selector: datagrams for messages, connections for checks. */
+/**
+ * The sockets of a member: a datagram socket for messages and a server socket for connection checks, on the same port
+ * and registered with the same selector.
+ */
 final class MembershipSockets implements AutoCloseable {
     private static final int MAX_BIND_ATTEMPTS = 20;
 
-    /** Opens the datagram socket that is to be registered with this selector. */
+    /** Opens datagram sockets. */
     interface DatagramOpener {
+        /** Opens an unbound datagram socket, which will be registered with the selector. */
         DatagramChannel open(Selector selector) throws IOException;
     }
 
@@ -30,19 +34,19 @@
     }
 
     /**
-     * Binds both sockets. With port 0 any port that is free for both is used; a port that is free for datagrams may be
-     * in use for connections, so several are tried.
+     * Binds both sockets. With port 0, any port that is free for both is used; as a port that is free for UDP may be in
+     * use for TCP, up to 20 ports are tried.
      *
-     * @param name this member's name, which the connection checks of others expect
+     * @param name this member's name, which is sent in reply to other members' connection checks
      * @param listener receives the results of this member's own checks
-     * @throws IOException if the address is not available
+     * @throws IOException if the address is not available or no socket can be opened
      */
     static MembershipSockets bind(InetSocketAddress listen, String name, ConnectionChecker.Listener listener)
             throws IOException {
         return bind(listen, name, listener, selector -> DatagramChannel.open(StandardProtocolFamily.INET));
     }
 
-    /** As {@link #bind(InetSocketAddress, String, ConnectionChecker.Listener)}, with sockets of this opener. */
+    /** Binds both sockets, of which the given opener creates the datagram socket. */
     static MembershipSockets bind(
             InetSocketAddress listen, String name, ConnectionChecker.Listener listener, DatagramOpener opener)
             throws IOException {
@@ -95,7 +99,7 @@
         return connectionChecker;
     }
 
-    /** The port of both sockets. */
+    /** Returns the port of both sockets. */
     int port() {
         return port;
     }
--- a/src/main/java/mintstair/membership/MessageCodec.java
+++ b/src/main/java/mintstair/membership/MessageCodec.java
@@ -13,24 +13,28 @@
 import mintstair.membership.swim.Message;
 
 /**
- * Encodes messages as datagrams.
+ * Encodes messages as datagrams and decodes them.
  *
- * <p>Layout, all numbers big-endian: magic number with the version (4 bytes), hash of the fleet's name (4), sender as
- * an update, type of the body (1) and its fields, number of updates (1), the updates. An update is: name, address,
- * incarnation (8), state (1), age in seconds (4), reporter. A string is: length (1), printable ASCII characters.
+ * <p>A datagram consists of: magic number with the version (4 bytes), hash of the fleet's name (4), the sender's state
+ * as an update, type of the body (1), fields of the body, number of updates (1), the updates. An update consists of:
+ * name, address, incarnation (8), state (1), age in seconds (4), reporter. A string consists of its length (1) and
+ * printable ASCII characters without spaces. All numbers are big-endian.
  *
- * <p>A datagram that is truncated, of another fleet or out of bounds is rejected as a whole.
+ * <p>A datagram that is truncated, belongs to another fleet or has a field out of bounds is rejected as a whole.
  */
 final class MessageCodec {
-    /** Longest name of a member, in bytes of printable ASCII, so that the length in characters bounds a datagram. */
+    /** Maximum length of a member's name, in bytes of printable ASCII and therefore also in characters. */
     static final int MAX_NAME_BYTES = 48;
-    /** Longest address, in bytes of printable ASCII. */
+    /** Maximum length of an address, in bytes of printable ASCII. */
     static final int MAX_ADDRESS_BYTES = 64;
-    /** No member sends a longer datagram; one that was truncated on receipt is rejected. */
+    /** Maximum length of a datagram; a longer one is truncated on receipt and therefore rejected. */
     static final int MAX_DATAGRAM_BYTES = 1_472;
 
     private static final int MAGIC = 0x4d535701;
-    /** Unix microseconds in the far future: a higher incarnation could never be refuted. */
+    /**
+     * Maximum incarnation, in Unix microseconds: far in the future, but low enough that a member can always raise it to
+     * refute a suspicion.
+     */
     private static final long MAX_INCARNATION = 100_000_000_000_000_000L;
 
     private static final MemberState[] STATES = MemberState.values();
@@ -60,11 +64,11 @@
         return encoder.toByteArray();
     }
 
-    /** Writes the parts of a message one after the other. */
+    /** Appends the fields of a message to a buffer. */
     private static final class Encoder implements Message.Visitor {
-        private static final int USUAL_BYTES = 256;
+        private static final int INITIAL_BYTES = 256;
 
-        private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_BYTES);
+        private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
 
         @Override
         public void visit(Message.Ping ping) {
@@ -141,7 +145,7 @@
         }
     }
 
-    /** The message in a datagram; empty if it is not a well-formed message of this fleet. */
+    /** Returns the message in a datagram; empty if it is not a well-formed message of this fleet. */
     Optional<Message> decode(ByteBuffer datagram) {
         try {
             if (datagram.getInt() != MAGIC || datagram.getInt() != fleetHash) {
@@ -175,7 +179,7 @@
             case COMPARE_DIGESTS -> new Message.CompareDigests(in.getLong());
             case FETCH_UPDATES -> new Message.FetchUpdates();
             case GOSSIP_ONLY -> new Message.GossipOnly();
-            default -> throw new MalformedMessageException("unknown type of message " + type);
+            default -> throw new MalformedMessageException("unknown message type " + type);
         };
     }
 
@@ -186,10 +190,10 @@
         MemberState state = readState(in);
         int ageSeconds = in.getInt();
         if (incarnation < 0 || incarnation > MAX_INCARNATION) {
-            throw new MalformedMessageException("incarnation out of bounds: " + incarnation);
+            throw new MalformedMessageException("incarnation " + incarnation + ", expected 0 to " + MAX_INCARNATION);
         }
         if (ageSeconds < 0) {
-            throw new MalformedMessageException("negative age: " + ageSeconds);
+            throw new MalformedMessageException("age of " + ageSeconds + " s, expected 0 or more");
         }
         return new GossipUpdate(name, address, incarnation, state, TimeUnit.SECONDS.toMicros(ageSeconds), readName(in));
     }
@@ -197,7 +201,7 @@
     private static MemberState readState(ByteBuffer in) throws MalformedMessageException {
         int ordinal = in.get();
         if (ordinal < 0 || ordinal >= STATES.length) {
-            throw new MalformedMessageException("unknown state " + ordinal);
+            throw new MalformedMessageException("unknown member state " + ordinal);
         }
         return STATES[ordinal];
     }
@@ -213,20 +217,21 @@
     private static String readText(ByteBuffer in, int maxBytes) throws MalformedMessageException {
         int length = Byte.toUnsignedInt(in.get());
         if (length == 0 || length > maxBytes || length > in.remaining()) {
-            throw new MalformedMessageException("string of " + length + " bytes");
+            throw new MalformedMessageException(
+                    "string of " + length + " bytes, expected 1 to " + Math.min(maxBytes, in.remaining()));
         }
         byte[] ascii = new byte[length];
         in.get(ascii);
         for (byte character : ascii) {
-            // A line break in a name would forge lines of the log and of the members command.
+            // A line break in a name could forge lines in the log and in the output of the members command.
             if (character <= ' ' || character > '~') {
-                throw new MalformedMessageException("character " + character + " is not printable ASCII");
+                throw new MalformedMessageException("byte " + character + ", expected printable ASCII without spaces");
             }
         }
         return new String(ascii, StandardCharsets.US_ASCII);
     }
 
-    /** A field of a datagram is out of bounds. */
+    /** Thrown if a field of a datagram is out of bounds. */
     private static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/mintstair/membership/package-info.java
+++ b/src/main/java/mintstair/membership/package-info.java
@@ -1,8 +1,9 @@
 /**
- * A member of the fleet on the network: one thread that drives {@link mintstair.membership.swim.Swim} with a clock, a
- * datagram socket and connections. Off unless the operator's file configures it; docs/membership.md is its manual.
+ * Runs the membership protocol on the network: one thread drives {@link mintstair.membership.swim.Swim} with a clock, a
+ * datagram socket and TCP connections. Disabled unless the operator's file configures it; docs/membership.md describes
+ * its operation.
  *
- * <p>{@link mintstair.membership.FleetMember} is the entry point. All other classes of the package are used by its
- * thread only.
+ * <p>{@link mintstair.membership.FleetMember} is the entry point. After its construction, the other classes of the
+ * package are used only by its thread, except for formatting the members report.
  */
 package mintstair.membership;
--- a/src/main/java/mintstair/membership/swim/AntiEntropy.java
+++ b/src/main/java/mintstair/membership/swim/AntiEntropy.java
@@ -5,16 +5,16 @@
 import java.util.Random;
 
 /**
- * Anti-entropy: each member regularly compares a digest of its state with a random other member's; where they differ,
- * both send their whole state. Corrects what dissemination missed, joins new members through the seeds, and lets the
- * sides of a partition find each other again.
+ * Anti-entropy: each member regularly sends a digest of its state to another random member. If the digests differ, both
+ * send their whole state. This delivers updates that dissemination missed, lets new members join through the seeds, and
+ * merges the sides of a partition once it has healed.
  */
 final class AntiEntropy {
-    /** Bytes of updates in one page of the state: with the message they fit a datagram that is not fragmented. */
+    /** Maximum size of the updates in one page of the state: a message with them fits an unfragmented datagram. */
     private static final int PAGE_BYTES = 1_200;
-    /** The whole state is sent no more often than this many times in a mean interval. */
+    /** Maximum number of times that the whole state is sent within a mean sync interval. */
     private static final int MAX_STATES_PER_INTERVAL = 8;
-    /** Intervals vary at random by a quarter to either side, so that members do not synchronize. */
+    /** Intervals vary at random by up to a quarter in either direction, so that rounds of members do not coincide. */
     private static final double MIN_INTERVAL_FACTOR = 0.75;
 
     private static final double INTERVAL_JITTER = 0.5;
@@ -42,12 +42,13 @@
         this.members = members;
         this.sender = sender;
         this.random = random;
-        // At a random time of the first period, so that members which start together do not ask together.
+        // The first round starts at a random time within one period, so that rounds of members started at the same time
+        // do not coincide.
         nextRoundMicros = nowMicros + (long) (random.nextDouble() * settings.periodMicros());
         lastStateSentMicros = nowMicros - settings.syncIntervalMicros();
     }
 
-    /** When {@link #tick} has something to do again. */
+    /** Returns when {@link #tick} is next due. */
     long nextTickMicros() {
         return nextRoundMicros;
     }
@@ -62,21 +63,21 @@
         double factor = MIN_INTERVAL_FACTOR + INTERVAL_JITTER * random.nextDouble();
         nextRoundMicros = nowMicros + (long) (settings.syncIntervalMicros() * factor);
         members.forgetExpired(nowMicros);
-        List<Member> alive = members.random(1, Member::isAlive);
+        List<Member> alive = members.randomMembers(1, Member::isAlive);
         if (alive.isEmpty()) {
             contactSeeds(nowMicros);
         }
         for (Member partner : alive) {
             sender.send(partner.address(), compareDigests(nowMicros));
         }
-        // After a partition that each side took for the other's death, someone has to contact the far side. Over all
-        // members that is about one contact in a period.
-        for (Member dead : members.random(1, Member::isDead)) {
+        // After a partition, each side considers the other dead, so dead members have to be contacted for the sides to
+        // merge. Each member contacts one per round: with ten members, about one contact per period in the whole fleet.
+        for (Member dead : members.randomMembers(1, Member::isDead)) {
             sender.sendWithFirst(dead.update(), dead.address(), compareDigests(nowMicros));
         }
     }
 
-    /** Nobody is alive yet, or any more: the seeds are asked in each period until one answers. */
+    /** Contacts the seeds, and does so again in each period until a member is alive. */
     private void contactSeeds(long nowMicros) {
         nextRoundMicros = nowMicros + settings.periodMicros();
         for (String seed : seeds) {
@@ -90,23 +91,26 @@
         return new Message.CompareDigests(digest(nowMicros));
     }
 
-    /** Equal for members that agree on names, incarnations and states. */
+    /** Returns a digest that is equal for members that agree on names, incarnations and states. */
     private long digest(long nowMicros) {
         long digest = local.update().fingerprint();
-        for (Member member : members.shared(nowMicros)) {
+        for (Member member : members.membersToSync(nowMicros)) {
             digest += member.update().fingerprint();
         }
         return digest;
     }
 
-    void digestReceived(long nowMicros, GossipUpdate from, Message.CompareDigests compare) {
+    void onCompareDigests(long nowMicros, GossipUpdate from, Message.CompareDigests compare) {
         if (compare.digest() != digest(nowMicros)) {
             sender.send(from.address(), new Message.FetchUpdates());
             sendState(nowMicros, from);
         }
     }
 
-    /** Sends the whole state, unless it was just sent to another member: whoever gets none asks again next round. */
+    /**
+     * Sends the whole state, unless it was sent to any member very recently. A receiver that gets none requests it
+     * again in a later round.
+     */
     void sendState(long nowMicros, GossipUpdate receiver) {
         if (nowMicros - lastStateSentMicros < settings.syncIntervalMicros() / MAX_STATES_PER_INTERVAL) {
             return;
@@ -117,12 +121,12 @@
         }
     }
 
-    /** The whole state, in pages that each fit a datagram. */
+    /** Returns the whole state in pages that each fit a datagram. */
     private List<List<GossipUpdate>> pages(long nowMicros) {
         List<List<GossipUpdate>> pages = new ArrayList<>();
         List<GossipUpdate> page = new ArrayList<>();
         int pageBytes = 0;
-        for (Member member : members.shared(nowMicros)) {
+        for (Member member : members.membersToSync(nowMicros)) {
             int updateBytes = GossipQueue.encodedBytes(member.update());
             if (pageBytes + updateBytes > PAGE_BYTES) {
                 pages.add(page);
--- a/src/main/java/mintstair/membership/swim/ClusterSizeEstimate.java
+++ b/src/main/java/mintstair/membership/swim/ClusterSizeEstimate.java
@@ -1,11 +1,11 @@
 package mintstair.membership.swim;
 
 /**
- * What one member may conclude from its view about the size of the fleet.
+ * The size of the fleet as one member derives it from its view.
  *
- * @param largest the largest size that was configured or observed
- * @param counted members that may run and may themselves be settled, this one included
- * @param settled whether this member may use its share among the {@code counted} ones
- * @param hasQuorum whether this member sees more than half of the expected members alive
+ * @param largest largest size that was configured or observed
+ * @param counted number of members that may be running and may themselves be settled, including this one
+ * @param settled whether this member may use a share of one in {@code counted} of the fleet's common limits
+ * @param hasQuorum whether more than half of the expected members are alive in this member's view
  */
 public record ClusterSizeEstimate(int largest, int counted, boolean settled, boolean hasQuorum) {}
--- a/src/main/java/mintstair/membership/swim/ConnectionCheckResult.java
+++ b/src/main/java/mintstair/membership/swim/ConnectionCheckResult.java
@@ -1,11 +1,14 @@
 package mintstair.membership.swim;
 
-/** Result of a connection to a member's address. */
+/** Result of a connection check of a member's address. */
 public enum ConnectionCheckResult {
-    /** The member itself answered. */
+    /** The member answered with its name. */
     ANSWERED,
-    /** The connection was refused or closed without an answer, or another process answered: the process is gone. */
+    /**
+     * The member's process has ended: the connection was refused or closed without an answer, or another process
+     * answered.
+     */
     PROCESS_GONE,
-    /** Nothing came in time: the process may be stopped, its machine lost or the network partitioned. */
+    /** No answer arrived in time: the process may be stopped, its machine down or the network partitioned. */
     UNRESPONSIVE
 }
--- a/src/main/java/mintstair/membership/swim/FailureDetector.java
+++ b/src/main/java/mintstair/membership/swim/FailureDetector.java
@@ -4,9 +4,9 @@
 import java.util.Random;
 
 /**
- * SWIM's failure detector. In each protocol period it probes one member: by a ping; without an ack in time by pings
- * through other members and by a connection. A member that does not answer by the end of the period becomes suspect,
- * and dead when its suspicion times out.
+ * SWIM's failure detector. In each protocol period it pings one member. If no ack is received in time, it asks other
+ * members to ping the target and opens a connection to it. A member that has not answered by the end of the period
+ * becomes suspect, and dead when its suspicion times out.
  */
 final class FailureDetector {
     private final SwimSettings settings;
@@ -15,7 +15,7 @@
     private final MessageSender sender;
     private final SwimActions actions;
     private final ProbeRelay relay;
-    /** The probe of this period; null between a stall, or the end of a probe, and the next period. */
+    /** The probe of this period; null if it has ended, was discarded after a stall or had no target. */
     private Probe probe;
 
     private long nextSequence;
@@ -36,13 +36,14 @@
         this.sender = sender;
         this.actions = actions;
         relay = new ProbeRelay(settings, sender);
-        // At a random time of the first period, so that members which start together do not probe together.
+        // The first probe starts at a random time within one period, so that probes of members started at the same time
+        // do not coincide.
         nextProbeMicros = nowMicros + (long) (random.nextDouble() * settings.periodMicros());
     }
 
     // ---- time ----
 
-    /** When {@link #tick} has something to do again. */
+    /** Returns when {@link #tick} is next due. */
     long nextTickMicros() {
         if (probe == null || !probe.awaitsDirectAck()) {
             return nextProbeMicros;
@@ -62,15 +63,15 @@
         }
     }
 
-    /** This process stood still: answers may have been lost meanwhile, so no probe in flight counts. */
-    void stalled() {
+    /** Discards all probes in flight after a stall of this process, as answers may have been lost during it. */
+    void onStall() {
         probe = null;
         relay.clear();
     }
 
-    /** Declares suspects dead that did not refute in time. */
+    /** Declares suspects dead that have not refuted their suspicion in time. */
     void expireSuspicions(long nowMicros) {
-        for (Member suspect : members.overdueSuspects(nowMicros)) {
+        for (Member suspect : members.expiredSuspects(nowMicros)) {
             members.merge(nowMicros, suspect.update().withState(MemberState.DEAD, local.name()));
         }
     }
@@ -100,12 +101,12 @@
     }
 
     private void requestIndirectProbes() {
-        probe.indirectProbesRequested();
-        Member target = members.active(probe.target());
+        probe.markIndirectProbesRequested();
+        Member target = members.getActive(probe.target());
         if (target == null) {
             return;
         }
-        List<Member> relays = members.random(
+        List<Member> relays = members.randomMembers(
                 settings.indirectProbes(),
                 member -> member.isAlive() && !member.name().equals(target.name()));
         for (Member chosen : relays) {
@@ -118,16 +119,16 @@
         if (probe == null) {
             return;
         }
-        Member target = members.active(probe.target());
+        Member target = members.getActive(probe.target());
         if (probe.isAnswered()) {
             local.health().improve();
         } else if (target != null) {
-            probeFailed(nowMicros, target);
+            onProbeFailed(nowMicros, target);
         }
         probe = null;
     }
 
-    private void probeFailed(long nowMicros, Member target) {
+    private void onProbeFailed(long nowMicros, Member target) {
         if (probe.hasNoResponse()) {
             local.health().degrade();
         }
@@ -136,27 +137,27 @@
         }
         members.merge(nowMicros, target.update().withState(MemberState.SUSPECT, local.name()));
         if (probe.isProcessGone()) {
-            target.suspicion().processGone(nowMicros + settings.processGoneMicros());
+            target.suspicion().onProcessGone(nowMicros + settings.processGoneMicros());
         }
     }
 
     /**
-     * Takes over the result of a connection.
+     * Handles the result of a connection check.
      *
-     * @return whether it ended the probe, so that the target's state may have changed
+     * @return whether the result ended the current probe, so that the target's state may have changed
      */
-    boolean connectionChecked(long nowMicros, long sequence, ConnectionCheckResult result) {
+    boolean onConnectionChecked(long nowMicros, long sequence, ConnectionCheckResult result) {
         if (!isCurrent(sequence)) {
             return false;
         }
         if (result == ConnectionCheckResult.ANSWERED) {
-            probe.answered();
+            probe.markAnswered();
         }
         if (result != ConnectionCheckResult.PROCESS_GONE || probe.isAnswered()) {
             return false;
         }
-        // No ack can come any more: the rest of the period need not be waited for.
-        probe.processGone();
+        // No ack can be received from a process that has ended, so the probe fails before the end of the period.
+        probe.markProcessGone();
         finishProbe(nowMicros);
         return true;
     }
@@ -167,7 +168,7 @@
 
     // ---- messages ----
 
-    void pingReceived(GossipUpdate from, Message.Ping ping) {
+    void onPing(GossipUpdate from, Message.Ping ping) {
         if (!ping.target().equals(local.name())) {
             return;
         }
@@ -180,31 +181,31 @@
         }
     }
 
-    void pingRequestReceived(long nowMicros, GossipUpdate from, Message.PingRequest request) {
+    void onPingRequest(long nowMicros, GossipUpdate from, Message.PingRequest request) {
         if (relay.admit()) {
             relay.start(nowMicros, nextSequence++, from.address(), request);
         }
     }
 
-    void ackReceived(Message.Ack ack) {
+    void onAck(Message.Ack ack) {
         if (!relay.complete(ack.sequence()) && isCurrent(ack.sequence())) {
-            probe.answered();
+            probe.markAnswered();
         }
     }
 
-    void nackReceived(Message.Nack nack) {
+    void onNack(Message.Nack nack) {
         if (isCurrent(nack.sequence())) {
-            probe.nackReceived();
+            probe.recordNack();
         }
     }
 
-    /** Suspicions that this member raised itself. */
+    /** Returns the number of suspicions that this member raised by its own probes. */
     long raisedSuspicions() {
         return raisedSuspicions;
     }
 
-    /** Requests for indirect probes that were rejected. */
+    /** Returns the number of requests for indirect probes that were rejected. */
     long rejectedRequests() {
-        return relay.rejected();
+        return relay.rejectedRequests();
     }
 }
--- a/src/main/java/mintstair/membership/swim/GossipQueue.java
+++ b/src/main/java/mintstair/membership/swim/GossipQueue.java
@@ -8,23 +8,23 @@
 import java.util.TreeSet;
 
 /**
- * Infection-style dissemination: updates that still have to be sent, those with the fewest transmissions first. Holds
- * only the newest update of each member, so it is never larger than the fleet.
+ * Queue of SWIM's infection-style dissemination: holds the updates that still have to be sent, those with the fewest
+ * transmissions first. It keeps only the newest update for each member, so it is never larger than the fleet.
  */
 final class GossipQueue {
-    /** Bytes of an update in a datagram beside its strings. */
+    /** Size of an encoded update without the characters of its strings. */
     private static final int FIXED_UPDATE_BYTES = 16;
 
     private record Entry(GossipUpdate update, int transmissions, long sequence) {}
 
     private final Map<String, Entry> entries = new HashMap<>();
-    /** Among updates with as many transmissions the newest comes first. */
+    /** Ordered by the number of transmissions; among equal numbers, the newest update is first. */
     private final TreeSet<Entry> queue = new TreeSet<>(
             Comparator.comparingInt(Entry::transmissions).thenComparing(Entry::sequence, Comparator.reverseOrder()));
 
     private long nextSequence;
 
-    /** Queues an update in place of an older one on the same member. */
+    /** Queues an update and removes an older one for the same member. */
     void add(GossipUpdate update) {
         put(new Entry(update, 0, nextSequence++));
     }
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Size of an update in a datagram. */
+    /** Returns the size of an update in a datagram. */
     static int encodedBytes(GossipUpdate update) {
         int textLength = update.name().length()
                 + update.address().length()
@@ -51,8 +51,8 @@
     }
 
     /**
-     * The next updates that fit into {@code maxBytes}. Each of them counts as transmitted once more, and leaves the
-     * queue with its transmission number {@code maxTransmissions}.
+     * Returns the next updates that fit into {@code maxBytes} and counts a transmission of each. An update is removed
+     * with its {@code maxTransmissions}-th transmission.
      */
     List<GossipUpdate> poll(int maxBytes, int maxTransmissions) {
         List<GossipUpdate> updates = new ArrayList<>();
--- a/src/main/java/mintstair/membership/swim/GossipUpdate.java
+++ b/src/main/java/mintstair/membership/swim/GossipUpdate.java
@@ -1,16 +1,16 @@
 package mintstair.membership.swim;
 
 /**
- * The state of one member at one incarnation, as members pass it on by gossip.
+ * The state of one member at one incarnation, as disseminated by gossip.
  *
  * @param name the member's name, unique in the fleet
- * @param address where it receives messages, as host:port
+ * @param address address at which it receives messages, as {@code host:port}
  * @param incarnation raised only by the member itself, to refute a suspicion; starts as the Unix time of the process
- *     start in microseconds, so that a restarted process overrides all updates on its predecessor
- * @param state its state
- * @param ageMicros how long it had been in that state when the update was sent; set only for dead members and those
- *     that left, so that all members forget them at about the same time
- * @param reporter the member whose own probe led to the state; the member itself if it announced the state
+ *     start in microseconds, so that a restarted process overrides all updates about its predecessor
+ * @param state the state of the member
+ * @param ageMicros how long the member had been in that state when the update was sent; set only for members that are
+ *     dead or left, so that all members remove them at about the same time
+ * @param reporter name of the member whose probe led to the state, or of the member itself if it announced the state
  */
 public record GossipUpdate(
         String name, String address, long incarnation, MemberState state, long ageMicros, String reporter) {
@@ -26,19 +26,19 @@
         return new GossipUpdate(name, address, incarnation, state, newAgeMicros, reporter);
     }
 
-    /** The same member at the same incarnation in another state, as {@code newReporter} found it. */
+    /** Returns an update for the same member and incarnation with another state, found by {@code newReporter}. */
     GossipUpdate withState(MemberState newState, String newReporter) {
         return new GossipUpdate(name, address, incarnation, newState, newReporter);
     }
 
-    /** A hash of name, incarnation and state. Address, age and reporter may differ between members that agree. */
+    /** Returns a hash of name, incarnation and state; the other fields may differ between members that agree. */
     long fingerprint() {
         long hash = name.hashCode() * NAME_MULTIPLIER + incarnation * INCARNATION_MULTIPLIER + state.ordinal();
         hash = (hash ^ (hash >>> 32)) * MIX_MULTIPLIER;
         return hash ^ (hash >>> 32);
     }
 
-    /** Whether this update replaces a known one: by a higher incarnation, or by a later state at the same one. */
+    /** Returns whether this update replaces a known one: its incarnation is higher, or equal with a later state. */
     boolean overrides(GossipUpdate known) {
         if (incarnation != known.incarnation) {
             return incarnation > known.incarnation;
--- a/src/main/java/mintstair/membership/swim/LocalHealth.java
+++ b/src/main/java/mintstair/membership/swim/LocalHealth.java
@@ -1,8 +1,8 @@
 package mintstair.membership.swim;
 
 /**
- * Lifeguard's local health multiplier: a member whose probes fail without nacks, or that has to refute suspicions, is
- * probably slow itself, so it extends its period and timeout before it suspects others.
+ * Lifeguard's local health multiplier. A member whose probes fail without nacks, or that has to refute suspicions, is
+ * probably slow itself, so it extends its protocol period and ack timeout.
  */
 final class LocalHealth {
     private final int maxScore;
@@ -12,17 +12,17 @@
         maxScore = maxMultiplier - 1;
     }
 
-    /** A sign that this member works: one step towards the normal pace. */
+    /** Lowers the multiplier by one, after a successful probe. */
     void improve() {
         score = Math.max(0, score - 1);
     }
 
-    /** A sign that this member is slow: one step towards the slowest pace. */
+    /** Raises the multiplier by one, after a sign that this member is slow. */
     void degrade() {
         score = Math.min(maxScore, score + 1);
     }
 
-    /** A time span, extended by the current multiplier. */
+    /** Returns a duration multiplied by the current multiplier. */
     long scale(long micros) {
         return micros * (1 + score);
     }
--- a/src/main/java/mintstair/membership/swim/LocalMember.java
+++ b/src/main/java/mintstair/membership/swim/LocalMember.java
@@ -1,6 +1,6 @@
 package mintstair.membership.swim;
 
-/** This member: the state it announces, its incarnation and its local health. */
+/** This member: the state that it announces, its incarnation and its local health. */
 final class LocalMember {
     private final LocalHealth health;
     private GossipUpdate update;
@@ -11,7 +11,7 @@
         update = new GossipUpdate(name, address, startMicros, MemberState.ALIVE, name);
     }
 
-    /** What this member announces about itself. */
+    /** Returns the update that this member announces about itself. */
     GossipUpdate update() {
         return update;
     }
@@ -32,21 +32,21 @@
         return update.state() == MemberState.LEFT;
     }
 
-    /** Whether both name and address are this member's. */
+    /** Returns whether both name and address are this member's. */
     boolean isSameProcess(GossipUpdate other) {
         return other.name().equals(name()) && other.address().equals(address());
     }
 
-    /** Whether an update on this name says nothing that this member would have to contradict. */
+    /** Returns whether an update for this member's name needs no refutation. */
     boolean agreesWith(GossipUpdate other) {
         if (other.incarnation() != update.incarnation()) {
-            // A lower incarnation is about a former process of this name.
+            // A lower incarnation belongs to an earlier process of this name.
             return other.incarnation() < update.incarnation();
         }
         return other.state() == MemberState.ALIVE && other.address().equals(address());
     }
 
-    /** Refutes a suspicion at this incarnation by the next one. */
+    /** Refutes an update at the given incarnation by announcing that this member is alive at the next one. */
     void refute(long suspectedIncarnation) {
         refutations++;
         health.degrade();
@@ -57,7 +57,7 @@
         update = update.withState(MemberState.LEFT, name());
     }
 
-    /** Suspicions of this member that it refuted. */
+    /** Returns the number of updates about itself that this member has refuted. */
     long refutations() {
         return refutations;
     }
--- a/src/main/java/mintstair/membership/swim/Member.java
+++ b/src/main/java/mintstair/membership/swim/Member.java
@@ -1,12 +1,12 @@
 package mintstair.membership.swim;
 
-/** Another member, as known here. */
+/** Another member of the fleet, as seen by this one. */
 final class Member {
     private GossipUpdate update;
     private long sinceMicros;
     /** Null unless the member is suspect. */
     private Suspicion suspicion;
-    /** When this process learned of the death, which others may have declared long before, across a partition. */
+    /** When this process learned of the death. Members across a partition may have declared it much earlier. */
     private long deathLearnedMicros;
 
     private boolean dropped;
@@ -39,27 +39,30 @@
         return state() == MemberState.DEAD;
     }
 
-    /** Whether it is alive or suspect: it takes part in the protocol. */
+    /** Returns whether it is alive or suspect, and therefore takes part in the protocol. */
     boolean isActive() {
         return isAlive() || state() == MemberState.SUSPECT;
     }
 
-    /** When its state became what it is. */
+    /** Returns when it entered its current state. */
     long sinceMicros() {
         return sinceMicros;
     }
 
-    /** Its suspicion; null unless it is suspect. */
+    /** Returns its suspicion; null unless it is suspect. */
     Suspicion suspicion() {
         return suspicion;
     }
 
-    /** When this process learned that it is dead. */
+    /** Returns when this process learned of its death. */
     long deathLearnedMicros() {
         return deathLearnedMicros;
     }
 
-    /** Whether it is dead for so long that it no longer counts: it must have noticed if it is only partitioned. */
+    /**
+     * Returns whether it has been dead for so long that it is no longer counted as possibly running: if it is only
+     * partitioned, it has detected that by now.
+     */
     boolean isDropped() {
         return dropped;
     }
@@ -68,33 +71,33 @@
         dropped = true;
     }
 
-    /** Replaces what is known of it; whatever belongs to the former state ends. */
+    /** Replaces the update, and clears the suspicion and the dropped mark of the previous state. */
     void replaceUpdate(GossipUpdate newUpdate) {
         update = newUpdate;
         suspicion = null;
         dropped = false;
     }
 
-    void stateEntered(long enteredMicros) {
-        sinceMicros = enteredMicros;
+    void setSinceMicros(long newSinceMicros) {
+        sinceMicros = newSinceMicros;
     }
 
-    void suspected(long nowMicros, Suspicion newSuspicion) {
+    void startSuspicion(long nowMicros, Suspicion newSuspicion) {
         sinceMicros = nowMicros;
         suspicion = newSuspicion;
     }
 
-    void deathLearned(long nowMicros) {
+    void recordDeath(long nowMicros) {
         deathLearnedMicros = nowMicros;
     }
 
-    /** Extends a suspicion by a time in which the member could not refute it. */
+    /** Extends the suspicion by a time in which no refutation could be received. */
     void extendSuspicion(long byMicros) {
         sinceMicros += byMicros;
-        suspicion.processMayRun();
+        suspicion.clearProcessGone();
     }
 
-    boolean isSuspicionOver(long nowMicros) {
+    boolean isSuspicionExpired(long nowMicros) {
         return nowMicros >= suspicion.deadlineMicros(sinceMicros);
     }
 }
--- a/src/main/java/mintstair/membership/swim/MemberState.java
+++ b/src/main/java/mintstair/membership/swim/MemberState.java
@@ -1,13 +1,13 @@
 package mintstair.membership.swim;
 
-/** State of a member. Of two updates with the same incarnation, the one with the later constant here wins. */
+/** State of a member. Of two updates with the same incarnation, the one with the later constant takes precedence. */
 public enum MemberState {
-    /** It answers probes, or nobody has reported a failed probe. */
+    /** It answers probes, or no failed probe has been reported. */
     ALIVE,
-    /** A probe of it failed; it may still refute the suspicion. */
+    /** A probe of it has failed; it may still refute the suspicion. */
     SUSPECT,
-    /** It did not refute the suspicion in time: it crashed, or a partition separates it from the reporter. */
+    /** It has not refuted the suspicion in time: it has crashed, or is partitioned from the reporter. */
     DEAD,
-    /** It announced that it shuts down. */
+    /** It has announced its shutdown. */
     LEFT
 }
--- a/src/main/java/mintstair/membership/swim/MemberTable.java
+++ b/src/main/java/mintstair/membership/swim/MemberTable.java
@@ -10,9 +10,9 @@
 import java.util.function.Predicate;
 
 /**
- * The other members as known here. Merges updates by SWIM's precedence rules and queues whatever changes the table for
- * dissemination. Holds at most {@link SwimSettings#maxMembers} members, this one included; further ones are rejected
- * and counted.
+ * The other members as seen by this one. Merges updates by SWIM's precedence rules and queues those that change the
+ * table for dissemination. Holds at most {@link SwimSettings#maxMembers} members, including this one; further members
+ * are rejected and counted.
  */
 final class MemberTable {
     private final SwimSettings settings;
@@ -22,7 +22,7 @@
     private final TransitionCounters transitions;
     private final TreeMap<String, Member> members = new TreeMap<>();
     private final Set<Member> suspects = new LinkedHashSet<>();
-    /** Dead members that still count as ones that may run. */
+    /** Dead members that are still counted as possibly running. */
     private final Set<Member> countedDead = new LinkedHashSet<>();
 
     private int otherAlive;
@@ -39,33 +39,34 @@
 
     // ---- merging updates ----
 
-    /** Merges an update on a member other than this one. */
+    /** Merges an update about a member other than this one. */
     void merge(long nowMicros, GossipUpdate update) {
         Member member = members.get(update.name());
         if (member == null) {
             add(nowMicros, update);
         } else if (isOutdatedDeath(member, update)) {
-            replace(nowMicros, member, suspectFirst(member, update));
+            replace(nowMicros, member, asSuspicion(member, update));
         } else if (update.overrides(member.update())) {
             replace(nowMicros, member, update);
         } else if (confirmsSuspicion(member, update)) {
-            // Independent evidence is passed on unchanged, so that it shortens the timeout everywhere.
+            // A confirmation is forwarded unchanged, so that it shortens the timeout on all members.
             gossip.add(update);
         }
     }
 
     /**
-     * Whether another member's state has a death that is old there and unknown here: that member was on the far side
-     * of a partition, where this whole side is dead. Such a member may refute first.
+     * Returns whether an update reports a death that was declared long ago and is new to this member. The update then
+     * originates from the far side of a partition, where all members of this side are considered dead. The member
+     * concerned becomes suspect instead, so that it can refute first.
      */
     private boolean isOutdatedDeath(Member member, GossipUpdate update) {
         return update.overrides(member.update())
                 && update.state() == MemberState.DEAD
-                && update.ageMicros() > settings.spreadMicros(knownCount())
+                && update.ageMicros() > settings.disseminationMicros(knownCount())
                 && member.isActive();
     }
 
-    private static GossipUpdate suspectFirst(Member member, GossipUpdate death) {
+    private static GossipUpdate asSuspicion(Member member, GossipUpdate death) {
         return new GossipUpdate(
                 death.name(), member.address(), death.incarnation(), MemberState.SUSPECT, death.reporter());
     }
@@ -78,7 +79,7 @@
     }
 
     private void add(long nowMicros, GossipUpdate update) {
-        if (update.ageMicros() > sharedRetentionMicros()) {
+        if (update.ageMicros() > syncRetentionMicros()) {
             return;
         }
         if (members.size() + 1 >= settings.maxMembers()) {
@@ -107,50 +108,51 @@
         version++;
         GossipUpdate update = member.update();
         if (previous != update.state()) {
-            member.stateEntered(nowMicros - update.ageMicros());
+            member.setSinceMicros(nowMicros - update.ageMicros());
         }
         switch (update.state()) {
             case ALIVE -> otherAlive++;
             case SUSPECT -> {
                 suspects.add(member);
-                member.suspected(nowMicros, new Suspicion(settings, activeCount(), update.reporter()));
+                member.startSuspicion(nowMicros, new Suspicion(settings, activeCount(), update.reporter()));
             }
             case DEAD -> {
                 countedDead.add(member);
-                member.deathLearned(nowMicros);
+                member.recordDeath(nowMicros);
             }
             default -> {
-                // A member that left counts nowhere.
+                // A member that has left is in none of the counts.
             }
         }
         gossip.add(update);
         if (previous != update.state()) {
-            actions.memberChanged(update, previous);
+            actions.onMemberChanged(update, previous);
         }
     }
 
     // ---- time ----
 
-    /** Suspects whose time to refute is over. */
-    List<Member> overdueSuspects(long nowMicros) {
-        List<Member> overdue = new ArrayList<>();
+    /** Returns the suspects whose suspicion has timed out. */
+    List<Member> expiredSuspects(long nowMicros) {
+        List<Member> expired = new ArrayList<>();
         for (Member suspect : suspects) {
-            if (suspect.isSuspicionOver(nowMicros)) {
-                overdue.add(suspect);
+            if (suspect.isSuspicionExpired(nowMicros)) {
+                expired.add(suspect);
             }
         }
-        return overdue;
+        return expired;
     }
 
-    /** Extends all suspicions by a time in which this process stood still, as no suspect could refute meanwhile. */
+    /** Extends all suspicions by the time of a stall of this process, as no refutation could be received during it. */
     void extendSuspicions(long byMicros) {
         suspects.forEach(suspect -> suspect.extendSuspicion(byMicros));
     }
 
     /**
-     * Stops counting dead members that must have noticed by now that they are partitioned, if they run.
+     * Drops dead members that must have detected by now that they are partitioned if they still run: they are no longer
+     * counted as possibly running.
      *
-     * @param droppable whether to drop a member, given when this process learned of its death
+     * @param droppable tests whether to drop a member, given the time at which this process learned of its death
      */
     void dropDead(LongPredicate droppable) {
         countedDead.removeIf(member -> {
@@ -162,7 +164,7 @@
         });
     }
 
-    /** Forgets members that left or were dropped long ago; one that may still run is kept. */
+    /** Removes members that left or were dropped and whose retention has expired; possibly running ones are kept. */
     void forgetExpired(long nowMicros) {
         if (members.values().removeIf(member -> isExpired(nowMicros, member))) {
             version++;
@@ -170,48 +172,49 @@
     }
 
     private boolean isExpired(long nowMicros, Member member) {
-        boolean gone = member.state() == MemberState.LEFT || member.isDropped();
-        return gone && nowMicros - member.sinceMicros() > settings.retentionMicros();
+        boolean isRemovable = member.state() == MemberState.LEFT || member.isDropped();
+        return isRemovable && nowMicros - member.sinceMicros() > settings.retentionMicros();
     }
 
     // ---- state for anti-entropy ----
 
     /**
-     * The members that this one passes on. Those that are gone are passed on for half the retention only: members that
-     * forget them first would otherwise learn of them again, without end.
+     * Returns the members whose state is sent in anti-entropy. Members that are dead or left are included for only half
+     * of the retention; otherwise a member that has removed them would learn of them again from one that has not, and
+     * they would never be forgotten.
      */
-    List<Member> shared(long nowMicros) {
+    List<Member> membersToSync(long nowMicros) {
         return members.values().stream()
-                .filter(member -> member.isActive() || nowMicros - member.sinceMicros() < sharedRetentionMicros())
+                .filter(member -> member.isActive() || nowMicros - member.sinceMicros() < syncRetentionMicros())
                 .toList();
     }
 
-    private long sharedRetentionMicros() {
+    private long syncRetentionMicros() {
         return settings.retentionMicros() / 2;
     }
 
     // ---- selection ----
 
-    /** The member to probe next, in shuffled rounds; null if there is none. */
+    /** Returns the member to probe next, in shuffled rounds; null if there is none. */
     Member nextProbeTarget() {
-        String name = selector.nextTarget(members.keySet(), candidate -> active(candidate) != null);
+        String name = selector.nextTarget(members.keySet(), candidate -> getActive(candidate) != null);
         return name == null ? null : members.get(name);
     }
 
-    /** Up to {@code count} random members with this property. */
-    List<Member> random(int count, Predicate<Member> eligible) {
+    /** Returns up to {@code count} random eligible members. */
+    List<Member> randomMembers(int count, Predicate<Member> eligible) {
         return selector.randomSubset(members.values(), count, eligible);
     }
 
     // ---- look-ups ----
 
-    /** The member of this name; null if it is unknown. */
+    /** Returns the member of this name; null if it is unknown. */
     Member get(String name) {
         return members.get(name);
     }
 
-    /** The member of this name if it is alive or suspect; null otherwise. */
-    Member active(String name) {
+    /** Returns the member of this name if it is alive or suspect; null otherwise. */
+    Member getActive(String name) {
         Member member = members.get(name);
         return member != null && member.isActive() ? member : null;
     }
@@ -222,27 +225,27 @@
                 .toList();
     }
 
-    /** Members that are alive, this one included. */
+    /** Returns the number of members that are alive, including this one. */
     int aliveCount() {
         return 1 + otherAlive;
     }
 
-    /** Members that are alive or suspect, this one included. */
+    /** Returns the number of members that are alive or suspect, including this one. */
     int activeCount() {
         return aliveCount() + suspects.size();
     }
 
-    /** Members that may run, this one included: all but those that left or were dropped. */
+    /** Returns the number of members that may be running, including this one: all but those left or dropped. */
     int possiblyRunningCount() {
         return activeCount() + countedDead.size();
     }
 
-    /** All remembered members, this one included. */
+    /** Returns the number of all members in the table, plus this one. */
     int knownCount() {
         return 1 + members.size();
     }
 
-    /** Grows with each change of any member. */
+    /** Returns a number that grows with each change of any member. */
     long version() {
         return version;
     }
@@ -251,7 +254,7 @@
         return transitions;
     }
 
-    /** Members that were rejected because the table was full. */
+    /** Returns the number of updates about unknown members that were rejected because the table was full. */
     long rejectedMembers() {
         return rejectedMembers;
     }
--- a/src/main/java/mintstair/membership/swim/Message.java
+++ b/src/main/java/mintstair/membership/swim/Message.java
@@ -7,10 +7,10 @@
  *
  * @param sender the sender's own state, so that every message also announces its sender
  * @param body the purpose of the message
- * @param updates gossip updates that are piggybacked on the message
+ * @param updates gossip updates piggybacked on the message
  */
 public record Message(GossipUpdate sender, Body body, List<GossipUpdate> updates) {
-    /** The purpose of a message. A {@code sequence} is the number that the prober chose for its probe. */
+    /** The purpose of a message. A {@code sequence} is the number that the probing member chose for its probe. */
     public sealed interface Body {
         /** Calls the visitor's method for this type. */
         void accept(Visitor visitor);
@@ -24,7 +24,7 @@
         /** Visits the answer to a ping. */
         void visit(Ack ack);
 
-        /** Visits the report of a failed relayed probe. */
+        /** Visits the report that a relayed probe was not answered in time. */
         void visit(Nack nack);
 
         /** Visits the request to relay a probe. */
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Probes the receiver, which answers with {@link Ack}.
+     * Probes the receiver, which answers with an {@link Ack}.
      *
      * @param sequence number of the probe
-     * @param target name of the probed member, so that another process at its former address does not answer
+     * @param target name of the probed member, so that another process that has taken over its address does not answer
      */
     public record Ping(long sequence, String target) implements Body {
         @Override
@@ -92,7 +92,7 @@
     }
 
     /**
-     * Starts a round of anti-entropy: a receiver whose digest differs sends its state and asks for the sender's.
+     * Starts a round of anti-entropy: a receiver whose digest differs sends its state and requests the sender's.
      *
      * @param digest digest of the sender's whole state
      */
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Asks for the receiver's whole state, which comes as {@link GossipOnly} messages. */
+    /** Requests the receiver's whole state, which is sent as {@link GossipOnly} messages. */
     public record FetchUpdates() implements Body {
         @Override
         public void accept(Visitor visitor) {
--- a/src/main/java/mintstair/membership/swim/MessageSender.java
+++ b/src/main/java/mintstair/membership/swim/MessageSender.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Sends messages in this member's name and piggybacks queued gossip updates on them. */
+/** Sends messages from this member and piggybacks queued gossip updates on them. */
 final class MessageSender {
-    /** Bytes of updates piggybacked on a message: with the message they fit a datagram that is not fragmented. */
+    /** Maximum size of the queued updates on a message: a message with them fits an unfragmented datagram. */
     private static final int PIGGYBACK_BYTES = 1_000;
 
     private final SwimSettings settings;
@@ -29,7 +29,8 @@
     }
 
     /**
-     * Sends a message with one update before the queued ones, as a member must learn of its own suspicion to refute it.
+     * Sends a message with the given update before the queued ones. This informs a member of its own suspicion or
+     * death, which it can then refute.
      */
     void sendWithFirst(GossipUpdate first, String address, Message.Body body) {
         List<GossipUpdate> updates = pollGossip();
--- a/src/main/java/mintstair/membership/swim/PeerSelector.java
+++ b/src/main/java/mintstair/membership/swim/PeerSelector.java
@@ -8,8 +8,8 @@
 import java.util.function.Predicate;
 
 /**
- * Selects members: probe targets in shuffled rounds (SWIM's round-robin probing, which bounds the time until a member
- * is probed), and random subsets.
+ * Selects probe targets in shuffled rounds (SWIM's round-robin probing, which bounds the time until each member is
+ * probed) and random subsets of the members.
  */
 final class PeerSelector {
     private final Random random;
@@ -20,14 +20,17 @@
         this.random = random;
     }
 
-    /** Inserts a new member at a random place of the current round's rest, so that members do not probe it at once. */
+    /**
+     * Inserts a new member at a random position in the rest of the current round, so that the other members do not all
+     * probe it at the same time.
+     */
     void memberAdded(String name) {
         round.add(position + random.nextInt(round.size() - position + 1), name);
     }
 
-    /** The next eligible name in turn; null if none is eligible. */
+    /** Returns the next eligible name of the round; null if no name is eligible. */
     String nextTarget(Collection<String> names, Predicate<String> eligible) {
-        // The rest of this round, then a whole new one.
+        // Searches the rest of the current round, then one new round.
         for (int rounds = 0; rounds < 2; rounds++) {
             while (position < round.size()) {
                 String name = round.get(position++);
@@ -43,7 +46,7 @@
         return null;
     }
 
-    /** Up to {@code count} random eligible members. */
+    /** Returns up to {@code count} random eligible members. */
     List<Member> randomSubset(Collection<Member> members, int count, Predicate<Member> eligible) {
         List<Member> candidates = new ArrayList<>();
         for (Member member : members) {
@@ -55,7 +58,7 @@
         while (subset.size() < count && !candidates.isEmpty()) {
             int chosen = random.nextInt(candidates.size());
             subset.add(candidates.get(chosen));
-            // The last candidate fills the gap: removal in constant time.
+            // Moving the last candidate to the gap removes the chosen one in constant time.
             candidates.set(chosen, candidates.get(candidates.size() - 1));
             candidates.remove(candidates.size() - 1);
         }
--- a/src/main/java/mintstair/membership/swim/Probe.java
+++ b/src/main/java/mintstair/membership/swim/Probe.java
@@ -1,6 +1,6 @@
 package mintstair.membership.swim;
 
-/** The probe of the current protocol period: its target, and what has come of it so far. */
+/** The probe of the current protocol period: its target and the responses received so far. */
 final class Probe {
     private final long sequence;
     private final String target;
@@ -20,7 +20,7 @@
         return sequence;
     }
 
-    /** Name of the probed member. */
+    /** Returns the name of the probed member. */
     String target() {
         return target;
     }
@@ -29,12 +29,12 @@
         return startMicros;
     }
 
-    /** Whether the direct ping has no answer yet and other members have not been asked. */
+    /** Returns whether the direct ping is unanswered and no indirect probes have been requested yet. */
     boolean awaitsDirectAck() {
         return !answered && !indirectRequested;
     }
 
-    void indirectProbesRequested() {
+    void markIndirectProbesRequested() {
         indirectRequested = true;
     }
 
@@ -42,25 +42,25 @@
         return answered;
     }
 
-    void answered() {
+    void markAnswered() {
         answered = true;
     }
 
-    /** A relay reports that the target did not answer it either. */
-    void nackReceived() {
+    /** Records that the target did not answer the probe of a relay in time. */
+    void recordNack() {
         nacks++;
     }
 
-    /** Whether a connection to the target's address showed that the process is gone. */
+    /** Returns whether a connection check showed that the target's process has ended. */
     boolean isProcessGone() {
         return processGone;
     }
 
-    void processGone() {
+    void markProcessGone() {
         processGone = true;
     }
 
-    /** Whether nothing at all came back, not even from other members: then this member may itself be slow. */
+    /** Returns whether neither nacks nor evidence of an ended process were received: this member may itself be slow. */
     boolean hasNoResponse() {
         return nacks == 0 && !processGone;
     }
--- a/src/main/java/mintstair/membership/swim/ProbeRelay.java
+++ b/src/main/java/mintstair/membership/swim/ProbeRelay.java
@@ -3,41 +3,41 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Probes that this member makes on behalf of others (SWIM's ping-req), and the acks and nacks for them. */
+/** Relays probes on behalf of other members (SWIM's ping-req) and sends them the acks and nacks. */
 final class ProbeRelay {
-    /** Bound of the relayed probes in flight. Beyond it requests are ignored, and the requester gets no nack. */
+    /** Maximum number of relayed probes in flight; further requests are ignored, and the requester receives no nack. */
     private static final int MAX_IN_FLIGHT = 1_024;
 
-    /** A relayed probe: who asked, under which number, and when a nack is due. */
+    /** A relayed probe: the requester's address, its sequence number, and when a nack is due. */
     private record RelayedProbe(String requesterAddress, long requesterSequence, long nackDueMicros) {}
 
     private final SwimSettings settings;
     private final MessageSender sender;
     private final Map<Long, RelayedProbe> inFlight = new HashMap<>();
-    private long rejected;
+    private long rejectedRequests;
 
     ProbeRelay(SwimSettings settings, MessageSender sender) {
         this.settings = settings;
         this.sender = sender;
     }
 
-    /** Whether there is capacity for one more; a request that finds none is counted. */
+    /** Returns whether another probe can be relayed; counts a rejected request otherwise. */
     boolean admit() {
         if (inFlight.size() < MAX_IN_FLIGHT) {
             return true;
         }
-        rejected++;
+        rejectedRequests++;
         return false;
     }
 
-    /** Probes the requested target under a sequence number of this member. */
+    /** Probes the requested target with a sequence number of this member. */
     void start(long nowMicros, long sequence, String requesterAddress, Message.PingRequest request) {
         long nackDueMicros = nowMicros + settings.ackTimeoutMicros();
         inFlight.put(sequence, new RelayedProbe(requesterAddress, request.sequence(), nackDueMicros));
         sender.send(request.address(), new Message.Ping(sequence, request.target()));
     }
 
-    /** Passes an ack on to the requester; false if no relayed probe has this number. */
+    /** Forwards an ack to the requester; returns false if no relayed probe has this sequence number. */
     boolean complete(long sequence) {
         RelayedProbe probe = inFlight.remove(sequence);
         if (probe == null) {
@@ -62,8 +62,8 @@
         inFlight.clear();
     }
 
-    /** Requests that were rejected because too many probes were in flight. */
-    long rejected() {
-        return rejected;
+    /** Returns the number of requests that were rejected because too many probes were in flight. */
+    long rejectedRequests() {
+        return rejectedRequests;
     }
 }
--- a/src/main/java/mintstair/membership/swim/Suspicion.java
+++ b/src/main/java/mintstair/membership/swim/Suspicion.java
@@ -3,44 +3,44 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The suspicion of one member, with Lifeguard's dynamic timeout: independent confirmations shorten it. */
+/** The suspicion of one member, with Lifeguard's dynamic timeout, which independent confirmations shorten. */
 final class Suspicion {
-    private static final long NEVER = Long.MAX_VALUE;
+    private static final long NO_DEADLINE = Long.MAX_VALUE;
 
     private final long minMicros;
     private final long maxMicros;
-    private final int confirmations;
-    /** Members that suspect it because of their own probes. */
-    private final Set<String> accusers = new HashSet<>();
+    private final int maxConfirmations;
+    /** Names of the members whose own probes of the suspect have failed. */
+    private final Set<String> reporters = new HashSet<>();
 
-    private long processGoneDeadlineMicros = NEVER;
+    private long processGoneDeadlineMicros = NO_DEADLINE;
 
     /** Starts a suspicion with the timeouts of a fleet of {@code clusterSize} members. */
-    Suspicion(SwimSettings settings, int clusterSize, String accuser) {
+    Suspicion(SwimSettings settings, int clusterSize, String reporter) {
         minMicros = settings.minSuspicionMicros(clusterSize);
         maxMicros = settings.maxSuspicionMicros(clusterSize);
-        confirmations = settings.suspicionConfirmations();
-        accusers.add(accuser);
+        maxConfirmations = settings.suspicionConfirmations();
+        reporters.add(reporter);
     }
 
-    /** Adds another member's own evidence; false if it changes nothing. */
-    boolean confirm(String accuser) {
-        return accusers.size() <= confirmations && accusers.add(accuser);
+    /** Adds a confirmation by another member's probe; returns false if it does not shorten the timeout. */
+    boolean confirm(String reporter) {
+        return reporters.size() <= maxConfirmations && reporters.add(reporter);
     }
 
-    /** The member's address refused a connection: the suspicion ends at this time at the latest. */
-    void processGone(long deadlineMicros) {
+    /** Limits the deadline after a connection check showed that the member's process has ended. */
+    void onProcessGone(long deadlineMicros) {
         processGoneDeadlineMicros = Math.min(processGoneDeadlineMicros, deadlineMicros);
     }
 
-    /** Discards the evidence that the process is gone. */
-    void processMayRun() {
-        processGoneDeadlineMicros = NEVER;
+    /** Removes the limit that {@link #onProcessGone} set. */
+    void clearProcessGone() {
+        processGoneDeadlineMicros = NO_DEADLINE;
     }
 
     /**
-     * When the member is declared dead. The timeout falls from its maximum to its minimum with the logarithm of the
-     * number of confirmations.
+     * Returns when the member is declared dead. The timeout decreases from its maximum to its minimum with the
+     * logarithm of the number of confirmations.
      *
      * @param startMicros when the suspicion began
      */
@@ -49,12 +49,12 @@
         return Math.min(processGoneDeadlineMicros, startMicros + maxMicros - reducedMicros);
     }
 
-    /** From 0, no confirmation, to 1, all that count. */
+    /** Returns by how much the timeout is reduced: from 0 without confirmations to 1 with all that count. */
     private double reduction() {
-        if (confirmations == 0) {
+        if (maxConfirmations == 0) {
             return 1;
         }
-        int confirmed = Math.max(0, Math.min(confirmations, accusers.size() - 1));
-        return Math.log(confirmed + 1) / Math.log(confirmations + 1);
+        int confirmed = Math.max(0, Math.min(maxConfirmations, reporters.size() - 1));
+        return Math.log(confirmed + 1) / Math.log(maxConfirmations + 1);
     }
 }
--- a/src/main/java/mintstair/membership/swim/Swim.java
+++ b/src/main/java/mintstair/membership/swim/Swim.java
@@ -4,11 +4,11 @@
 import java.util.Random;
 
 /**
- * One member of the fleet: the SWIM protocol as a state machine. The driver reports time ({@link #tick}), messages
- * ({@link #received}) and results of connections ({@link #connectionChecked}); it is called back by
- * {@link SwimActions}.
+ * The SWIM protocol of one member as a state machine. The driver calls it as time passes ({@link #tick}), with received
+ * messages ({@link #onMessage}) and with results of connection checks ({@link #onConnectionChecked}). The protocol
+ * calls the driver through {@link SwimActions}.
  *
- * <p>Deterministic for a given seed. Not thread-safe: all calls come from one thread. The state is bounded by
+ * <p>Deterministic for a given seed. Not thread-safe: all calls must be made on one thread. The state is bounded by
  * {@link SwimSettings#maxMembers}. docs/design-membership.md describes the protocol.
  */
 public final class Swim {
@@ -26,15 +26,15 @@
     private long nameConflicts;
 
     /**
-     * Starts a member that knows no other one yet.
+     * Creates a member that has not discovered any other yet.
      *
-     * @param nowMicros the time, which is also the first incarnation: Unix microseconds
+     * @param nowMicros the current time in Unix microseconds, which is also the first incarnation
      * @param seed seed of all random decisions
      * @param name the member's name, unique in the fleet
-     * @param address where it receives messages, as host:port
-     * @param seeds addresses to contact first; the member's own among them is ignored
+     * @param address address at which it receives messages, as {@code host:port}
+     * @param seeds addresses to contact while no other member is alive; the member's own address among them is ignored
      * @param settings the constants of the protocol
-     * @param actions the driver
+     * @param actions performs the protocol's actions
      */
     public Swim(
             long nowMicros,
@@ -50,8 +50,8 @@
         members = new MemberTable(settings, gossip, random, actions);
         sender = new MessageSender(settings, local, members, gossip, actions);
         sizeEstimator = new ClusterSizeEstimator(settings.configuredSize(), nowMicros);
-        sizeEstimator.unsettle(nowMicros, settings.spreadMicros(settings.configuredSize()));
-        // Both draw their start time from the one random sequence, in this order.
+        sizeEstimator.markUnsettled(nowMicros, settings.disseminationMicros(settings.configuredSize()));
+        // Both constructors draw their start times from the same random sequence, so their order must not change.
         failureDetector = new FailureDetector(nowMicros, settings, local, members, sender, random, actions);
         antiEntropy = new AntiEntropy(nowMicros, settings, seeds, local, members, sender, random);
         lastTickMicros = nowMicros;
@@ -60,18 +60,18 @@
 
     // ---- time ----
 
-    /** When {@link #tick} is to be called next, in microseconds. */
+    /** Returns when {@link #tick} is to be called next, in microseconds. */
     public long nextTickMicros() {
         long nextMicros = Math.min(failureDetector.nextTickMicros(), antiEntropy.nextTickMicros());
         return Math.min(nextMicros, lastTickMicros + maxTickIntervalMicros());
     }
 
-    /** Ticks come at least this often, so that a late one shows that the process stood still. */
+    /** Returns the maximum interval between two ticks; a tick that is much later shows a stall of the process. */
     private long maxTickIntervalMicros() {
         return settings.periodMicros() / 2;
     }
 
-    /** Does whatever is due at this time. */
+    /** Performs all work that is due at the given time. */
     public void tick(long nowMicros) {
         if (local.hasLeft()) {
             return;
@@ -83,7 +83,10 @@
         updateSizeEstimate(nowMicros);
     }
 
-    /** A process that stood still received no answers and no refutations meanwhile: its deadlines move by that time. */
+    /**
+     * Detects that the process has stalled. During a stall it received no answers and no refutations, so the probes in
+     * flight are discarded and all suspicions extended by the time of the stall.
+     */
     private void detectStall(long nowMicros) {
         long lateMicros = nowMicros - lastTickMicros - maxTickIntervalMicros();
         lastTickMicros = nowMicros;
@@ -91,15 +94,15 @@
             return;
         }
         stalls++;
-        failureDetector.stalled();
+        failureDetector.onStall();
         members.extendSuspicions(lateMicros);
-        sizeEstimator.unsettle(nowMicros, spreadMicros());
+        sizeEstimator.markUnsettled(nowMicros, disseminationMicros());
     }
 
     // ---- messages ----
 
-    /** Handles a message that has arrived. */
-    public void received(long nowMicros, Message message) {
+    /** Handles a received message. */
+    public void onMessage(long nowMicros, Message message) {
         GossipUpdate from = message.sender();
         if (local.hasLeft() || local.isSameProcess(from)) {
             return;
@@ -114,7 +117,7 @@
         }
     }
 
-    /** Passes one message to the part that handles its type. */
+    /** Dispatches one message to the component that handles its type. */
     private final class Receiver implements Message.Visitor {
         private final long nowMicros;
         private final GossipUpdate from;
@@ -126,27 +129,27 @@
 
         @Override
         public void visit(Message.Ping ping) {
-            failureDetector.pingReceived(from, ping);
+            failureDetector.onPing(from, ping);
         }
 
         @Override
         public void visit(Message.Ack ack) {
-            failureDetector.ackReceived(ack);
+            failureDetector.onAck(ack);
         }
 
         @Override
         public void visit(Message.Nack nack) {
-            failureDetector.nackReceived(nack);
+            failureDetector.onNack(nack);
         }
 
         @Override
         public void visit(Message.PingRequest request) {
-            failureDetector.pingRequestReceived(nowMicros, from, request);
+            failureDetector.onPingRequest(nowMicros, from, request);
         }
 
         @Override
         public void visit(Message.CompareDigests compare) {
-            antiEntropy.digestReceived(nowMicros, from, compare);
+            antiEntropy.onCompareDigests(nowMicros, from, compare);
         }
 
         @Override
@@ -156,17 +159,17 @@
 
         @Override
         public void visit(Message.GossipOnly gossipOnly) {
-            // The updates are all there is.
+            // The updates have been merged already.
         }
     }
 
     /**
-     * Handles the result of a connection that {@link SwimActions#checkConnection} requested.
+     * Handles the result of a connection check that {@link SwimActions#checkConnection} requested.
      *
-     * @param sequence the number that came with the request
+     * @param sequence the sequence number of that request
      */
-    public void connectionChecked(long nowMicros, long sequence, ConnectionCheckResult result) {
-        if (!local.hasLeft() && failureDetector.connectionChecked(nowMicros, sequence, result)) {
+    public void onConnectionChecked(long nowMicros, long sequence, ConnectionCheckResult result) {
+        if (!local.hasLeft() && failureDetector.onConnectionChecked(nowMicros, sequence, result)) {
             updateSizeEstimate(nowMicros);
         }
     }
@@ -180,8 +183,9 @@
     }
 
     /**
-     * Refutes a wrong update on this member. A newer process of the same name at another address is an operator's
-     * mistake: refuting it would never end, so this member yields and takes no share of the common limits.
+     * Refutes an update that reports a wrong state of this member. A newer process with the same name at another
+     * address is a configuration error: the two would refute each other endlessly. In that case this member marks
+     * itself as unsettled instead, so that it uses no share of the common limits.
      */
     private void mergeOwn(long nowMicros, GossipUpdate update) {
         if (local.agreesWith(update)) {
@@ -189,14 +193,14 @@
         }
         if (!update.address().equals(local.address())) {
             nameConflicts++;
-            sizeEstimator.unsettle(nowMicros, spreadMicros());
+            sizeEstimator.markUnsettled(nowMicros, disseminationMicros());
             return;
         }
         local.refute(update.incarnation());
         gossip.add(local.update());
     }
 
-    /** Announces to some other members that this one shuts down. Afterwards all calls have no effect. */
+    /** Announces to some other members that this one shuts down. Later ticks, messages and results have no effect. */
     public void leave() {
         if (local.hasLeft()) {
             return;
@@ -204,39 +208,39 @@
         local.leave();
         gossip.add(local.update());
         int receivers = settings.maxTransmissions(members.activeCount());
-        for (Member receiver : members.random(receivers, Member::isAlive)) {
+        for (Member receiver : members.randomMembers(receivers, Member::isAlive)) {
             sender.send(receiver.address(), new Message.GossipOnly());
         }
     }
 
     // ---- results ----
 
-    private long spreadMicros() {
-        return settings.spreadMicros(Math.max(settings.configuredSize(), members.knownCount()));
+    private long disseminationMicros() {
+        return settings.disseminationMicros(Math.max(settings.configuredSize(), members.knownCount()));
     }
 
     private void updateSizeEstimate(long nowMicros) {
-        long spreadMicros = spreadMicros();
-        members.dropDead(deadSinceMicros -> sizeEstimator.mayDrop(nowMicros, deadSinceMicros, spreadMicros));
-        sizeEstimator.update(nowMicros, members.aliveCount(), members.possiblyRunningCount(), spreadMicros);
+        long disseminationMicros = disseminationMicros();
+        members.dropDead(deadSinceMicros -> sizeEstimator.canDrop(nowMicros, deadSinceMicros, disseminationMicros));
+        sizeEstimator.update(nowMicros, members.aliveCount(), members.possiblyRunningCount(), disseminationMicros);
     }
 
-    /** What the current view says about the size of the fleet. */
+    /** Returns the size of the fleet as derived from the current view. */
     public ClusterSizeEstimate sizeEstimate() {
         return sizeEstimator.current();
     }
 
-    /** Grows with each change of the view. */
+    /** Returns a number that grows with each change of a member's state. */
     public long version() {
         return members.version() + local.refutations();
     }
 
-    /** The current view. */
+    /** Returns the current view. */
     public MembershipView view() {
         return new MembershipView(version(), local.update(), members.peers(), sizeEstimate());
     }
 
-    /** Counters since the start. */
+    /** Returns the counters since the start. */
     public SwimStatistics statistics() {
         TransitionCounters transitions = members.transitions();
         return new SwimStatistics(
--- a/src/main/java/mintstair/membership/swim/SwimActions.java
+++ b/src/main/java/mintstair/membership/swim/SwimActions.java
@@ -1,22 +1,22 @@
 package mintstair.membership.swim;
 
-/** What the protocol asks its driver to do. Called on the protocol's thread, in the order in which it is to be done. */
+/** The actions that the protocol requires of its driver. All methods are called on the protocol's thread. */
 public interface SwimActions {
     /**
      * Sends a message as a datagram, which may be lost.
      *
-     * @param address the receiver, as host:port
+     * @param address address of the receiver, as {@code host:port}
      * @param message the message
      */
     void send(String address, Message message);
 
     /**
-     * Opens a connection to a member that did not answer a datagram; the result goes to
-     * {@link Swim#connectionChecked}.
+     * Opens a connection to a member that did not answer a ping. The result must be passed to
+     * {@link Swim#onConnectionChecked}, which may happen before this method returns.
      *
-     * @param sequence number of the probe, to be handed back with the result
+     * @param sequence sequence number of the probe, to be passed back with the result
      * @param target name of the member
-     * @param address its address, as host:port
+     * @param address address of the member, as {@code host:port}
      */
     void checkConnection(long sequence, String target, String address);
 
@@ -24,7 +24,7 @@
      * Reports that a member's state has changed.
      *
      * @param update the member with its new state
-     * @param previous the state before; null for a member that was not known before
+     * @param previous the previous state; null for a member that was unknown before
      */
-    void memberChanged(GossipUpdate update, MemberState previous);
+    void onMemberChanged(GossipUpdate update, MemberState previous);
 }
--- a/src/main/java/mintstair/membership/swim/SwimSettings.java
+++ b/src/main/java/mintstair/membership/swim/SwimSettings.java
@@ -1,22 +1,23 @@
 package mintstair.membership.swim;
 
 /**
- * The constants of the protocol. All times are in microseconds.
+ * The parameters of the protocol.
  *
- * @param periodMicros the protocol period: how often a member probes another one
- * @param ackTimeoutMicros how long it waits for an ack before it requests indirect probes
- * @param indirectProbes how many other members it asks for an indirect probe
- * @param minSuspicionPeriods shortest suspicion timeout, in periods per power of ten of the fleet's size
- * @param processGonePeriods suspicion timeout, in periods, of a member whose address refused a connection: its process
- *     is gone, whereas one that is stopped or partitioned does not refuse connections
+ * @param periodMicros the protocol period, in which a member probes one other member
+ * @param ackTimeoutMicros how long a member waits for an ack before it requests indirect probes
+ * @param indirectProbes how many other members are asked to relay a probe
+ * @param minSuspicionPeriods shortest suspicion timeout, in periods times the decimal logarithm of the fleet size
+ * @param processGonePeriods suspicion timeout, in periods, of a member whose process has ended by the result of a
+ *     connection check; a process that is stopped or partitioned does not refuse connections
  * @param maxSuspicionFactor longest suspicion timeout, as a multiple of the shortest
  * @param suspicionConfirmations number of independent confirmations that reduce the timeout to the shortest
- * @param retransmitFactor how often an update is sent, per power of ten of the fleet's size
- * @param maxHealthMultiplier bound of the local health multiplier, by which a slow member extends period and timeout
+ * @param retransmitFactor number of transmissions of an update, per power of ten of the fleet size
+ * @param maxHealthMultiplier maximum of the local health multiplier, by which a slow member extends its period and ack
+ *     timeout
  * @param syncIntervalMicros mean time between two rounds of anti-entropy
- * @param retentionMicros how long members that are dead or left are remembered
- * @param maxMembers bound of the fleet's size; further members are rejected
- * @param configuredSize fleet size that the operator has configured
+ * @param retentionMicros how long members that are dead or left are kept in the member table
+ * @param maxMembers maximum size of the fleet; further members are rejected
+ * @param configuredSize fleet size given in the configuration
  */
 public record SwimSettings(
         long periodMicros,
@@ -33,21 +34,21 @@
         int maxMembers,
         int configuredSize) {
 
-    /** Periods for each doubling of the fleet within which an update reaches all members, with a wide margin. */
-    private static final double SPREAD_PERIODS = 5;
+    /** Periods per doubling of the fleet size within which an update reaches all members, with a wide margin. */
+    private static final double DISSEMINATION_PERIODS_PER_DOUBLING = 5;
     /**
-     * Lower bound for the power of ten in the number of transmissions: in a small fleet many of them go to the member
-     * that the update is about or to members that sent it.
+     * Minimum power of ten of the fleet size in the number of transmissions. In a small fleet, many transmissions go to
+     * the member concerned or to members that already have the update.
      */
-    private static final int MIN_SIZE_MAGNITUDE = 2;
+    private static final int MIN_SIZE_POWER_OF_TEN = 2;
 
-    /** Settings for a network of one site. */
+    /** Returns settings for members within one local network. */
     public static SwimSettings forLocalNetwork(int configuredSize) {
         return new SwimSettings(
                 400_000, 120_000, 3, 20, 1, 2, 2, 6, 4, 4_000_000, 3_600_000_000L, 4096, configuredSize);
     }
 
-    /** The same protocol at another pace: all times in proportion to the period, but for the retention. */
+    /** Returns these settings with another period, and all times except the retention scaled in proportion. */
     public SwimSettings withPeriodMicros(long newPeriodMicros) {
         double factor = (double) newPeriodMicros / periodMicros;
         return new SwimSettings(
@@ -66,7 +67,7 @@
                 configuredSize);
     }
 
-    /** The same settings with another retention of members that are dead or left. */
+    /** Returns these settings with another retention of members that are dead or left. */
     public SwimSettings withRetentionMicros(long newRetentionMicros) {
         return new SwimSettings(
                 periodMicros,
@@ -84,30 +85,31 @@
                 configuredSize);
     }
 
-    /** The shortest suspicion timeout in a fleet of this size. */
+    /** Returns the shortest suspicion timeout in a fleet of the given size. */
     long minSuspicionMicros(int members) {
         return (long) (minSuspicionPeriods * Math.max(1, Math.log10(Math.max(1, members))) * periodMicros);
     }
 
-    /** The longest suspicion timeout in a fleet of this size. */
+    /** Returns the longest suspicion timeout in a fleet of the given size. */
     long maxSuspicionMicros(int members) {
         return (long) (maxSuspicionFactor * minSuspicionMicros(members));
     }
 
-    /** Suspicion timeout of a member whose process is gone. */
+    /** Returns the suspicion timeout of a member whose process has ended. */
     long processGoneMicros() {
         return (long) (processGonePeriods * periodMicros);
     }
 
-    /** Upper bound of the time in which an update reaches all members. */
-    long spreadMicros(int members) {
-        long spreadPeriods = (long) (SPREAD_PERIODS * Math.ceil(Math.log(members + 1) / Math.log(2)));
-        return spreadPeriods * periodMicros;
+    /** Returns an upper bound of the time within which an update reaches all members. */
+    long disseminationMicros(int members) {
+        double doublings = Math.ceil(Math.log(members + 1) / Math.log(2));
+        long disseminationPeriods = (long) (DISSEMINATION_PERIODS_PER_DOUBLING * doublings);
+        return disseminationPeriods * periodMicros;
     }
 
-    /** How often each update is sent in a fleet of this size. */
+    /** Returns how many times each member sends an update in a fleet of the given size. */
     int maxTransmissions(int members) {
-        double magnitude = Math.max(MIN_SIZE_MAGNITUDE, Math.ceil(Math.log10(members + 1)));
-        return (int) Math.ceil(retransmitFactor * magnitude);
+        double powerOfTen = Math.max(MIN_SIZE_POWER_OF_TEN, Math.ceil(Math.log10(members + 1)));
+        return (int) Math.ceil(retransmitFactor * powerOfTen);
     }
 }
--- a/src/main/java/mintstair/membership/swim/SwimStatistics.java
+++ b/src/main/java/mintstair/membership/swim/SwimStatistics.java
@@ -3,17 +3,17 @@
 /**
  * Counters of one member since its start.
  *
- * @param sentMessages messages sent
- * @param receivedMessages messages received
- * @param raisedSuspicions suspicions that this member raised itself
+ * @param sentMessages number of messages sent
+ * @param receivedMessages number of messages received
+ * @param raisedSuspicions suspicions that this member raised by its own probes
  * @param refutedSuspicions suspicions of other members that were refuted
- * @param falseDeaths members declared dead that later refuted it, at the incarnation that follows
+ * @param falseDeaths members that were declared dead and then refuted that with a slightly higher incarnation
  * @param deaths suspects that became dead
  * @param suspicionMicros time from suspect to dead, summed over all {@code deaths}
- * @param ownRefutations suspicions of itself that this member refuted
- * @param stalls times that this process stood still for more than a period
- * @param rejected members and relayed probes that were over a bound
- * @param nameConflicts updates on another, newer process with this member's name
+ * @param ownRefutations updates about itself that this member refuted
+ * @param stalls times that this process stalled for more than a period
+ * @param rejected rejected updates about members beyond the maximum, plus rejected requests for relayed probes
+ * @param nameConflicts updates about a newer process with this member's name at another address
  */
 public record SwimStatistics(
         long sentMessages,
--- a/src/main/java/mintstair/membership/swim/TransitionCounters.java
+++ b/src/main/java/mintstair/membership/swim/TransitionCounters.java
@@ -1,8 +1,11 @@
 package mintstair.membership.swim;
 
-/** Counts state changes of other members, as a measure of the quality of failure detection. */
+/** Counts state changes of other members, which measure the accuracy and speed of failure detection. */
 final class TransitionCounters {
-    /** A higher incarnation within one period of the known one is a refutation; a new process starts far above it. */
+    /**
+     * An incarnation that is higher than the known one by less than this is a refutation, which raises it by one. The
+     * first incarnation of a new process is its start time and therefore far higher.
+     */
     private final long maxRefutationStep;
 
     private long refutedSuspicions;
@@ -14,7 +17,7 @@
         maxRefutationStep = periodMicros;
     }
 
-    /** Counts the change from a member's known state to that of the update which replaces it. */
+    /** Counts the change from a member's current state to that of the update that replaces it. */
     void count(long nowMicros, Member before, GossipUpdate after) {
         if (after.state() == MemberState.ALIVE) {
             countRecovery(before, after);
@@ -46,7 +49,7 @@
         return deaths;
     }
 
-    /** Time from suspect to dead, summed over all deaths. */
+    /** Returns the time from suspect to dead, summed over all deaths. */
     long suspicionMicros() {
         return suspicionMicros;
     }
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -126,7 +126,8 @@
                         play.nodes
                                 .subList(some, some + 30)
                                 .forEach(n -> play.stall(n, play.nowMicros + chance.nextInt(60) * S));
-                    default -> play.nodes.stream().filter(n -> !n.isRunning).toList().forEach(play::start);
+                    default ->
+                        play.nodes.stream().filter(n -> !n.isRunning).toList().forEach(play::start);
                 }
                 pass(chance.nextInt(60) * S);
             }
--- a/src/test/java/mintstair/membership/ConnectionCheckerTest.java
+++ b/src/test/java/mintstair/membership/ConnectionCheckerTest.java
@@ -14,9 +14,12 @@
 import org.junit.jupiter.api.Test;
 
 class ConnectionCheckerTest {
-    /** Guards the bound for a fleet of which most go at once: a check that is not started finds no crashed process. */
+    /**
+     * Guards the limit of concurrent checks. If most members of a large fleet crash at once, a check that exceeds the
+     * limit is reported as unresponsive and does not detect the crash.
+     */
     @Test
-    void aThousandChecksRunAtOnceAndNoMore() throws IOException {
+    void runs1024ChecksConcurrentlyAndReportsFurtherOnesAsUnresponsive() throws IOException {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
         Map<Long, ConnectionCheckResult> results = new HashMap<>();
         try (Selector selector = Selector.open();
@@ -27,7 +30,7 @@
             for (long sequence = 0; sequence < 1_024; sequence++) {
                 checker.start(0, sequence, "other", address);
             }
-            assertTrue(results.isEmpty(), "no check ends before its time");
+            assertTrue(results.isEmpty(), "a check ended before its timeout");
 
             checker.start(0, 1_024, "other", address);
             assertEquals(Map.of(1_024L, ConnectionCheckResult.UNRESPONSIVE), results);
--- a/src/test/java/mintstair/membership/FleetMemberTest.java
+++ b/src/test/java/mintstair/membership/FleetMemberTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Members on the loopback interface. */
+/** Runs members on the loopback interface. */
 class FleetMemberTest {
     private static final long PERIOD_MICROS = 100_000;
 
@@ -66,23 +66,26 @@
         members.forEach(FleetMember::close);
     }
 
-    /** Both are counted: members of another fleet that use the same seeds, and random bytes. */
+    /** Covers messages from a member of another fleet with the same seeds, and random bytes. */
     @Test
-    void ignoresDatagramsThatAreNotOfItsFleet() throws IOException {
+    void ignoresDatagramsFromAnotherFleetAndRandomBytes() throws IOException {
         FleetMember first = startMember("one", "a", List.of());
         FleetMember second = startMember("one", "b", List.of(address(first)));
-        FleetMember stranger = startMember("two", "c", List.of(address(first), address(second)));
+        FleetMember otherFleet = startMember("two", "c", List.of(address(first), address(second)));
         Program.await(
                 () -> count(first, MemberState.ALIVE) == 1 && count(second, MemberState.ALIVE) == 1,
-                "both to know each other");
-        Program.await(() -> first.malformedMessages() > 0 && second.malformedMessages() > 0, "the stranger to be rejected");
+                "each of the two members to see the other alive");
+        Program.await(
+                () -> first.malformedMessages() > 0 && second.malformedMessages() > 0,
+                "datagrams of the other fleet to be counted as malformed");
 
         sendRandomBytes(NodeConfig.address(address(first)));
 
         long received = second.statistics().receivedMessages();
-        Program.await(() -> second.statistics().receivedMessages() > received + 10, "the protocol to go on");
+        Program.await(
+                () -> second.statistics().receivedMessages() > received + 10, "the second to receive more messages");
         assertEquals(1, first.view().peers().size());
-        assertEquals(0, stranger.view().peers().size());
+        assertEquals(0, otherFleet.view().peers().size());
     }
 
     private static void sendRandomBytes(InetSocketAddress receiver) throws IOException {
@@ -97,40 +100,40 @@
     }
 
     @Test
-    void closedMemberIsSeenAsLeft() throws IOException {
+    void closedMemberIsReportedAsLeft() throws IOException {
         FleetMember first = startMember("one", "a", List.of());
         FleetMember second = startMember("one", "b", List.of(address(first)));
-        Program.await(() -> count(first, MemberState.ALIVE) == 1, "the second to join");
+        Program.await(() -> count(first, MemberState.ALIVE) == 1, "the first member to see the second alive");
 
         second.close();
 
-        Program.await(() -> count(first, MemberState.LEFT) == 1, "the second to have left");
+        Program.await(() -> count(first, MemberState.LEFT) == 1, "the first member to see that the second has left");
         assertTrue(first.report().contains("member b left "), first.report());
     }
 
     @Test
-    void publishesViewsWhenTheyChangeAndNotInEachIteration() throws IOException {
+    void publishesAViewOnlyWhenItHasChanged() throws IOException {
         AtomicInteger published = new AtomicInteger();
         MembershipConfig config = new MembershipConfig("one", anyPort(), null, List.of(), 50_000);
         FleetMember first = start(create(config, "a", 2, view -> published.incrementAndGet()));
         FleetMember second = startMember("one", "b", List.of(address(first)));
 
-        Program.await(() -> second.statistics().sentMessages() > 60, "some periods to pass");
+        Program.await(() -> second.statistics().sentMessages() > 60, "the second member to send 60 messages");
 
         assertTrue(published.get() >= 2 && published.get() < 12, "published " + published.get() + " times");
     }
 
-    /** A port that is free for datagrams may be in use for connections; with port 0 another one is tried. */
+    /** A port that is free for UDP may be in use for TCP; with port 0, another port must be tried then. */
     @Test
-    void triesAnotherPortWhereOneIsInUseForConnections() throws IOException {
+    void triesAnotherPortIfTheFirstIsInUseForTcp() throws IOException {
         List<ServerSocket> sockets = new ArrayList<>();
         try {
-            // One in seven of the ports that the system hands out: of forty members some meet one at first.
+            // Occupies one in seven ephemeral ports for TCP, so that some of 40 members first get an occupied port.
             for (int port = 32_768; port < 60_768; port += 7) {
                 try {
                     sockets.add(new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1")));
                 } catch (IOException e) {
-                    // In use already, which serves as well.
+                    // The port is in use already, which has the same effect.
                 }
             }
             for (int i = 0; i < 40; i++) {
@@ -144,12 +147,12 @@
     }
 
     @Test
-    void rejectsANameThatIsTooLong() {
+    void rejectsNameThatIsTooLong() {
         assertThrows(ConfigException.class, () -> startMember("one", "n".repeat(49), List.of()));
     }
 
     @Test
-    void failsOnAnAddressInUseWithTheAddressInTheMessage() throws IOException {
+    void failsWithTheAddressInTheMessageIfItIsInUse() throws IOException {
         InetSocketAddress inUse = NodeConfig.address(address(startMember("one", "a", List.of())));
         MembershipConfig config = new MembershipConfig("one", inUse, null, List.of(), PERIOD_MICROS);
 
--- a/src/test/java/mintstair/membership/MembershipSocketsTest.java
+++ b/src/test/java/mintstair/membership/MembershipSocketsTest.java
@@ -11,14 +11,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A start that finds no socket is tried again. Each try opened a selector first, and lost it where no datagram socket
- * was to be had: three descriptors each, on a machine that is short of them.
+ * Guards against a descriptor leak. A failed start is retried, and each attempt opens a selector before the datagram
+ * socket. If the selector were not closed when opening the socket fails, each attempt would leak three descriptors on a
+ * machine that is already short of them.
  */
 class MembershipSocketsTest {
     private static final InetSocketAddress LISTEN = new InetSocketAddress("127.0.0.1", 0);
 
     @Test
-    void selectorIsClosedWhereNoDatagramSocketIsToBeHad() {
+    void closesTheSelectorIfNoDatagramSocketCanBeOpened() {
         List<Selector> opened = new ArrayList<>();
         assertThrows(
                 IOException.class,
--- a/src/test/java/mintstair/membership/MessageCodecTest.java
+++ b/src/test/java/mintstair/membership/MessageCodecTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class MessageCodecTest {
-    /** Magic number, fleet and the length of the sender's name come before its first character. */
+    /** Offset of the sender's name, after the magic number (4 bytes), the fleet hash (4) and the name's length (1). */
     private static final int SENDER_NAME_OFFSET = 9;
 
     private static final GossipUpdate SENDER = update("a", 7, MemberState.ALIVE, 0);
@@ -33,7 +33,7 @@
         return new Message(sender, new Message.GossipOnly(), List.of());
     }
 
-    /** A message of each type, with updates and without. */
+    /** Returns two messages of each type: one with updates and one without. */
     private static List<Message> allMessages() {
         List<GossipUpdate> updates = List.of(
                 update("x", 1_800_000_000_000_000L, MemberState.SUSPECT, 0),
@@ -63,14 +63,14 @@
     }
 
     @Test
-    void decodesWhatItEncoded() {
+    void decodesEachEncodedMessage() {
         for (Message message : allMessages()) {
             assertEquals(Optional.of(message), decode(codec.encode(message)));
         }
     }
 
     @Test
-    void encodesAPingInItsWireFormat() {
+    void encodesPingInTheDocumentedLayout() {
         GossipUpdate left = update("y", 9, MemberState.LEFT, 5_000_000);
         Message ping = new Message(SENDER, new Message.Ping(3, "x"), List.of(left));
         ByteBuffer expected = ByteBuffer.allocate(84);
@@ -96,19 +96,19 @@
     }
 
     @Test
-    void rejectsMessagesThatAreTruncatedTooLongOrOfAnotherFleet() {
+    void rejectsMessagesThatAreTruncatedExtendedOrFromAnotherFleet() {
         MessageCodec otherFleet = new MessageCodec("another");
         for (Message message : allMessages()) {
             byte[] bytes = codec.encode(message);
             for (int length = 0; length < bytes.length; length++) {
                 assertRejected(Arrays.copyOf(bytes, length), message + " truncated at " + length);
             }
-            assertRejected(Arrays.copyOf(bytes, bytes.length + 1), message + " with another byte");
+            assertRejected(Arrays.copyOf(bytes, bytes.length + 1), message + " with an additional byte");
             assertEquals(Optional.empty(), otherFleet.decode(ByteBuffer.wrap(bytes)));
         }
     }
 
-    /** An incarnation that its member could not raise any more would keep it dead for good. */
+    /** A member could not raise such an incarnation to refute its death, so it would stay dead permanently. */
     @Test
     void rejectsIncarnationsOutOfBounds() {
         for (long incarnation : new long[] {-1, Long.MAX_VALUE, Long.MAX_VALUE - 5}) {
@@ -124,7 +124,10 @@
         assertRejected(codec.encode(gossipFrom("n".repeat(MessageCodec.MAX_NAME_BYTES + 1))), "name too long");
     }
 
-    /** A line break would forge lines of the log and of the members command; other characters could overflow a page. */
+    /**
+     * A line break could forge lines in the log and in the output of the members command. Characters of more than one
+     * byte could make a page of the state larger than its limit.
+     */
     @Test
     void rejectsNamesThatAreNotPrintableAscii() {
         for (String name : List.of("a\nmember b alive", "a b", "a\u0000", "\u00e4")) {
@@ -146,6 +149,6 @@
             }
             decoded += decode(bytes).isPresent() ? 1 : 0;
         }
-        assertTrue(decoded < 20_000 && decoded > 0);
+        assertTrue(decoded < 20_000 && decoded > 0, "decoded " + decoded + " of 20000 corrupted messages");
     }
 }
--- a/src/test/java/mintstair/membership/SimulatedFleet.java
+++ b/src/test/java/mintstair/membership/SimulatedFleet.java
@@ -17,24 +17,25 @@
 import mintstair.membership.swim.SwimSettings;
 
 /**
- * A fleet of members in virtual time on a simulated network that loses, delays and partitions. Deterministic for a
- * seed. All times are in microseconds.
+ * A fleet of members in virtual time on a simulated network with packet loss, delays and partitions. Deterministic for
+ * a given seed. All times are in microseconds.
  */
 public final class SimulatedFleet {
     private static final long START_MICROS = 1_000_000_000L;
     private static final int MAX_BUFFERED_MESSAGES = 200;
-    /** A TCP connection and its reply take three one-way delays, each of this at least. */
-    private static final int CHECK_DELAYS = 3;
-
+    /** A TCP handshake followed by the reply takes three one-way delays. */
+    private static final int CHECK_ONE_WAY_DELAYS = 3;
+    /** Minimum one-way delay of a connection check, which also applies where the network loses the datagram. */
     private static final long MIN_CHECK_DELAY_MICROS = 1_000;
-    private static final long AGREEMENT_STEP_MICROS = 100_000;
 
-    /** What the network does with a datagram or a connection from one member to another. */
+    private static final long CONVERGENCE_STEP_MICROS = 100_000;
+
+    /** Defines the delay and loss of datagrams and the success of connections between two members. */
     public interface Network {
-        /** The delay in microseconds; negative if the datagram is lost. */
+        /** Returns the one-way delay in microseconds; negative if the datagram is lost. */
         long delay(int from, int to, Random random);
 
-        /** Whether connections succeed, if the other end runs. */
+        /** Returns whether connections succeed if the other process is running. */
         default boolean connects(int from, int to) {
             return true;
         }
@@ -42,21 +43,21 @@
 
     /** One member of the fleet. */
     public final class Node implements SwimActions {
-        /** Index of the node, which is also its address. */
+        /** Index in {@link SimulatedFleet#nodes}, which is also the node's address. */
         public final int index;
 
         public final String name;
         public Swim swim;
-        /** Whether its process runs. */
+        /** Whether the node's process is running; a stalled process is running too. */
         public boolean isRunning;
-        /** Messages that it has sent. */
+        /** Number of messages sent by all processes of this node. */
         public long sentMessages;
-        /** Whether its machine runs; one that does not does not even refuse connections. */
+        /** Whether the node's machine is running; otherwise connections are not even refused. */
         private boolean isMachineRunning = true;
 
-        private long stalledUntil;
-        private long nextWake = Long.MAX_VALUE;
-        /** What arrives while it is stalled, as in a socket's receive buffer. */
+        private long stalledUntilMicros;
+        private long scheduledTickMicros = Long.MAX_VALUE;
+        /** Messages that arrive while the process is stalled, as in a socket's receive buffer. */
         private final List<Message> receiveBuffer = new ArrayList<>();
 
         Node(int index) {
@@ -68,9 +69,9 @@
         public void send(String address, Message message) {
             sentMessages++;
             int to = Integer.parseInt(address);
-            long delay = network.delay(index, to, random);
-            if (delay >= 0) {
-                at(nowMicros + delay, () -> nodes.get(to).receive(message));
+            long delayMicros = network.delay(index, to, random);
+            if (delayMicros >= 0) {
+                schedule(nowMicros + delayMicros, () -> nodes.get(to).receive(message));
             }
         }
 
@@ -84,26 +85,26 @@
                 }
                 return;
             }
-            swim.received(nowMicros, message);
+            swim.onMessage(nowMicros, message);
             scheduleTick();
         }
 
         @Override
         public void checkConnection(long sequence, String target, String address) {
             Node to = nodes.get(Integer.parseInt(address));
-            Swim requester = swim;
-            boolean connectable = connectionsEnabled && network.connects(index, to.index) && to.isMachineRunning;
-            long delay = Math.max(MIN_CHECK_DELAY_MICROS, network.delay(index, to.index, random));
-            long duration = connectable ? CHECK_DELAYS * delay : Long.MAX_VALUE;
-            at(nowMicros + Math.min(duration, ConnectionChecker.TIMEOUT_MICROS), () -> {
-                if (isRunning && swim == requester && !isStalled()) {
-                    swim.connectionChecked(nowMicros, sequence, checkResult(to, duration));
+            Swim requestingProcess = swim;
+            boolean isReachable = connectionsEnabled && network.connects(index, to.index) && to.isMachineRunning;
+            long delayMicros = Math.max(MIN_CHECK_DELAY_MICROS, network.delay(index, to.index, random));
+            long durationMicros = isReachable ? CHECK_ONE_WAY_DELAYS * delayMicros : Long.MAX_VALUE;
+            schedule(nowMicros + Math.min(durationMicros, ConnectionChecker.TIMEOUT_MICROS), () -> {
+                if (isRunning && swim == requestingProcess && !isStalled()) {
+                    swim.onConnectionChecked(nowMicros, sequence, checkResult(to, durationMicros));
                 }
             });
         }
 
-        private ConnectionCheckResult checkResult(Node to, long duration) {
-            if (duration > ConnectionChecker.TIMEOUT_MICROS) {
+        private ConnectionCheckResult checkResult(Node to, long durationMicros) {
+            if (durationMicros > ConnectionChecker.TIMEOUT_MICROS) {
                 return ConnectionCheckResult.UNRESPONSIVE;
             }
             if (!to.isRunning) {
@@ -114,53 +115,54 @@
         }
 
         @Override
-        public void memberChanged(GossipUpdate update, MemberState previous) {
+        public void onMemberChanged(GossipUpdate update, MemberState previous) {
             int changed = Integer.parseInt(update.address());
-            boolean isWrong = nodes.get(changed).isRunning && update.reporter().equals(name);
+            boolean isFalsePositive =
+                    nodes.get(changed).isRunning && update.reporter().equals(name);
             switch (update.state()) {
                 case DEAD -> {
-                    falseDeaths += isWrong ? 1 : 0;
+                    falseDeaths += isFalsePositive ? 1 : 0;
                     deaths.computeIfAbsent(changed, key -> new HashMap<>()).put(index, nowMicros);
                 }
                 case SUSPECT -> {
-                    falseSuspicions += isWrong ? 1 : 0;
+                    falseSuspicions += isFalsePositive ? 1 : 0;
                     suspicions.computeIfAbsent(changed, key -> new HashMap<>()).putIfAbsent(index, nowMicros);
                 }
                 case ALIVE ->
                     deaths.computeIfAbsent(changed, key -> new HashMap<>()).remove(index);
                 default -> {
-                    // A member that left was neither suspected nor declared dead.
+                    // A member that has left is neither suspected nor declared dead.
                 }
             }
         }
 
         private void scheduleTick() {
             long next = Math.max(nowMicros, swim.nextTickMicros());
-            if (next < nextWake) {
-                nextWake = next;
-                at(next, () -> wake(next));
+            if (next < scheduledTickMicros) {
+                scheduledTickMicros = next;
+                schedule(next, () -> runTick(next));
             }
         }
 
-        private void wake(long due) {
-            if (!isRunning || nextWake != due) {
+        private void runTick(long dueMicros) {
+            if (!isRunning || scheduledTickMicros != dueMicros) {
                 return;
             }
-            nextWake = Long.MAX_VALUE;
+            scheduledTickMicros = Long.MAX_VALUE;
             if (isStalled()) {
-                nextWake = stalledUntil;
-                at(stalledUntil, () -> wake(stalledUntil));
+                scheduledTickMicros = stalledUntilMicros;
+                schedule(stalledUntilMicros, () -> runTick(stalledUntilMicros));
                 return;
             }
             swim.tick(nowMicros);
-            receiveBuffer.forEach(message -> swim.received(nowMicros, message));
+            receiveBuffer.forEach(message -> swim.onMessage(nowMicros, message));
             receiveBuffer.clear();
             scheduleTick();
         }
 
-        /** Whether its process is stopped now. */
+        /** Returns whether the process is stalled at the current virtual time. */
         public boolean isStalled() {
-            return nowMicros < stalledUntil;
+            return nowMicros < stalledUntilMicros;
         }
 
         public MembershipView view() {
@@ -168,35 +170,36 @@
         }
     }
 
-    private record Event(long at, long order, Runnable action) {}
+    private record Event(long timeMicros, long order, Runnable action) {}
 
     public final List<Node> nodes = new ArrayList<>();
-    /** For each member declared dead: when each other member learned of it. */
+    /** For each member declared dead, by index: when each other member learned of the death, by index. */
     public final Map<Integer, Map<Integer, Long>> deaths = new HashMap<>();
-    /** For each member suspected: when each other member learned of it first. */
+    /** For each suspected member, by index: when each other member first learned of the suspicion, by index. */
     public final Map<Integer, Map<Integer, Long>> suspicions = new HashMap<>();
-    /** Running members declared dead, counted where they are declared. */
+    /** Number of deaths declared of members that were running, counted once at the member that declared them. */
     public long falseDeaths;
-    /** Running members suspected, counted where they are suspected. */
+    /** Number of suspicions of members that were running, counted once at the member that raised them. */
     public long falseSuspicions;
-    /** The virtual time. */
+    /** The current virtual time. */
     public long nowMicros = START_MICROS;
 
     public Network network;
-    /** Whether connections can succeed at all; without, a crashed process is as unresponsive as a partitioned one. */
+    /** Whether connection checks can succeed; if not, they cannot distinguish a crashed process from a partition. */
     public boolean connectionsEnabled = true;
 
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+            new PriorityQueue<>(Comparator.comparingLong(Event::timeMicros).thenComparingLong(Event::order));
     private final Random random;
     private final SwimSettings settings;
     private long nextOrder;
 
-    /** A fleet with the settings of a local network; its nodes are not started yet. */
+    /** Creates a fleet with the settings for a local network; its nodes are not started yet. */
     public SimulatedFleet(int size, int configuredSize, double loss, long seed) {
         this(size, SwimSettings.forLocalNetwork(configuredSize), loss, seed);
     }
 
+    /** Creates a fleet whose network loses the given share of datagrams; its nodes are not started yet. */
     public SimulatedFleet(int size, SwimSettings settings, double loss, long seed) {
         random = new Random(seed);
         this.settings = settings;
@@ -206,13 +209,13 @@
         }
     }
 
-    /** A network with half a millisecond of delay that loses this part of the datagrams. */
+    /** Returns a network with delays of 0.3 to 0.7 ms that loses the given share of datagrams. */
     public static Network lossy(double loss) {
         return (from, to, random) -> random.nextDouble() < loss ? -1 : 300 + random.nextInt(400);
     }
 
-    /** A lossy network with a partition between the nodes below {@code firstOfOther} and the others. */
-    public static Network partitioned(double loss, int firstOfOther) {
+    /** Returns a lossy network with a partition between the nodes below {@code firstOfFarSide} and the others. */
+    public static Network partitioned(double loss, int firstOfFarSide) {
         Network lossy = lossy(loss);
         return new Network() {
             @Override
@@ -222,63 +225,64 @@
 
             @Override
             public boolean connects(int from, int to) {
-                return (from < firstOfOther) == (to < firstOfOther);
+                return (from < firstOfFarSide) == (to < firstOfFarSide);
             }
         };
     }
 
-    private void at(long when, Runnable action) {
-        events.add(new Event(when, nextOrder++, action));
+    private void schedule(long timeMicros, Runnable action) {
+        events.add(new Event(timeMicros, nextOrder++, action));
     }
 
+    /** Starts all nodes; returns this fleet. */
     public SimulatedFleet startAll() {
         nodes.forEach(this::start);
         return this;
     }
 
-    /** Starts a new process, with the first three nodes as seeds. */
+    /** Starts a new process on the node, with the first three nodes as seeds. */
     public void start(Node node) {
         start(node, node.name);
     }
 
-    /** Starts a new process under another name than the node's. */
+    /** Starts a new process on the node with the given member name. */
     public void start(Node node, String name) {
         node.isRunning = true;
         node.isMachineRunning = true;
-        node.stalledUntil = 0;
+        node.stalledUntilMicros = 0;
         node.receiveBuffer.clear();
-        node.nextWake = Long.MAX_VALUE;
+        node.scheduledTickMicros = Long.MAX_VALUE;
         List<String> seeds = List.of("0", "1", "2");
         node.swim = new Swim(nowMicros, random.nextLong(), name, "" + node.index, seeds, settings, node);
         node.scheduleTick();
     }
 
-    /** Ends the process; its machine refuses connections from now on. */
+    /** Kills the node's process; its machine refuses connections from then on. */
     public void kill(Node node) {
         node.isRunning = false;
     }
 
-    /** Ends the machine. */
+    /** Stops the node's machine, so that connections to it time out. */
     public void failMachine(Node node) {
         node.isRunning = false;
         node.isMachineRunning = false;
     }
 
-    /** Stops the process until this time. */
-    public void stall(Node node, long until) {
-        node.stalledUntil = until;
+    /** Stalls the node's process until the given virtual time. */
+    public void stall(Node node, long untilMicros) {
+        node.stalledUntilMicros = untilMicros;
     }
 
-    /** Lets this time pass. */
-    public void advance(long time) {
-        for (long end = nowMicros + time; ; ) {
+    /** Advances the virtual time by the given duration and runs all events due by then. */
+    public void advance(long durationMicros) {
+        for (long endMicros = nowMicros + durationMicros; ; ) {
             Event next = events.peek();
-            if (next == null || next.at > end) {
-                nowMicros = end;
+            if (next == null || next.timeMicros > endMicros) {
+                nowMicros = endMicros;
                 return;
             }
             events.poll();
-            nowMicros = next.at;
+            nowMicros = next.timeMicros;
             next.action.run();
         }
     }
@@ -287,11 +291,12 @@
         return settings;
     }
 
+    /** Returns the nodes whose process is running. */
     public List<Node> running() {
         return nodes.stream().filter(node -> node.isRunning).toList();
     }
 
-    /** Whether all running members see exactly each other alive, and nobody suspect. */
+    /** Returns whether every running member sees as many others alive as are running, and none suspect. */
     public boolean hasConverged() {
         long others = running().size() - 1L;
         return running().stream()
@@ -304,9 +309,12 @@
                 .count();
     }
 
-    /** Lets time pass until all agree; returns how long that took, or -1 if it took longer than {@code limit}. */
-    public long awaitConvergence(long limit) {
-        for (long start = nowMicros; nowMicros - start <= limit; advance(AGREEMENT_STEP_MICROS)) {
+    /**
+     * Advances the virtual time until the fleet has converged; returns how long that took, or -1 if it took longer than
+     * {@code limitMicros}.
+     */
+    public long awaitConvergence(long limitMicros) {
+        for (long start = nowMicros; nowMicros - start <= limitMicros; advance(CONVERGENCE_STEP_MICROS)) {
             if (hasConverged()) {
                 return nowMicros - start;
             }
--- a/src/test/java/mintstair/membership/SwimTest.java
+++ b/src/test/java/mintstair/membership/SwimTest.java
@@ -15,21 +15,21 @@
 import mintstair.membership.swim.SwimSettings;
 import org.junit.jupiter.api.Test;
 
-/** The protocol in virtual time: fleets of tens to hundreds of members on faulty networks. */
+/** Tests the protocol in virtual time, with fleets of six to a thousand members on faulty networks. */
 class SwimTest {
     private static final long SECOND = 1_000_000;
 
     private static SimulatedFleet convergedFleet(int size, double loss) {
         SimulatedFleet fleet = new SimulatedFleet(size, size, loss, 42).startAll();
-        assertTrue(fleet.awaitConvergence(60 * SECOND) >= 0, "the members find each other");
+        assertTrue(fleet.awaitConvergence(60 * SECOND) >= 0, "the fleet has not converged within 60 s");
         return fleet;
     }
 
-    /** How long until all others learned that this member is dead; -1 if some did not within {@code limit}. */
-    private static long detectionTime(SimulatedFleet fleet, int dead, long limit) {
+    /** Returns the time until all others have learned of a death; -1 if some have not within {@code limitMicros}. */
+    private static long detectionTime(SimulatedFleet fleet, int dead, long limitMicros) {
         long start = fleet.nowMicros;
         fleet.deaths.remove(dead);
-        while (fleet.nowMicros - start < limit) {
+        while (fleet.nowMicros - start < limitMicros) {
             fleet.advance(50_000);
             if (fleet.deaths.getOrDefault(dead, Map.of()).size()
                     >= fleet.running().size()) {
@@ -55,7 +55,7 @@
         return isSettled(node) && estimate(node).counted() == counted;
     }
 
-    /** The state in which a node sees a member; null if it does not know it. */
+    /** Returns the state of a member in a node's view; null if the member is not in it. */
     private static MemberState state(SimulatedFleet.Node node, String name) {
         return node.view().peers().stream()
                 .filter(peer -> peer.update().name().equals(name))
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void loadPerMemberAndDetectionTimeHardlyGrowWithTheFleet() {
+    void loadPerMemberAndDetectionTimeAreNearlyIndependentOfFleetSize() {
         double[] load = new double[2];
         long[] detection = new long[2];
         int[] sizes = {20, 200};
@@ -78,33 +78,33 @@
             detection[i] = detectionTime(fleet, 7, 20 * SECOND);
         }
 
-        assertTrue(load[1] < 1.1 * load[0], load[0] + " messages per second and member, then " + load[1]);
-        String detected = detection[0] + " us, then " + detection[1];
+        assertTrue(load[1] < 1.1 * load[0], load[0] + " messages per second and member, with 200 members: " + load[1]);
+        String detected = detection[0] + " us with 20 members, with 200: " + detection[1];
         assertTrue(detection[0] > 0 && detection[0] < 3.5 * SECOND, detected);
         assertTrue(detection[1] > 0 && detection[1] < 4 * SECOND, detected);
     }
 
-    /** Guards the bounds of the members that a table holds and of the state that is sent to a newcomer. */
+    /** Guards against limits on table size or state transfer that are too low for a fleet of 1,024 members. */
     @Test
-    void newcomerLearnsOfAThousandMembersFromOneSeed() {
+    void newMemberLearnsOfAThousandMembersFromOneSeed() {
         SimulatedFleet fleet = new SimulatedFleet(1_024, 1_024, 0, 42);
         SimulatedFleet.Node seed = fleet.nodes.get(0);
-        SimulatedFleet.Node newcomer = fleet.nodes.get(1);
+        SimulatedFleet.Node newMember = fleet.nodes.get(1);
         fleet.start(seed);
         for (int i = 1; i < 1_024; i++) {
             GossipUpdate alive = new GossipUpdate("p" + i, "" + i, fleet.nowMicros, MemberState.ALIVE, 0, "p" + i);
-            seed.swim.received(fleet.nowMicros, new Message(alive, new Message.GossipOnly(), List.of()));
+            seed.swim.onMessage(fleet.nowMicros, new Message(alive, new Message.GossipOnly(), List.of()));
         }
         assertEquals(1_023, seed.view().peers().size());
 
-        fleet.start(newcomer);
+        fleet.start(newMember);
         fleet.advance(10 * SECOND);
 
-        assertEquals(1_023, newcomer.view().peers().size());
-        assertEquals(0, newcomer.swim.statistics().rejected());
+        assertEquals(1_023, newMember.view().peers().size());
+        assertEquals(0, newMember.swim.statistics().rejected());
     }
 
-    /** Without connections to check by, a tenth of all probes fail. 60 members, 250 periods each. */
+    /** Without connection checks, loss makes a tenth of all direct pings fail. 60 members run for 250 periods each. */
     @Test
     void packetLossCausesSuspicionsButNoDeaths() {
         SimulatedFleet fleet = new SimulatedFleet(60, 60, 0.05, 7);
@@ -114,7 +114,7 @@
 
         fleet.advance(100 * SECOND);
 
-        assertTrue(fleet.falseSuspicions > 0, "some were suspected, or this test shows nothing");
+        assertTrue(fleet.falseSuspicions > 0, "the loss caused no suspicion, so the absence of deaths proves nothing");
         assertEquals(0, fleet.falseDeaths);
         assertEquals(
                 0,
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void lostMachineIsDetectedByItsSilence() {
+    void failedMachineIsDetectedByTimeout() {
         SimulatedFleet fleet = convergedFleet(30, 0.05);
 
         fleet.failMachine(fleet.nodes.get(9));
@@ -134,9 +134,9 @@
                 detection > fleet.settings().periodMicros() && detection < 30 * SECOND, "detected after " + detection);
     }
 
-    /** The stall is shorter than any suspicion timeout. */
+    /** The stall of 5 s is shorter than the shortest suspicion timeout. */
     @Test
-    void stalledMemberRefutesItsSuspicionAndDeclaresNobodyDead() {
+    void memberStalledBrieflyRefutesItsSuspicionAndDeclaresNoDeaths() {
         SimulatedFleet fleet = convergedFleet(9, 0);
         SimulatedFleet.Node stalled = fleet.nodes.get(4);
         fleet.advance(20 * SECOND);
@@ -145,18 +145,18 @@
         fleet.stall(stalled, fleet.nowMicros + 5 * SECOND);
         fleet.advance(5 * SECOND);
 
-        assertEquals(8, fleet.suspicions.get(4).size(), "all others suspected it");
+        assertEquals(8, fleet.suspicions.get(4).size(), "members that suspected the stalled one");
         assertTrue(fleet.awaitConvergence(5 * SECOND) >= 0);
-        assertFalse(isSettled(stalled), "its view may be outdated");
+        assertFalse(isSettled(stalled), "settled directly after the stall, though its view may be outdated");
         assertEquals(0, fleet.falseDeaths);
         assertEquals(1, stalled.swim.statistics().stalls());
         fleet.advance(20 * SECOND);
         assertTrue(isSettled(stalled));
     }
 
-    /** The stall is longer than the suspicion timeout. */
+    /** The stall of 60 s is longer than the longest suspicion timeout. */
     @Test
-    void memberThatStalledUntilItWasDeclaredDeadRejoins() {
+    void memberDeclaredDeadDuringAStallRejoins() {
         SimulatedFleet fleet = convergedFleet(9, 0);
         SimulatedFleet.Node stalled = fleet.nodes.get(4);
 
@@ -175,17 +175,18 @@
     }
 
     @Test
-    void partitionedFleetHasOneQuorumDropsTheFarSideAndHeals() {
+    void partitionedFleetKeepsOneQuorumDropsTheMinorityAndConvergesAfterHealing() {
         SimulatedFleet fleet = convergedFleet(50, 0.01);
         fleet.advance(30 * SECOND);
         List<SimulatedFleet.Node> minority = fleet.nodes.subList(0, 20);
         List<SimulatedFleet.Node> majority = fleet.nodes.subList(20, 50);
 
         fleet.network = SimulatedFleet.partitioned(0.01, 20);
-        long fenced = -1;
+        long quorumLost = -1;
         for (long start = fleet.nowMicros; fleet.nowMicros - start < 180 * SECOND; fleet.advance(500_000)) {
-            if (fenced < 0 && minority.stream().noneMatch(node -> estimate(node).hasQuorum())) {
-                fenced = fleet.nowMicros;
+            if (quorumLost < 0
+                    && minority.stream().noneMatch(node -> estimate(node).hasQuorum())) {
+                quorumLost = fleet.nowMicros;
             }
             if (majority.stream().anyMatch(node -> estimate(node).counted() < 50)) {
                 break;
@@ -193,8 +194,8 @@
         }
 
         assertTrue(
-                fenced > 0 && fleet.nowMicros - fenced > 20 * SECOND,
-                "minority without quorum at " + fenced + ", dropped at " + fleet.nowMicros);
+                quorumLost > 0 && fleet.nowMicros - quorumLost > 20 * SECOND,
+                "minority without quorum at " + quorumLost + ", dropped at " + fleet.nowMicros);
         fleet.advance(30 * SECOND);
         assertTrue(majority.stream().allMatch(node -> isSettledWith(node, 30)));
         assertTrue(minority.stream().noneMatch(SwimTest::isSettled));
@@ -206,7 +207,7 @@
     }
 
     @Test
-    void indirectProbesGoRoundLinksThatFailOneWay() {
+    void indirectProbesPreventSuspicionsWhenLinksFailInOneDirection() {
         SimulatedFleet fleet = convergedFleet(9, 0);
 
         fleet.network = (from, to, random) -> (from == 2 && to == 5) || (from == 7 && to == 1) ? -1 : 500;
@@ -215,13 +216,13 @@
 
         fleet.network = (from, to, random) -> from == 2 || to == 2 ? 300_000 : 500;
         fleet.advance(40 * SECOND);
-        assertTrue(fleet.falseSuspicions > 0, "a round trip of 600 ms is longer than a period");
+        assertTrue(fleet.falseSuspicions > 0, "no suspicion, though a round trip of 600 ms is longer than a period");
         assertEquals(0, fleet.falseDeaths);
     }
 
-    /** Members that come later learn of those that left, until all forget them; no member brings them back. */
+    /** Members that join later learn of a member that left, until all remove it after the retention for good. */
     @Test
-    void membersThatLeftAreForgottenForGood() {
+    void membersThatLeftAreRemovedAfterTheRetentionAndNotReintroduced() {
         SwimSettings retention60s = SwimSettings.forLocalNetwork(6).withRetentionMicros(60 * SECOND);
         SimulatedFleet fleet = new SimulatedFleet(8, retention60s, 0, 3);
         fleet.nodes.subList(0, 6).forEach(fleet::start);
@@ -244,9 +245,9 @@
         assertTrue(fleet.hasConverged());
     }
 
-    /** The older process takes no share, as the others do not count it. */
+    /** The older process must use no share of the common limits, as the other members do not count it. */
     @Test
-    void olderOfTwoProcessesWithOneNameYields() {
+    void olderOfTwoProcessesWithTheSameNameBecomesUnsettled() {
         SimulatedFleet fleet = new SimulatedFleet(6, 6, 0, 5);
         SimulatedFleet.Node older = fleet.nodes.get(3);
         SimulatedFleet.Node newer = fleet.nodes.get(5);
@@ -261,11 +262,11 @@
         assertFalse(isSettled(older));
         assertTrue(older.swim.statistics().nameConflicts() > 0);
         assertTrue(isSettled(newer));
-        assertTrue(fleet.nodes.get(0).view().version() < 100, "the two do not refute each other without end");
+        assertTrue(fleet.nodes.get(0).view().version() < 100, "the two processes refute each other endlessly");
     }
 
     @Test
-    void membersAgreeAfterAnySequenceOfFaults() {
+    void membersConvergeAfterRandomSequencesOfFaults() {
         for (int seed = 0; seed < 25; seed++) {
             SimulatedFleet fleet = new SimulatedFleet(12, 12, 0.02, seed).startAll();
             Random random = new Random(seed);
--- a/src/test/java/mintstair/membership/swim/GossipQueueTest.java
+++ b/src/test/java/mintstair/membership/swim/GossipQueueTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 class GossipQueueTest {
-    private static final int PLENTY_OF_BYTES = 1_000;
+    private static final int AMPLE_BYTES = 1_000;
 
     private final GossipQueue queue = new GossipQueue();
 
@@ -25,15 +25,15 @@
     }
 
     @Test
-    void newestUpdateComesFirstAmongThoseWithAsManyTransmissions() {
+    void newestUpdateIsFirstAmongEquallyOftenTransmittedOnes() {
         queue.add(alive("a"));
         queue.add(alive("b"));
 
-        assertEquals(List.of("b", "a"), pollNames(PLENTY_OF_BYTES, 5));
+        assertEquals(List.of("b", "a"), pollNames(AMPLE_BYTES, 5));
     }
 
     @Test
-    void updateWithFewerTransmissionsComesFirst() {
+    void updateWithFewerTransmissionsIsFirst() {
         queue.add(alive("a"));
         queue.add(alive("b"));
         int bytesOfOne = GossipQueue.encodedBytes(alive("a"));
@@ -44,20 +44,20 @@
     }
 
     @Test
-    void updateIsDroppedAfterItsLastTransmission() {
+    void updateIsRemovedAfterItsLastTransmission() {
         queue.add(alive("a"));
 
-        assertEquals(List.of("a"), pollNames(PLENTY_OF_BYTES, 2));
-        assertEquals(List.of("a"), pollNames(PLENTY_OF_BYTES, 2));
-        assertEquals(List.of(), pollNames(PLENTY_OF_BYTES, 2));
+        assertEquals(List.of("a"), pollNames(AMPLE_BYTES, 2));
+        assertEquals(List.of("a"), pollNames(AMPLE_BYTES, 2));
+        assertEquals(List.of(), pollNames(AMPLE_BYTES, 2));
     }
 
     @Test
-    void newUpdateReplacesTheOlderOneOnTheSameMember() {
+    void newUpdateReplacesOlderOneForTheSameMember() {
         GossipUpdate suspect = update("a", MemberState.SUSPECT);
         queue.add(alive("a"));
         queue.add(suspect);
 
-        assertEquals(List.of(suspect), queue.poll(PLENTY_OF_BYTES, 5));
+        assertEquals(List.of(suspect), queue.poll(AMPLE_BYTES, 5));
     }
 }
--- a/src/test/java/mintstair/membership/swim/SuspicionTest.java
+++ b/src/test/java/mintstair/membership/swim/SuspicionTest.java
@@ -15,12 +15,12 @@
     private final Suspicion suspicion = new Suspicion(SETTINGS, CLUSTER_SIZE, "first");
 
     @Test
-    void lastsForTheMaximumWithoutConfirmations() {
+    void lastsForTheMaximumTimeoutWithoutConfirmations() {
         assertEquals(1_000 + MAX_MICROS, suspicion.deadlineMicros(1_000));
     }
 
     @Test
-    void eachConfirmationShortensItDownToTheMinimum() {
+    void eachConfirmationShortensTheTimeoutDownToTheMinimum() {
         assertTrue(suspicion.confirm("second"));
         long afterOne = suspicion.deadlineMicros(0);
         assertTrue(afterOne < MAX_MICROS && afterOne > MIN_MICROS, "after one confirmation: " + afterOne);
@@ -30,13 +30,13 @@
     }
 
     @Test
-    void aMemberConfirmsOnlyOnce() {
+    void eachMemberIsCountedOnlyOnce() {
         assertFalse(suspicion.confirm("first"));
         assertEquals(MAX_MICROS, suspicion.deadlineMicros(0));
     }
 
     @Test
-    void confirmationsBeyondThoseThatCountAreNotPassedOn() {
+    void confirmationsBeyondTheMaximumAreRejected() {
         suspicion.confirm("second");
         suspicion.confirm("third");
 
@@ -44,12 +44,12 @@
     }
 
     @Test
-    void endsEarlyWhereTheProcessIsGone() {
-        suspicion.processGone(500);
-        suspicion.processGone(700);
-        assertEquals(500, suspicion.deadlineMicros(0), "the first deadline holds");
+    void endsEarlyIfTheProcessHasEnded() {
+        suspicion.onProcessGone(500);
+        suspicion.onProcessGone(700);
+        assertEquals(500, suspicion.deadlineMicros(0), "the earliest deadline applies");
 
-        suspicion.processMayRun();
+        suspicion.clearProcessGone();
         assertEquals(MAX_MICROS, suspicion.deadlineMicros(0));
     }
 }
