--- a/src/main/java/mintstair/membership/MembersReport.java
+++ b/src/main/java/mintstair/membership/MembersReport.java
@@ -6,7 +6,7 @@
 import mintstair.membership.swim.GossipUpdate;
 import mintstair.membership.swim.MembershipView;
 
-/** The text of the {@code members} command: this member, the others by name, and the cluster size estimate. */
+/** Formats the output of the {@code members} command: this member, its peers by name, the cluster size estimate. */
 final class MembersReport {
     private MembersReport() {}
 
@@ -44,7 +44,7 @@
         ClusterSizeEstimate estimate = view.sizeEstimate();
         text.append("view version=").append(view.version());
         text.append(" settled=").append(estimate.settled());
-        text.append(" quorum=").append(estimate.quorum());
+        text.append(" quorum=").append(estimate.hasQuorum());
         text.append(" counted=").append(estimate.counted());
         text.append(" largest=").append(estimate.largest());
         text.append('\n');
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -38,8 +38,8 @@
         double sum = 0;
         for (SimulatedFleet.Node node : fleet.running()) {
             ClusterSizeEstimate estimate = node.swim.sizeEstimate();
-            ReadWriteSplitter router = (ReadWriteSplitter) fixtures[node.number].router;
-            router.onFleetSize(fleet.now, new FleetSize(estimate.largest(), estimate.counted(), estimate.settled()));
+            ReadWriteSplitter router = (ReadWriteSplitter) fixtures[node.index].router;
+            router.onFleetSize(fleet.nowMicros, new FleetSize(estimate.largest(), estimate.counted(), estimate.settled()));
             sum += node.isStalled() ? 0 : 1 / router.effectiveFleetSize();
         }
         return sum;
@@ -47,9 +47,9 @@
 
     /** Lets time pass and checks every 200 ms that the shares add up to no more than 1. */
     private void pass(long time) {
-        for (long end = fleet.now + time; fleet.now < end; fleet.pass(200_000)) {
+        for (long end = fleet.nowMicros + time; fleet.nowMicros < end; fleet.advance(200_000)) {
             maxSum = Math.max(maxSum, sumOfShares());
-            assertTrue(maxSum <= 1 + 1e-9, "shares add up to " + maxSum + " by " + fleet.now / 1e6 + " s");
+            assertTrue(maxSum <= 1 + 1e-9, "shares add up to " + maxSum + " by " + fleet.nowMicros / 1e6 + " s");
         }
     }
 
@@ -114,7 +114,7 @@
         });
         pass(30 * SECOND);
         assertEquals(0.5 * 0.7 + 0.5, sumOfShares(), 1e-9);
-        fleet.nodes.subList(30, 60).forEach(fleet::lose);
+        fleet.nodes.subList(30, 60).forEach(fleet::failMachine);
         pass(150 * SECOND);
         assertEquals(0.5 * 0.4 + 0.5, sumOfShares(), 1e-9);
     }
@@ -135,9 +135,9 @@
                     case 3 ->
                         fleet.nodes
                                 .subList(first, first + 30)
-                                .forEach(node -> fleet.stall(node, fleet.now + random.nextInt(60) * SECOND));
+                                .forEach(node -> fleet.stall(node, fleet.nowMicros + random.nextInt(60) * SECOND));
                     default ->
-                        fleet.nodes.stream().filter(node -> !node.runs).toList().forEach(fleet::start);
+                        fleet.nodes.stream().filter(node -> !node.isRunning).toList().forEach(fleet::start);
                 }
                 pass(random.nextInt(60) * SECOND);
             }
