--- a/src/main/java/mintstair/backend/ConnectionPools.java
+++ b/src/main/java/mintstair/backend/ConnectionPools.java
@@ -70,7 +70,7 @@
     }
 
     /** Has connections that are made from now on recorded. */
-    public void record(Recorder recorder) {
+    public void setRecorder(Recorder recorder) {
         connector.setRecorder(recorder);
     }
 
--- a/src/main/java/mintstair/backend/HostConnection.java
+++ b/src/main/java/mintstair/backend/HostConnection.java
@@ -158,7 +158,7 @@
 
     private void write(byte[] request, boolean countsAsAttempt) {
         parser.requestSent(request);
-        transcript.said(true, request);
+        transcript.record(true, request);
         connector.write(connection, request, countsAsAttempt, this::requestWritten);
     }
 
@@ -199,16 +199,16 @@
         reads++;
         reading = false;
         int length = bytes.remaining();
-        throttle.read(length);
+        throttle.bytesRead(length);
         loop.execute(() -> {
             int forwarded = process(bytes);
-            throttle.used(length - forwarded);
+            throttle.bytesConsumed(length - forwarded);
         });
     }
 
     @Override
     public void closed() {
-        throttle.end();
+        throttle.connectionClosed();
         loop.execute(this::disconnected);
     }
 
@@ -221,7 +221,7 @@
     private int process(ByteBuffer bytes) {
         processedReads++;
         progressAtMicros = loop.now();
-        transcript.said(false, bytes.array());
+        transcript.record(false, bytes.array());
         return switch (state) {
             case CONNECTING, ACTIVE -> parse(bytes);
             case SETTLING, IDLE -> {
@@ -239,8 +239,8 @@
             HostReply reply = null;
             byte[] message = framer.next();
             while (message != null) {
-                reply = parser.take(message);
-                forwarded += forward(parser.takePart());
+                reply = parser.parse(message);
+                forwarded += forward(parser.pollPart());
                 message = reply == null ? framer.next() : null;
             }
             if (reply != null) {
@@ -260,7 +260,7 @@
         }
         attempt.part(part, () -> {
             progressAtMicros = loop.now();
-            throttle.used(part.length);
+            throttle.bytesConsumed(part.length);
         });
         return part.length;
     }
--- a/src/main/java/mintstair/backend/Protocol.java
+++ b/src/main/java/mintstair/backend/Protocol.java
@@ -37,10 +37,10 @@
          * @return the reply that it completes, or null where more is to come
          * @throws ProtocolException where it is not part of a valid reply
          */
-        HostReply take(byte[] message);
+        HostReply parse(byte[] message);
 
         /** Removes and returns what of a long reply may be forwarded before its end; null for nothing. */
-        default byte[] takePart() {
+        default byte[] pollPart() {
             return null;
         }
 
--- a/src/main/java/mintstair/backend/mongo/MongoProtocol.java
+++ b/src/main/java/mintstair/backend/mongo/MongoProtocol.java
@@ -66,13 +66,13 @@
         }
 
         @Override
-        public HostReply take(byte[] bytes) {
+        public HostReply parse(byte[] bytes) {
             MongoMessage message = MongoMessage.parse(bytes);
             if (!isExpected(message)) {
                 throw new ProtocolException("not the one reply that was asked for");
             }
             BsonDocument body = message.body();
-            return new HostReply(end(body), MongoMessage.bytes(body), hostReport(body));
+            return new HostReply(end(body), MongoMessage.encodeDocument(body), hostReport(body));
         }
 
         private boolean isExpected(MongoMessage message) {
@@ -90,7 +90,7 @@
 
     @Override
     public HostReport report(byte[] body) {
-        HostReport report = hostReport(MongoMessage.document(body));
+        HostReport report = hostReport(MongoMessage.decodeDocument(body));
         if (report.role() == ReplicationRole.UNKNOWN) {
             throw new ProtocolException("hello does not tell the role");
         }
--- a/src/main/java/mintstair/backend/pg/PgProtocol.java
+++ b/src/main/java/mintstair/backend/pg/PgProtocol.java
@@ -41,7 +41,7 @@
 
     @Override
     public Framer newFramer() {
-        return new PgFramer.OfHost();
+        return new PgFramer.HostMessageFramer();
     }
 
     @Override
--- a/src/main/java/mintstair/backend/pg/PgReplyParser.java
+++ b/src/main/java/mintstair/backend/pg/PgReplyParser.java
@@ -52,7 +52,7 @@
     private long positionMicros = HostReport.UNKNOWN_POSITION;
 
     @Override
-    public HostReply take(byte[] message) {
+    public HostReply parse(byte[] message) {
         if (rowRemaining > 0) {
             rowRemaining -= message.length;
             part.writeBytes(message);
@@ -120,7 +120,7 @@
     }
 
     @Override
-    public byte[] takePart() {
+    public byte[] pollPart() {
         if (part == null || part.size() == 0) {
             return null;
         }
@@ -154,9 +154,9 @@
 
     /** Whether it is a row of one column, the length of which is that of the message's rest. */
     private static boolean isRow(byte[] head, int length) {
-        return head.length >= Framer.LONG_HEAD
+        return head.length >= Framer.LONG_MESSAGE_HEAD_LENGTH
                 && int16(head, BODY) == 1
-                && int32(head, BODY + 2) == length - Framer.LONG_HEAD;
+                && int32(head, BODY + 2) == length - Framer.LONG_MESSAGE_HEAD_LENGTH;
     }
 
     private void parameter(byte[] message) {
--- a/src/main/java/mintstair/front/ClientSession.java
+++ b/src/main/java/mintstair/front/ClientSession.java
@@ -97,7 +97,7 @@
     }
 
     private void received(ByteBuffer bytes, long readAtMicros) {
-        transcript.said(true, bytes.array());
+        transcript.record(true, bytes.array());
         if (state.acceptsInput()) {
             enqueue(bytes, readAtMicros);
         }
@@ -385,7 +385,7 @@
         if (state == SessionState.CLOSED) {
             return;
         }
-        transcript.said(false, bytes);
+        transcript.record(false, bytes);
         writer.write(bytes, onWritten);
     }
 
--- a/src/main/java/mintstair/front/SessionInput.java
+++ b/src/main/java/mintstair/front/SessionInput.java
@@ -62,11 +62,11 @@
         reads++;
         // The loop may be busy, and the client's timeout begins now.
         long readAtMicros = loop.now();
-        throttle.read(length);
+        throttle.bytesRead(length);
         loop.execute(() -> {
             processedReads++;
             handler.received(bytes, readAtMicros);
-            throttle.used(length);
+            throttle.bytesConsumed(length);
         });
     }
 
@@ -92,7 +92,7 @@
 
     /** Frees the memory that is accounted for this connection, which is over; on any thread. */
     void end() {
-        throttle.end();
+        throttle.connectionClosed();
     }
 
     /**
--- a/src/main/java/mintstair/front/mongo/MongoSession.java
+++ b/src/main/java/mintstair/front/mongo/MongoSession.java
@@ -253,7 +253,7 @@
     }
 
     private static BsonDocument servedBody(Response.Served served) {
-        BsonDocument body = MongoMessage.document(served.body());
+        BsonDocument body = MongoMessage.decodeDocument(served.body());
         for (String field : HOST_REPORT_FIELDS) {
             body.remove(field);
         }
--- a/src/main/java/mintstair/front/pg/PgSession.java
+++ b/src/main/java/mintstair/front/pg/PgSession.java
@@ -29,7 +29,7 @@
     private boolean ignoringUntilSync;
 
     PgSession(PgFront front, Connection<?> connection) {
-        super(front, connection, new PgFramer.OfClient());
+        super(front, connection, new PgFramer.ClientMessageFramer());
         this.front = front;
     }
 
--- a/src/main/java/mintstair/pcap/SerialReplay.java
+++ b/src/main/java/mintstair/pcap/SerialReplay.java
@@ -126,6 +126,6 @@
     }
 
     private Framer newFramer() {
-        return mongo ? new MongoFramer() : new PgFramer.OfClient();
+        return mongo ? new MongoFramer() : new PgFramer.ClientMessageFramer();
     }
 }
--- a/src/main/java/mintstair/serve/PcapRecording.java
+++ b/src/main/java/mintstair/serve/PcapRecording.java
@@ -60,8 +60,8 @@
         private PcapWriter.Conversation file;
 
         @Override
-        public void said(boolean byClient, byte[] bytes) {
-            write(now -> file.sent(now, byClient, bytes));
+        public void record(boolean fromClient, byte[] bytes) {
+            write(now -> file.sent(now, fromClient, bytes));
         }
 
         @Override
--- a/src/main/java/mintstair/serve/ProtocolService.java
+++ b/src/main/java/mintstair/serve/ProtocolService.java
@@ -139,7 +139,7 @@
 
     /** Records connections to database hosts that are made from now on. */
     void recordHosts(Recorder recorder) {
-        pools.record(recorder);
+        pools.setRecorder(recorder);
     }
 
     /** See {@link Dispatcher#drainBy}. */
--- a/src/main/java/mintstair/serve/RotatedRecording.java
+++ b/src/main/java/mintstair/serve/RotatedRecording.java
@@ -68,8 +68,8 @@
     /** One connection in the log. */
     private record LoggedConversation(TrafficLog.Conversation log) implements Recorder.Conversation {
         @Override
-        public void said(boolean byClient, byte[] bytes) {
-            log.sent(byClient, bytes);
+        public void record(boolean fromClient, byte[] bytes) {
+            log.sent(fromClient, bytes);
         }
 
         @Override
--- a/src/main/java/mintstair/serve/SimulatedHosts.java
+++ b/src/main/java/mintstair/serve/SimulatedHosts.java
@@ -90,7 +90,7 @@
         framer.feed(ByteBuffer.wrap(bytes));
         HostReply reply = null;
         while (reply == null) {
-            reply = parser.take(framer.next());
+            reply = parser.parse(framer.next());
         }
         return reply;
     }
--- a/src/main/java/mintstair/traffic/PgExchangeDecoder.java
+++ b/src/main/java/mintstair/traffic/PgExchangeDecoder.java
@@ -46,13 +46,13 @@
     private int remainingValueBytes;
 
     PgExchangeDecoder(int connection, boolean fromStart, DropCounters drops, Consumer<RecordedExchange> output) {
-        super(connection, clientFramer(fromStart), new PgFramer.OfHost(), drops, output);
+        super(connection, clientFramer(fromStart), new PgFramer.HostMessageFramer(), drops, output);
         clientStarted = !fromStart;
         serverStarted = !fromStart;
     }
 
     private static Framer clientFramer(boolean fromStart) {
-        return fromStart ? new PgFramer.OfClient() : PgFramer.OfClient.started();
+        return fromStart ? new PgFramer.ClientMessageFramer() : PgFramer.ClientMessageFramer.afterStartup();
     }
 
     @Override
@@ -111,7 +111,7 @@
 
     /** Of a long row this is the head, whose column begins behind the count of columns and its length. */
     private void readRow(byte[] message) {
-        digest = ValueDigest.of(message, Math.min(message.length, Framer.LONG_HEAD));
+        digest = ValueDigest.of(message, Math.min(message.length, Framer.LONG_MESSAGE_HEAD_LENGTH));
         int wholeLength = 1 + ByteBuffer.wrap(message).getInt(1);
         remainingValueBytes = Math.max(0, wholeLength - message.length);
     }
--- a/src/main/java/mintstair/traffic/Redactor.java
+++ b/src/main/java/mintstair/traffic/Redactor.java
@@ -39,7 +39,7 @@
     private Redactor(byte[] key, boolean fromClient) {
         this.key = key.clone();
         this.fromClient = fromClient;
-        framer = fromClient ? new PgFramer.OfClient() : new PgFramer.OfHost();
+        framer = fromClient ? new PgFramer.ClientMessageFramer() : new PgFramer.HostMessageFramer();
     }
 
     private static MessageDigest newSha256() {
@@ -123,12 +123,12 @@
         }
         int wholeLength = 1 + ByteBuffer.wrap(message).getInt(1);
         remainingValueBytes = Math.max(0, wholeLength - message.length);
-        if (message.length <= Framer.LONG_HEAD) {
+        if (message.length <= Framer.LONG_MESSAGE_HEAD_LENGTH) {
             return message.clone();
         }
         byte[] redacted = message.clone();
-        byte[] valueDigest = keyedDigest(message, Framer.LONG_HEAD);
-        for (int position = Framer.LONG_HEAD; position < message.length; position += DIGEST_BYTES) {
+        byte[] valueDigest = keyedDigest(message, Framer.LONG_MESSAGE_HEAD_LENGTH);
+        for (int position = Framer.LONG_MESSAGE_HEAD_LENGTH; position < message.length; position += DIGEST_BYTES) {
             int length = Math.min(DIGEST_BYTES, message.length - position);
             System.arraycopy(block(valueDigest, position), 0, redacted, position, length);
         }
--- a/src/main/java/mintstair/wire/Framer.java
+++ b/src/main/java/mintstair/wire/Framer.java
@@ -6,12 +6,12 @@
 /**
  * Cuts a stream of bytes into whole messages, however the bytes arrive. Not thread-safe.
  *
- * <p>A message longer than {@link #maxWholeLength} is given out in parts as it arrives: its first
- * {@link #LONG_HEAD} bytes, then the rest in pieces of any length.
+ * <p>A message longer than {@link #maxUnsplitLength} is given out in parts as it arrives: its first
+ * {@link #LONG_MESSAGE_HEAD_LENGTH} bytes, then the rest in pieces of any length.
  */
 public abstract class Framer {
     /** How many bytes the first part of a long message has. */
-    public static final int LONG_HEAD = 11;
+    public static final int LONG_MESSAGE_HEAD_LENGTH = 11;
     /** What {@link #length} returns while too little was read. */
     protected static final int UNKNOWN_LENGTH = -1;
 
@@ -57,7 +57,7 @@
             return nextPart();
         }
         int length = length(buffer, start, end - start);
-        int wanted = length > maxWholeLength() ? LONG_HEAD : length;
+        int wanted = length > maxUnsplitLength() ? LONG_MESSAGE_HEAD_LENGTH : length;
         if (length < 0 || wanted > end - start) {
             return null;
         }
@@ -95,7 +95,7 @@
     }
 
     /** Up to how many bytes a message is given out only as a whole. */
-    protected int maxWholeLength() {
+    protected int maxUnsplitLength() {
         return Integer.MAX_VALUE;
     }
 
--- a/src/main/java/mintstair/wire/MongoMessage.java
+++ b/src/main/java/mintstair/wire/MongoMessage.java
@@ -75,7 +75,7 @@
         // The number of documents to skip, and to return.
         in.getInt();
         in.getInt();
-        BsonDocument body = document(in);
+        BsonDocument body = decodeDocument(in);
         body.put("$db", new BsonString(collection.split("\\.")[0]));
         return new MongoMessage(requestId, responseTo, OP_QUERY, flags, body);
     }
@@ -108,7 +108,7 @@
         while (in.hasRemaining()) {
             byte kind = in.get();
             if (kind == BODY_SECTION && body == null) {
-                body = document(in);
+                body = decodeDocument(in);
             } else if (kind == SEQUENCE_SECTION) {
                 parseSequence(in, sequences);
             } else {
@@ -132,14 +132,14 @@
         String name = cString(in);
         BsonArray documents = new BsonArray();
         while (in.position() < end) {
-            documents.add(document(in));
+            documents.add(decodeDocument(in));
         }
         if (in.position() != end || sequences.put(name, documents) != null) {
             throw new ProtocolException("invalid document sequence");
         }
     }
 
-    private static BsonDocument document(ByteBuffer in) {
+    private static BsonDocument decodeDocument(ByteBuffer in) {
         int length = in.getInt(in.position());
         if (length < MIN_DOCUMENT_LENGTH || length > in.remaining()) {
             throw new ProtocolException("invalid document length " + length);
@@ -167,7 +167,7 @@
 
     /** Encodes an OP_MSG, with the next request id of this process; {@code responseTo} is 0 for a request. */
     public static byte[] opMsg(BsonDocument body, int responseTo) {
-        byte[] document = bytes(body);
+        byte[] document = encodeDocument(body);
         return header(HEADER_LENGTH + 5 + document.length, responseTo, OP_MSG)
                 .putInt(0)
                 .put((byte) BODY_SECTION)
@@ -177,7 +177,7 @@
 
     /** Encodes an OP_REPLY, as the reply to an OP_QUERY, with the next request id of this process. */
     public static byte[] opReply(BsonDocument body, int responseTo) {
-        byte[] document = bytes(body);
+        byte[] document = encodeDocument(body);
         long cursorId = 0;
         int startingFrom = 0;
         int documents = 1;
@@ -200,7 +200,7 @@
     }
 
     /** Encodes a document as BSON. */
-    public static byte[] bytes(BsonDocument document) {
+    public static byte[] encodeDocument(BsonDocument document) {
         try (BasicOutputBuffer out = new BasicOutputBuffer(256);
                 BsonBinaryWriter writer = new BsonBinaryWriter(out)) {
             CODEC.encode(writer, document, EncoderContext.builder().build());
@@ -209,7 +209,7 @@
     }
 
     /** Decodes one document of BSON. */
-    public static BsonDocument document(byte[] bytes) {
-        return document(ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN));
+    public static BsonDocument decodeDocument(byte[] bytes) {
+        return decodeDocument(ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN));
     }
 }
--- a/src/main/java/mintstair/wire/PgFramer.java
+++ b/src/main/java/mintstair/wire/PgFramer.java
@@ -54,33 +54,33 @@
     }
 
     /** What a database host sends in reply to simple queries. */
-    public static final class OfHost extends PgFramer {
+    public static final class HostMessageFramer extends PgFramer {
         /** Accepts the types of messages that a server sends. */
-        public OfHost() {
+        public HostMessageFramer() {
             super("RSKNATDCEIZ", 'D', MAX_ROW_LENGTH);
         }
 
         @Override
-        protected int maxWholeLength() {
-            return MAX_WHOLE_ROW_LENGTH + LONG_HEAD;
+        protected int maxUnsplitLength() {
+            return MAX_WHOLE_ROW_LENGTH + LONG_MESSAGE_HEAD_LENGTH;
         }
     }
 
     /** What a client sends. Its start-up is over with the first packet that does not ask for encryption. */
-    public static final class OfClient extends PgFramer {
+    public static final class ClientMessageFramer extends PgFramer {
         private static final int MIN_STARTUP_LENGTH = 8;
         private static final int PROTOCOL_MAJOR_VERSION = 3;
 
         private boolean startupDone;
 
         /** Accepts a start-up first, and then the types of messages that a client sends. */
-        public OfClient() {
+        public ClientMessageFramer() {
             super("QXPBDECFHSdcfp", 'Q', MAX_QUERY_LENGTH);
         }
 
         /** For a connection whose start-up is over, and was not seen. */
-        public static OfClient started() {
-            OfClient framer = new OfClient();
+        public static ClientMessageFramer afterStartup() {
+            ClientMessageFramer framer = new ClientMessageFramer();
             framer.startupDone = true;
             return framer;
         }
--- a/src/main/java/mintstair/wire/ReadThrottle.java
+++ b/src/main/java/mintstair/wire/ReadThrottle.java
@@ -18,7 +18,7 @@
     private final long maxTotalBytes;
 
     /** Guarded by this, as are the next two. */
-    private int unusedBytes;
+    private int pendingBytes;
 
     private boolean paused;
     private boolean ended;
@@ -40,36 +40,36 @@
     }
 
     /** Notes that so many bytes were read; may pause reads. */
-    public synchronized void read(int bytes) {
+    public synchronized void bytesRead(int bytes) {
         if (ended) {
             return;
         }
-        unusedBytes += bytes;
+        pendingBytes += bytes;
         boolean full = totalBytes.addAndGet(bytes) > maxTotalBytes;
-        if (unusedBytes > (full ? maxBytesWhenFull : maxBytes) && !paused) {
+        if (pendingBytes > (full ? maxBytesWhenFull : maxBytes) && !paused) {
             paused = true;
             setReading(false);
         }
     }
 
     /** Notes that so many of the bytes that were read are used; may resume reads. */
-    public synchronized void used(int bytes) {
+    public synchronized void bytesConsumed(int bytes) {
         if (ended) {
             return;
         }
-        unusedBytes -= bytes;
+        pendingBytes -= bytes;
         totalBytes.addAndGet(-bytes);
-        if (paused && unusedBytes <= maxBytesWhenFull / 2) {
+        if (paused && pendingBytes <= maxBytesWhenFull / 2) {
             paused = false;
             setReading(true);
         }
     }
 
     /** Removes this connection, which is closed, from the total; later calls have no effect. */
-    public synchronized void end() {
+    public synchronized void connectionClosed() {
         ended = true;
-        totalBytes.addAndGet(-unusedBytes);
-        unusedBytes = 0;
+        totalBytes.addAndGet(-pendingBytes);
+        pendingBytes = 0;
     }
 
     /** Whether reads are paused, so that nothing can arrive. */
--- a/src/main/java/mintstair/wire/Recorder.java
+++ b/src/main/java/mintstair/wire/Recorder.java
@@ -9,7 +9,7 @@
         /** Captures nothing. */
         Conversation NONE = new Conversation() {
             @Override
-            public void said(boolean byClient, byte[] bytes) {}
+            public void record(boolean fromClient, byte[] bytes) {}
 
             @Override
             public void ended() {}
@@ -18,9 +18,9 @@
         /**
          * Captures bytes of one side, in order.
          *
-         * @param byClient whether the side that made the connection sent them
+         * @param fromClient whether the side that made the connection sent them
          */
-        void said(boolean byClient, byte[] bytes);
+        void record(boolean fromClient, byte[] bytes);
 
         /** Notes that the connection is over. */
         void ended();
--- a/src/test/java/mintstair/pcap/PcapWriterTest.java
+++ b/src/test/java/mintstair/pcap/PcapWriterTest.java
@@ -50,7 +50,7 @@
     }
 
     private static ClientMessages read(Path file) throws IOException {
-        return ClientMessages.read(file, SERVER_PORT, PgFramer.OfClient::new);
+        return ClientMessages.read(file, SERVER_PORT, PgFramer.ClientMessageFramer::new);
     }
 
     private static byte[] joined(ClientMessages read) {
--- a/src/test/java/mintstair/program/MongoFrontTest.java
+++ b/src/test/java/mintstair/program/MongoFrontTest.java
@@ -70,7 +70,7 @@
         assertEquals(
                 1,
                 client.command(BsonDocument.parse("{ping: 1}")).getNumber("ok").intValue());
-        byte[] query = MongoMessage.bytes(BsonDocument.parse("{isMaster: 1}"));
+        byte[] query = MongoMessage.encodeDocument(BsonDocument.parse("{isMaster: 1}"));
         byte[] name = "admin.$cmd\0".getBytes(UTF_8);
         client.raw(ByteBuffer.allocate(28 + name.length + query.length)
                 .order(ByteOrder.LITTLE_ENDIAN)
--- a/src/test/java/mintstair/wire/ParsersTest.java
+++ b/src/test/java/mintstair/wire/ParsersTest.java
@@ -76,7 +76,7 @@
     @Property(seed = "1", tries = 200)
     void messagesDoNotDependOnTheirPieces(@ForAll long seed, @ForAll @IntRange(min = 1, max = 60) int times) {
         Random random = new Random(seed);
-        List<byte[]> pg = frame(new PgFramer.OfHost(), repeat(ROW, times), random);
+        List<byte[]> pg = frame(new PgFramer.HostMessageFramer(), repeat(ROW, times), random);
         assertEquals(6 * times, pg.size());
         assertServedReplies(times, pg);
 
@@ -88,7 +88,7 @@
         Protocol.Parser parser = new PgProtocol().newParser();
         int replies = 0;
         for (byte[] message : messages) {
-            HostReply reply = parser.take(message);
+            HostReply reply = parser.parse(message);
             if (reply != null) {
                 replies++;
                 assertEquals(ConnectionEnd.SERVED, reply.end());
@@ -113,13 +113,15 @@
             damaged[random.nextInt(damaged.length)] = (byte) random.nextInt();
         }
         for (byte[] bytes : new byte[][] {garbage, damaged}) {
-            assertParsedOrRejected(
-                    () -> frame(random.nextBoolean() ? new PgFramer.OfClient() : new PgFramer.OfHost(), bytes, random));
-            assertParsedOrRejected(
-                    () -> frame(new PgFramer.OfHost(), bytes, random).forEach(new PgProtocol().newParser()::take));
+            assertParsedOrRejected(() -> frame(
+                    random.nextBoolean() ? new PgFramer.ClientMessageFramer() : new PgFramer.HostMessageFramer(),
+                    bytes,
+                    random));
+            assertParsedOrRejected(() -> frame(new PgFramer.HostMessageFramer(), bytes, random)
+                    .forEach(new PgProtocol().newParser()::parse));
             assertParsedOrRejected(() -> frame(new LineFramer(), bytes, random));
             assertParsedOrRejected(
-                    () -> frame(new MongoFramer(), bytes, random).forEach(new MongoProtocol().newParser()::take));
+                    () -> frame(new MongoFramer(), bytes, random).forEach(new MongoProtocol().newParser()::parse));
             if (bytes.length >= 16) {
                 assertParsedOrRejected(() -> MongoMessage.parse(bytes));
             }
@@ -145,7 +147,8 @@
         if (claimed != 3) {
             assertThrows(
                     ProtocolException.class,
-                    () -> frame(new PgFramer.OfHost(), reply, new Random(1)).forEach(parser::take));
+                    () -> frame(new PgFramer.HostMessageFramer(), reply, new Random(1))
+                            .forEach(parser::parse));
         }
     }
 
@@ -159,9 +162,9 @@
         Protocol.Parser parser = new PgProtocol().newParser();
         ByteArrayOutputStream forwarded = new ByteArrayOutputStream();
         HostReply last = null;
-        for (byte[] message : frame(new PgFramer.OfHost(), repeat(reply, 2), new Random(seed))) {
-            HostReply complete = parser.take(message);
-            byte[] part = parser.takePart();
+        for (byte[] message : frame(new PgFramer.HostMessageFramer(), repeat(reply, 2), new Random(seed))) {
+            HostReply complete = parser.parse(message);
+            byte[] part = parser.pollPart();
             forwarded.writeBytes(part == null ? new byte[0] : part);
             if (complete != null) {
                 last = complete;
@@ -185,10 +188,11 @@
 
         assertThrows(
                 ProtocolException.class,
-                () -> frame(new PgFramer.OfHost(), damaged, new Random(seed)).forEach(message -> {
-                    parser.take(message);
-                    assertNull(parser.takePart());
-                }));
+                () -> frame(new PgFramer.HostMessageFramer(), damaged, new Random(seed))
+                        .forEach(message -> {
+                            parser.parse(message);
+                            assertNull(parser.pollPart());
+                        }));
     }
 
     private static byte[] longRow(long seed, int length) {
@@ -220,7 +224,7 @@
 
     @Example
     void oversizedMessagesAreRejectedBeforeTheyAreBuffered() {
-        Framer pg = new PgFramer.OfHost();
+        Framer pg = new PgFramer.HostMessageFramer();
         pg.feed(ByteBuffer.allocate(5)
                 .put((byte) 'D')
                 .putInt(PgFramer.MAX_ROW_LENGTH + 1)
@@ -272,7 +276,7 @@
     void documentSequencesAreReadIntoTheBodyAndChecksumsChecked() {
         BsonDocument body = BsonDocument.parse("{insert: 'e', $db: 'd'}");
         byte[] plain = MongoMessage.opMsg(body, 0);
-        byte[] one = MongoMessage.bytes(new BsonDocument("a", new BsonInt32(1)));
+        byte[] one = MongoMessage.encodeDocument(new BsonDocument("a", new BsonInt32(1)));
         ByteBuffer whole =
                 ByteBuffer.allocate(plain.length + 15 + one.length + 4).order(ByteOrder.LITTLE_ENDIAN);
         whole.put(plain)
