--- a/src/main/java/mintstair/Main.java
+++ b/src/main/java/mintstair/Main.java
@@ -41,7 +41,7 @@
             run(List.of(args));
         } catch (ConfigException | IllegalArgumentException | IOException e) {
             System.err.println("mintstair: " + FirstLine.of(e));
-            NonBlockingOutput.drainInstalled(LAST_LINES_MILLIS);
+            NonBlockingOutput.drainStandardStreams(LAST_LINES_MILLIS);
             System.exit(FAILURE_STATUS);
         }
     }
@@ -106,7 +106,7 @@
 
     private static void members(List<String> options) throws IOException {
         requireUsage(options.size() == 1);
-        System.exit(MembersCommand.run(NodeConfig.address(options.get(0)), System.out));
+        System.exit(MembersCommand.run(NodeConfig.parseAddress(options.get(0)), System.out));
     }
 
     /** Shows, follows or changes what the registry holds. */
--- a/src/main/java/mintstair/ReplayCommand.java
+++ b/src/main/java/mintstair/ReplayCommand.java
@@ -18,13 +18,13 @@
     /** Prints the outcome. Requests are those to the port of the target, unless another port is given. */
     static void run(List<String> options) throws IOException {
         Main.requireUsage(!options.isEmpty());
-        InetSocketAddress target = NodeConfig.address(DEFAULT_TARGET);
+        InetSocketAddress target = NodeConfig.parseAddress(DEFAULT_TARGET);
         String port = null;
         boolean mongodb = false;
         int last = options.size() - 1;
         for (int i = 0; i < last; i++) {
             switch (options.get(i)) {
-                case "--to" -> target = NodeConfig.address(options.get(++i));
+                case "--to" -> target = NodeConfig.parseAddress(options.get(++i));
                 case "--port" -> port = options.get(++i);
                 case "--mongodb" -> mongodb = true;
                 default -> throw new ConfigException(Main.USAGE);
@@ -35,7 +35,7 @@
     }
 
     private static int portNumber(String port) {
-        return NodeConfig.address("any:" + port).getPort();
+        return NodeConfig.parseAddress("any:" + port).getPort();
     }
 
     private static void replay(Path file, InetSocketAddress target, int capturedPort, boolean mongodb) {
--- a/src/main/java/mintstair/StoreCommand.java
+++ b/src/main/java/mintstair/StoreCommand.java
@@ -19,7 +19,7 @@
     static void run(List<String> options) throws IOException {
         Main.requireUsage(options.size() >= 3);
         String operatorFile = options.get(0);
-        OperatorConfig.Members config =
+        OperatorConfig.StoreConfig config =
                 OperatorConfig.read(Path.of(operatorFile)).store();
         if (config == null) {
             throw new ConfigException(operatorFile + ": no store is set up");
--- a/src/main/java/mintstair/adapter/MessageReader.java
+++ b/src/main/java/mintstair/adapter/MessageReader.java
@@ -56,7 +56,7 @@
     /** Reads a value of any type, in the form that {@link Json} returns. */
     Object readValue() throws IOException {
         parser.nextToken();
-        return Json.value(parser);
+        return Json.readValue(parser);
     }
 
     /** Reads a required number of seconds; returns it in microseconds. */
--- a/src/main/java/mintstair/adapter/SimulatorSession.java
+++ b/src/main/java/mintstair/adapter/SimulatorSession.java
@@ -149,7 +149,7 @@
         }
         InstanceSettings settings = settings(json);
         ActionWriter actions = new ActionWriter(reply, number);
-        Router router = new ReadWriteSplitter(nowMicros, seed, settings.settings, actions);
+        Router router = new ReadWriteSplitter(nowMicros, seed, settings.routerSettings, actions);
         instances.put(number, new Instance(router, settings));
     }
 
@@ -180,7 +180,7 @@
         long id = in.readInteger();
         long flags = in.readInteger();
         String className = in.readString();
-        Integer requestClass = target.settings.classes.get(className);
+        Integer requestClass = target.settings.classIndexes.get(className);
         require(requestClass != null, "unknown request class " + className);
         String session = in.readStringOrNull();
         int group = (int) in.readNumber(0);
@@ -188,7 +188,7 @@
         String tenantName = in.readStringOrNull();
         long timeoutMicros = in.readMicrosOrZero();
         double tokenMillis = in.readNumber(0);
-        Integer tenant = tenantName == null ? null : target.settings.tenants.get(tenantName);
+        Integer tenant = tenantName == null ? null : target.settings.tenantIndexes.get(tenantName);
         target.router.onRequest(
                 nowMicros,
                 new RoutingRequest(
--- a/src/main/java/mintstair/config/ListReader.java
+++ b/src/main/java/mintstair/config/EndpointListReader.java
@@ -10,7 +10,7 @@
  * Reads endpoint lists from JSON in the form of the platform's discovery, which configurations, the store and
  * registries use as well. Safe for use by several threads.
  */
-public final class ListReader {
+public final class EndpointListReader {
     private static final Pattern ENDPOINT = Pattern.compile("[^:]+:\\d{1,5}");
     private static final int MAX_PORT = 65_535;
     /** The word for a primary under the key {@code rank}. */
@@ -18,7 +18,7 @@
 
     private static final int MICROS_PER_MILLI = 1_000;
 
-    private ListReader() {}
+    private EndpointListReader() {}
 
     /**
      * The list.
@@ -36,7 +36,7 @@
             if (!(target instanceof Map<?, ?> entry)) {
                 throw new EndpointListException("a target must be an object");
             }
-            entries.add(entry(entry));
+            entries.add(readEntry(entry));
         }
         return new EndpointList(revision.longValue(), Boolean.TRUE.equals(list.get("all")), entries);
     }
@@ -46,7 +46,7 @@
      *
      * @throws EndpointListException where the value is none
      */
-    public static EndpointList.Entry entry(Map<?, ?> json) {
+    public static EndpointList.Entry readEntry(Map<?, ?> json) {
         String endpoint = text(json, "endpoint");
         if (!ENDPOINT.matcher(endpoint).matches()) {
             throw new EndpointListException("no endpoint: " + endpoint);
--- a/src/main/java/mintstair/config/InstanceSettings.java
+++ b/src/main/java/mintstair/config/InstanceSettings.java
@@ -20,15 +20,15 @@
  * terms of the code, and times in seconds into microseconds. Immutable.
  *
  * <p>Settings are lenient, as the platform may add to them: a key that is missing or of another type has its default
- * value. What must be there is checked by {@link SettingsCheck}.
+ * value. What must be there is checked by {@link SettingsValidator}.
  */
 public final class InstanceSettings {
     /** The settings of the decision module. */
-    public final RouterSettings settings;
-    /** The index of each request class in {@code settings.classes()}, by its name, in the order of the settings. */
-    public final Map<String, Integer> classes;
-    /** The index of each tenant in {@code settings.tenants()}, by its name. */
-    public final Map<String, Integer> tenants;
+    public final RouterSettings routerSettings;
+    /** The index of each request class in {@code routerSettings.classes()}, by its name, in the order of the settings. */
+    public final Map<String, Integer> classIndexes;
+    /** The index of each tenant in {@code routerSettings.tenants()}, by its name. */
+    public final Map<String, Integer> tenantIndexes;
     /** How many proxies share the hosts and the endpoint list, this one included: {@code balancers}. */
     public final int fleetSize;
     /**
@@ -57,25 +57,25 @@
         JsonObject root = JsonObject.root(json);
         JsonObject info = root.object("familyInfo");
         JsonObject limits = root.object("limits");
-        Map<String, Integer> classIndexes = new LinkedHashMap<>();
-        List<RequestClass> requestClasses = requestClasses(root, info, classIndexes);
-        classes = Collections.unmodifiableMap(classIndexes);
-        Map<String, Integer> tenantIndexes = new LinkedHashMap<>();
-        List<Tenant> quotas = tenants(root, tenantIndexes);
-        tenants = Collections.unmodifiableMap(tenantIndexes);
+        Map<String, Integer> indexesByClass = new LinkedHashMap<>();
+        List<RequestClass> requestClasses = requestClasses(root, info, indexesByClass);
+        classIndexes = Collections.unmodifiableMap(indexesByClass);
+        Map<String, Integer> indexesByTenant = new LinkedHashMap<>();
+        List<Tenant> quotas = tenants(root, indexesByTenant);
+        tenantIndexes = Collections.unmodifiableMap(indexesByTenant);
         positionZeroMicros = info.micros("positionZeroS", 0);
         reportFields = root.object("report").list("fields");
         connectionIdleMicros = limits.micros("connIdleS", 15);
         connectTimeoutMicros = limits.micros("connectTimeoutS", 0.25);
         fleetSize = (int) root.number("balancers", 1);
         listPushed = root.text("discovery", "").equals("automatic");
-        settings = routerSettings(root, fleetSize, requestClasses, quotas);
-        drainGraceMicros = settings.protection().drainGraceMicros();
+        routerSettings = readRouterSettings(root, fleetSize, requestClasses, quotas);
+        drainGraceMicros = routerSettings.protection().drainGraceMicros();
     }
 
     /** The longest time that a request of any class may take; 0 without classes. */
     public long longestDeadlineMicros() {
-        return settings.classes().stream()
+        return routerSettings.classes().stream()
                 .mapToLong(RequestClass::deadlineMicros)
                 .max()
                 .orElse(0);
@@ -160,7 +160,7 @@
         return tenants;
     }
 
-    private static RouterSettings routerSettings(
+    private static RouterSettings readRouterSettings(
             JsonObject root, int fleetSize, List<RequestClass> requestClasses, List<Tenant> tenants) {
         JsonObject info = root.object("familyInfo");
         JsonObject prices = root.object("prices");
--- a/src/main/java/mintstair/config/Json.java
+++ b/src/main/java/mintstair/config/Json.java
@@ -28,7 +28,7 @@
     public static Object read(byte[] text) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             parser.nextToken();
-            Object value = value(parser);
+            Object value = readValue(parser);
             if (parser.nextToken() != null) {
                 throw new IOException("something follows the value");
             }
@@ -37,7 +37,7 @@
     }
 
     /** The value that begins at the parser's current token; the parser is left at its last token. */
-    public static Object value(JsonParser parser) throws IOException {
+    public static Object readValue(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
             throw new IOException("the input ended inside a message");
@@ -58,7 +58,7 @@
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String key = parser.currentName();
             parser.nextToken();
-            object.put(key, value(parser));
+            object.put(key, readValue(parser));
         }
         return object;
     }
@@ -66,7 +66,7 @@
     private static List<Object> array(JsonParser parser) throws IOException {
         List<Object> array = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            array.add(value(parser));
+            array.add(readValue(parser));
         }
         return array;
     }
--- a/src/main/java/mintstair/config/MembershipConfig.java
+++ b/src/main/java/mintstair/config/MembershipConfig.java
@@ -30,7 +30,7 @@
     static MembershipConfig read(JsonObject json) {
         json.requireKnownKeys(KEYS, "membership: ");
         String fleet = json.text("fleet");
-        InetSocketAddress listen = NodeConfig.address(json.text("listen"));
+        InetSocketAddress listen = NodeConfig.parseAddress(json.text("listen"));
         String advertised = json.textOrNull("advertise");
         String advertise = advertised == null ? null : address(json, "advertise", advertised);
         if (listen.isUnresolved()) {
@@ -63,7 +63,7 @@
     }
 
     private static String address(JsonObject json, String key, String text) {
-        NodeConfig.address(text);
+        NodeConfig.parseAddress(text);
         if (!ADDRESS.matcher(text).matches()) {
             throw json.error(
                     key,
--- a/src/main/java/mintstair/config/NodeConfig.java
+++ b/src/main/java/mintstair/config/NodeConfig.java
@@ -16,8 +16,8 @@
  * @param discovery the service that has the endpoint lists
  * @param control where control commands are accepted; null where they are not
  * @param seed the seed of all random choices
- * @param descriptors how many file descriptors the process may have
- * @param known the endpoints known before the first list arrives; null for none
+ * @param maxDescriptors how many file descriptors the process may have
+ * @param initialEndpoints the endpoints known before the first list arrives; null for none
  * @param settings what the platform may change while the proxy runs
  * @param json the file's object
  */
@@ -27,12 +27,12 @@
         InetSocketAddress discovery,
         InetSocketAddress control,
         long seed,
-        int descriptors,
-        EndpointList known,
+        int maxDescriptors,
+        EndpointList initialEndpoints,
         InstanceSettings settings,
         Map<?, ?> json) {
     /** The key of the endpoints known before the first list arrives. */
-    static final String KNOWN_HOSTS = "known";
+    static final String INITIAL_ENDPOINTS = "known";
 
     private static final String SETTINGS = "settings";
     /** The variable that has the control address where the file has none. */
@@ -59,10 +59,10 @@
      *
      * @throws ConfigException where it cannot be used
      */
-    public static NodeConfig readAnew(Path file, NodeConfig before) {
+    public static NodeConfig reload(Path file, NodeConfig before) {
         NodeConfig changed = read(file);
         try {
-            SettingsCheck.requireComplete(before.json, changed.json);
+            SettingsValidator.requireComplete(before.json, changed.json);
             return changed;
         } catch (ConfigException e) {
             throw ConfigException.inFile(file, e);
@@ -81,7 +81,7 @@
             Map<Object, Object> changedJson = new LinkedHashMap<>(json);
             changedJson.put(SETTINGS, Json.read(text));
             NodeConfig changed = of(changedJson);
-            SettingsCheck.requireComplete(json, changed.json);
+            SettingsValidator.requireComplete(json, changed.json);
             return changed;
         } catch (IOException | IllegalArgumentException | ConfigException e) {
             throw ConfigException.inPlace(place, e);
@@ -96,22 +96,31 @@
         if (!(root.get(SETTINGS) instanceof Map<?, ?> settings)) {
             throw root.error(SETTINGS, "settings are missing");
         }
-        EndpointList known = root.has(KNOWN_HOSTS) ? ListReader.read(root.get(KNOWN_HOSTS)) : null;
-        int descriptors = (int) root.object("limits").number("sockets", DEFAULT_DESCRIPTORS);
+        EndpointList initialEndpoints =
+                root.has(INITIAL_ENDPOINTS) ? EndpointListReader.read(root.get(INITIAL_ENDPOINTS)) : null;
+        int maxDescriptors = (int) root.object("limits").number("sockets", DEFAULT_DESCRIPTORS);
         String name = root.text("name");
-        InetSocketAddress listen = address(root.text("listen"));
-        InetSocketAddress discovery = address(root.text("discovery"));
+        InetSocketAddress listen = parseAddress(root.text("listen"));
+        InetSocketAddress discovery = parseAddress(root.text("discovery"));
         InetSocketAddress control = control(root);
         long seed = seed(root.get("seed"));
-        SettingsCheck.requireUsable(root.object(SETTINGS));
+        SettingsValidator.requireUsable(root.object(SETTINGS));
         return new NodeConfig(
-                name, listen, discovery, control, seed, descriptors, known, new InstanceSettings(settings), map);
+                name,
+                listen,
+                discovery,
+                control,
+                seed,
+                maxDescriptors,
+                initialEndpoints,
+                new InstanceSettings(settings),
+                map);
     }
 
     /** The control address, from the file or the environment; null where neither has one. */
     private static InetSocketAddress control(JsonObject root) {
         String text = root.text("control", System.getenv(CONTROL_VARIABLE));
-        return text == null || text.isEmpty() ? null : address(text);
+        return text == null || text.isEmpty() ? null : parseAddress(text);
     }
 
     /** The platform writes seeds as hexadecimal text, as not all of their bits fit in a JSON number. */
@@ -127,7 +136,7 @@
      *
      * @throws ConfigException where the text is none
      */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 1) {
             throw new ConfigException("no address and port: " + text);
--- a/src/main/java/mintstair/config/OperatorConfig.java
+++ b/src/main/java/mintstair/config/OperatorConfig.java
@@ -20,7 +20,11 @@
  * @param membership the fleet that this proxy joins
  */
 public record OperatorConfig(
-        Mongo mongodb, Recording record, Members store, RegistryConfig registry, MembershipConfig membership) {
+        MongodbFront mongodb,
+        RecordingConfig record,
+        StoreConfig store,
+        RegistryConfig registry,
+        MembershipConfig membership) {
     /** Without an operator's file. */
     public static final OperatorConfig NONE = new OperatorConfig(null, null, null, null, null);
 
@@ -30,7 +34,7 @@
      * Where the MongoDB front listens, and its hosts: listed here, or by a discovery service of their own; null for
      * none.
      */
-    public record Mongo(InetSocketAddress listen, InetSocketAddress discovery, EndpointList hosts) {}
+    public record MongodbFront(InetSocketAddress listen, InetSocketAddress discovery, EndpointList hosts) {}
 
     /**
      * One file of client traffic and the bytes that it may grow to, or rotated files.
@@ -38,7 +42,7 @@
      * @param file the one file; null with rotated files
      * @param rotated the rotated files; null with one file
      */
-    public record Recording(Path file, long maxBytes, Rotated rotated) {
+    public record RecordingConfig(Path file, long maxBytes, RotatedFiles rotated) {
         private static final Set<String> KEYS =
                 Set.of("folder", "file_bytes", "file_s", "total_bytes", "queue_bytes", "hosts", "share", "digests");
         private static final long DEFAULT_FILE_BYTES = 64 << 20;
@@ -49,14 +53,14 @@
         private static final double MAX_NUMBER = 1e15;
         private static final double MICROS_PER_SECOND = 1e6;
 
-        private static Recording read(JsonObject json) {
+        private static RecordingConfig read(JsonObject json) {
             if (!json.has("folder")) {
                 Path file = Path.of(json.text("file"));
-                return new Recording(file, (long) number(json, "most_bytes", DEFAULT_FILE_BYTES, 1), null);
+                return new RecordingConfig(file, (long) number(json, "most_bytes", DEFAULT_FILE_BYTES, 1), null);
             }
             json.requireKnownKeys(KEYS, "record: ");
             long fileBytes = (long) number(json, "file_bytes", DEFAULT_FILE_BYTES, MIN_FILE_BYTES);
-            Rotated rotated = new Rotated(
+            RotatedFiles rotated = new RotatedFiles(
                     Path.of(json.text("folder")),
                     fileBytes,
                     (long) (number(json, "file_s", DEFAULT_FILE_SECONDS, 1) * MICROS_PER_SECOND),
@@ -68,7 +72,7 @@
             if (rotated.share() > 1) {
                 throw json.error("share", "record: share must be from 0 to 1");
             }
-            return new Recording(null, 0, rotated);
+            return new RecordingConfig(null, 0, rotated);
         }
 
         private static double number(JsonObject json, String key, double defaultValue, double min) {
@@ -94,7 +98,7 @@
      * @param share the share of the connections that is recorded, from 0 to 1
      * @param digests whether values are replaced by digests
      */
-    public record Rotated(
+    public record RotatedFiles(
             Path folder,
             long fileBytes,
             long fileMicros,
@@ -108,19 +112,19 @@
      * The replicated store: the name of this proxy's member, the addresses of all members by name, and this one's
      * folder.
      */
-    public record Members(String member, Map<String, InetSocketAddress> members, Path folder) {
-        private static Members read(JsonObject json) {
+    public record StoreConfig(String member, Map<String, InetSocketAddress> members, Path folder) {
+        private static StoreConfig read(JsonObject json) {
             if (!(json.get("members") instanceof Map<?, ?> listed)) {
                 throw json.error("members", "store needs its members");
             }
             Map<String, InetSocketAddress> members = new LinkedHashMap<>();
             listed.forEach(
-                    (name, address) -> members.put(name.toString(), NodeConfig.address(String.valueOf(address))));
+                    (name, address) -> members.put(name.toString(), NodeConfig.parseAddress(String.valueOf(address))));
             String member = json.text("member");
             if (!members.containsKey(member)) {
                 throw json.error("member", "store: " + member + " is none of its members");
             }
-            return new Members(member, members, Path.of(json.text("folder")));
+            return new StoreConfig(member, members, Path.of(json.text("folder")));
         }
     }
 
@@ -147,9 +151,9 @@
         if (registered && !root.has("mongodb")) {
             throw root.error("mongodb", "registry lists hosts of mongodb, which is not set up");
         }
-        Mongo mongodb = root.has("mongodb") ? mongodb(root.object("mongodb"), registered) : null;
-        Recording record = root.has("record") ? Recording.read(root.object("record")) : null;
-        Members store = root.has("store") ? Members.read(root.object("store")) : null;
+        MongodbFront mongodb = root.has("mongodb") ? mongodb(root.object("mongodb"), registered) : null;
+        RecordingConfig record = root.has("record") ? RecordingConfig.read(root.object("record")) : null;
+        StoreConfig store = root.has("store") ? StoreConfig.read(root.object("store")) : null;
         MembershipConfig membership = root.has("membership") ? MembershipConfig.read(root.object("membership")) : null;
         return new OperatorConfig(mongodb, record, store, registry, membership);
     }
@@ -162,13 +166,13 @@
         }
     }
 
-    private static Mongo mongodb(JsonObject json, boolean registered) {
+    private static MongodbFront mongodb(JsonObject json, boolean registered) {
         String discoveryText = json.textOrNull("discovery");
-        InetSocketAddress discovery = discoveryText == null ? null : NodeConfig.address(discoveryText);
-        EndpointList hosts = json.has("hosts") ? ListReader.read(json.get("hosts")) : null;
+        InetSocketAddress discovery = discoveryText == null ? null : NodeConfig.parseAddress(discoveryText);
+        EndpointList hosts = json.has("hosts") ? EndpointListReader.read(json.get("hosts")) : null;
         if (discovery == null && hosts == null && !registered) {
             throw json.error("hosts", "mongodb needs hosts or discovery, or a registry");
         }
-        return new Mongo(NodeConfig.address(json.text("listen")), discovery, hosts);
+        return new MongodbFront(NodeConfig.parseAddress(json.text("listen")), discovery, hosts);
     }
 }
--- a/src/main/java/mintstair/config/RegistryConfig.java
+++ b/src/main/java/mintstair/config/RegistryConfig.java
@@ -70,7 +70,7 @@
         json.requireKnownKeys(KEYS, "registry: ");
         Kind kind = kind(json);
         List<InetSocketAddress> endpoints = texts(json, "endpoints", List.of()).stream()
-                .map(NodeConfig::address)
+                .map(NodeConfig::parseAddress)
                 .toList();
         String prefix = prefix(json);
         List<String> fronts = texts(json, "fronts", List.of(POSTGRESQL));
--- a/src/main/java/mintstair/config/SettingsCheck.java
+++ b/src/main/java/mintstair/config/SettingsValidator.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /** Checks the platform's object {@code settings} before it is used. */
-final class SettingsCheck {
-    private SettingsCheck() {}
+final class SettingsValidator {
+    private SettingsValidator() {}
 
     /** Fails on settings by which no request could be served. */
     static void requireUsable(JsonObject settings) {
@@ -50,7 +50,7 @@
     private static void requireKeys(Map<?, ?> before, JsonObject after) {
         before.forEach((name, value) -> {
             String key = name.toString();
-            if (key.equals(NodeConfig.KNOWN_HOSTS)) {
+            if (key.equals(NodeConfig.INITIAL_ENDPOINTS)) {
                 return;
             }
             if (!after.values().containsKey(key)) {
--- a/src/main/java/mintstair/control/ControlCommands.java
+++ b/src/main/java/mintstair/control/ControlCommands.java
@@ -10,7 +10,7 @@
     private static final String EOF = "eof\n";
 
     private final Supplier<MetricsSnapshot> metrics;
-    private volatile boolean takesClients;
+    private volatile boolean ready;
     private volatile Supplier<String> members;
 
     /** {@code metrics} gives the latest snapshot without waiting for the event loop. */
@@ -19,19 +19,19 @@
     }
 
     /** Sets the readiness: true from the time the fronts listen until the process is to end. */
-    public void takesClients(boolean ready) {
-        takesClients = ready;
+    public void setReady(boolean ready) {
+        this.ready = ready;
     }
 
     /** Sets what gives the members of the fleet, a line each; without it the command {@code members} fails. */
-    public void members(Supplier<String> lines) {
+    public void setMembers(Supplier<String> lines) {
         members = lines;
     }
 
     /** The whole response to the line of a command; {@code fail} to an unknown one. */
     String respond(String line) {
         return switch (line.strip()) {
-            case "readyz" -> takesClients ? OK : FAIL;
+            case "readyz" -> ready ? OK : FAIL;
             case "telemetry" -> OK + metrics.get() + EOF;
             case "members" -> members == null ? FAIL : OK + members.get() + EOF;
             default -> FAIL;
--- a/src/main/java/mintstair/discovery/EndpointListParser.java
+++ b/src/main/java/mintstair/discovery/EndpointListParser.java
@@ -1,8 +1,8 @@
 package mintstair.discovery;
 
 import java.io.IOException;
+import mintstair.config.EndpointListReader;
 import mintstair.config.Json;
-import mintstair.config.ListReader;
 import mintstair.request.EndpointList;
 
 /** Reads the bodies of discovery's responses. */
@@ -12,7 +12,7 @@
     /** Reads a snapshot or a delta. */
     static EndpointList parse(byte[] body) throws MalformedEndpointListException {
         try {
-            return ListReader.read(Json.read(body));
+            return EndpointListReader.read(Json.read(body));
         } catch (IOException | IllegalArgumentException e) {
             throw new MalformedEndpointListException(e);
         }
--- a/src/main/java/mintstair/log/NonBlockingOutput.java
+++ b/src/main/java/mintstair/log/NonBlockingOutput.java
@@ -48,7 +48,7 @@
         thread.start();
     }
 
-    /** Replaces standard output and standard error; {@link #drainInstalled} is due before the process ends. */
+    /** Replaces standard output and standard error; {@link #drainStandardStreams} is due before the process ends. */
     public static void install() {
         NonBlockingOutput out = new NonBlockingOutput(System.out, "standard output");
         NonBlockingOutput err = new NonBlockingOutput(System.err, "standard error");
@@ -58,15 +58,15 @@
     }
 
     /** Waits until standard output and standard error are written, for so many milliseconds at most for each. */
-    public static void drainInstalled(long timeoutMillis) {
+    public static void drainStandardStreams(long timeoutMillis) {
         System.out.flush();
         System.err.flush();
         installed.forEach(output -> output.drain(timeoutMillis));
     }
 
     /** How many writes to standard output and standard error were dropped. */
-    public static long droppedByInstalled() {
-        return installed.stream().mapToLong(NonBlockingOutput::dropped).sum();
+    public static long droppedByStandardStreams() {
+        return installed.stream().mapToLong(NonBlockingOutput::droppedWrites).sum();
     }
 
     @Override
@@ -114,7 +114,7 @@
     }
 
     /** How many writes were dropped. */
-    public synchronized long dropped() {
+    public synchronized long droppedWrites() {
         return drops;
     }
 
--- a/src/main/java/mintstair/membership/AddressCache.java
+++ b/src/main/java/mintstair/membership/AddressCache.java
@@ -28,7 +28,7 @@
         if (resolved.size() >= MAX_ADDRESSES) {
             resolved.clear();
         }
-        InetSocketAddress found = NodeConfig.address(address);
+        InetSocketAddress found = NodeConfig.parseAddress(address);
         resolved.put(address, found);
         return found;
     }
--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -127,7 +127,7 @@
      * @throws RuntimeException where the settings make no sense
      */
     public void applySettings(InstanceSettings settings) {
-        settings.classes.keySet().forEach(counters::addClass);
+        settings.classIndexes.keySet().forEach(counters::addClass);
         driver.execute(router.applySettings(loop.now(), settings));
     }
 
--- a/src/main/java/mintstair/registry/RegistryCommand.java
+++ b/src/main/java/mintstair/registry/RegistryCommand.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import mintstair.config.ConfigException;
+import mintstair.config.EndpointListReader;
 import mintstair.config.Json;
-import mintstair.config.ListReader;
 import mintstair.config.RegistryConfig;
 import mintstair.registry.view.RegistryEntry;
 import mintstair.registry.view.RegistryKeys;
@@ -138,7 +138,7 @@
 
     private static EndpointList.Entry parseHost(byte[] value) throws IOException {
         if (Json.read(value) instanceof Map<?, ?> fields) {
-            return ListReader.entry(fields);
+            return EndpointListReader.readEntry(fields);
         }
         throw new ConfigException("a host must be an object");
     }
--- a/src/main/java/mintstair/registry/view/HostEntryParser.java
+++ b/src/main/java/mintstair/registry/view/HostEntryParser.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.util.Map;
+import mintstair.config.EndpointListReader;
 import mintstair.config.Json;
-import mintstair.config.ListReader;
 import mintstair.request.EndpointList;
 
 /** Reads and validates the hosts in the registry's entries. */
@@ -34,7 +34,7 @@
     private static EndpointList.Entry read(byte[] value) throws InvalidEntryException {
         try {
             if (Json.read(value) instanceof Map<?, ?> fields) {
-                return ListReader.entry(fields);
+                return EndpointListReader.readEntry(fields);
             }
         } catch (IOException | IllegalArgumentException e) {
             throw new InvalidEntryException(e);
--- a/src/main/java/mintstair/routing/RequestClasses.java
+++ b/src/main/java/mintstair/routing/RequestClasses.java
@@ -21,7 +21,7 @@
 
     /** Returns whether the settings define a request class of this name. */
     public boolean contains(String name) {
-        return settings.classes.containsKey(name);
+        return settings.classIndexes.containsKey(name);
     }
 
     /** Returns whether requests of this class are writes. */
@@ -36,10 +36,10 @@
 
     /** Returns the index of the class in the settings, by which the decision module refers to it. */
     int indexOf(String name) {
-        return settings.classes.get(name);
+        return settings.classIndexes.get(name);
     }
 
     RequestClass get(String name) {
-        return settings.settings.classes().get(indexOf(name));
+        return settings.routerSettings.classes().get(indexOf(name));
     }
 }
--- a/src/main/java/mintstair/routing/RequestRouter.java
+++ b/src/main/java/mintstair/routing/RequestRouter.java
@@ -43,7 +43,7 @@
         actions = new ActionRecorder(attempts, timers);
         classes = new RequestClasses(settings);
         drainGraceMicros = settings.drainGraceMicros;
-        router = new ReadWriteSplitter(nowMicros, seed, settings.settings, actions);
+        router = new ReadWriteSplitter(nowMicros, seed, settings.routerSettings, actions);
     }
 
     /**
@@ -55,7 +55,7 @@
         timers.advanceTo(nowMicros);
         classes.apply(newSettings);
         drainGraceMicros = newSettings.drainGraceMicros;
-        router.onSettings(nowMicros, newSettings.settings);
+        router.onSettings(nowMicros, newSettings.routerSettings);
         return actions.take();
     }
 
--- a/src/main/java/mintstair/serve/ConfigurationCheck.java
+++ b/src/main/java/mintstair/serve/ConfigurationCheck.java
@@ -41,7 +41,7 @@
         ControlCommands commands = new ControlCommands(latestMetrics::get);
         transport.start();
         ProtocolService service = new ProtocolServiceFactory(loop, transport, config, BUDGET).postgresql();
-        service.begin(null, config.known(), false);
+        service.begin(null, config.initialEndpoints(), false);
         loadStartupClasses(config, loop, transport, service, commands);
         loop.execute(new MetricsPublisher(loop, transport, List.of(service::addTo), latestMetrics)::publish);
         new ControlServer(commands).listen(ANY_LOOPBACK_PORT);
--- a/src/main/java/mintstair/serve/ConfigurationReloader.java
+++ b/src/main/java/mintstair/serve/ConfigurationReloader.java
@@ -42,7 +42,7 @@
     /** Reads the file anew and applies its settings and the address of its discovery service. */
     synchronized void reloadFile(Path file) {
         try {
-            NodeConfig changed = NodeConfig.readAnew(file, initial);
+            NodeConfig changed = NodeConfig.reload(file, initial);
             apply(changed, followsFileDiscovery);
             InetSocketAddress discovery = changed.discovery();
             System.out.println("configuration read anew: " + classCount(changed) + " classes, discovery at "
@@ -86,6 +86,6 @@
     }
 
     private static int classCount(NodeConfig config) {
-        return config.settings().classes.size();
+        return config.settings().classIndexes.size();
     }
 }
--- a/src/main/java/mintstair/serve/GracefulShutdown.java
+++ b/src/main/java/mintstair/serve/GracefulShutdown.java
@@ -117,7 +117,7 @@
             proxy = serving;
             listening = address;
         }
-        commands.takesClients(false);
+        commands.setReady(false);
         if (joined != null) {
             joined.close();
         }
@@ -128,7 +128,7 @@
         drain(proxy, listening, signalledMicros);
         proxy.close();
         closeStore();
-        NonBlockingOutput.drainInstalled(LAST_LINES_MILLIS);
+        NonBlockingOutput.drainStandardStreams(LAST_LINES_MILLIS);
         Runtime.getRuntime().halt(exitStatus);
     }
 
--- a/src/main/java/mintstair/serve/MetricsPublisher.java
+++ b/src/main/java/mintstair/serve/MetricsPublisher.java
@@ -55,7 +55,7 @@
         MetricsSnapshot.Builder metrics = new MetricsSnapshot.Builder();
         sources.forEach(source -> source.addTo(metrics));
         metrics.add("unexpected_errors", loop.failures())
-                .add("log_lines_dropped", NonBlockingOutput.droppedByInstalled())
+                .add("log_lines_dropped", NonBlockingOutput.droppedByStandardStreams())
                 .add("accepts_failed", acceptStrategy.failures());
         latest.set(metrics.build());
         Runtime runtime = Runtime.getRuntime();
--- a/src/main/java/mintstair/serve/PcapRecording.java
+++ b/src/main/java/mintstair/serve/PcapRecording.java
@@ -19,7 +19,7 @@
     private final PcapWriter file;
     private boolean failed;
 
-    PcapRecording(EventLoop loop, OperatorConfig.Recording config) throws IOException {
+    PcapRecording(EventLoop loop, OperatorConfig.RecordingConfig config) throws IOException {
         this.loop = loop;
         file = new PcapWriter(config.file(), config.maxBytes());
         loop.at(loop.now(), this::flushPeriodically);
--- a/src/main/java/mintstair/serve/ProtocolService.java
+++ b/src/main/java/mintstair/serve/ProtocolService.java
@@ -65,7 +65,7 @@
         dispatcher = new Dispatcher(
                 loop, new RequestRouter(loop.now(), seed, settings), pools, counters, System.out::println);
         front = frontFactory.create(dispatcher, counters);
-        settings.classes.keySet().forEach(counters::addClass);
+        settings.classIndexes.keySet().forEach(counters::addClass);
         discovery = new DiscoverySubscription(
                 loop, transport, random, counters, settings, list -> onEndpoints(list, false));
     }
--- a/src/main/java/mintstair/serve/ProxyStartup.java
+++ b/src/main/java/mintstair/serve/ProxyStartup.java
@@ -76,7 +76,7 @@
             return;
         }
         startStore(services);
-        commands.takesClients(true);
+        commands.setReady(true);
     }
 
     private void listenForControl() throws IOException {
@@ -92,8 +92,10 @@
     private DescriptorBudget descriptorBudget() {
         int fronts = operator.mongodb() == null ? 1 : 2;
         boolean upgradable = config.control() != null;
-        int knownHosts = config.known() == null ? 0 : config.known().entries().size();
-        return DescriptorBudget.of(config.descriptors(), fronts, upgradable, knownHosts);
+        int knownHosts = config.initialEndpoints() == null
+                ? 0
+                : config.initialEndpoints().entries().size();
+        return DescriptorBudget.of(config.maxDescriptors(), fronts, upgradable, knownHosts);
     }
 
     private ProtocolServices startServices(DescriptorBudget budget) {
@@ -102,13 +104,13 @@
         ProtocolServiceFactory factory = new ProtocolServiceFactory(loop, transport, config, initial);
         ProtocolService postgresql = factory.postgresql();
         InetSocketAddress discovery = isRegistered(RegistryConfig.POSTGRESQL) ? null : config.discovery();
-        postgresql.begin(discovery, config.known(), true);
+        postgresql.begin(discovery, config.initialEndpoints(), true);
         ProtocolService mongodb = operator.mongodb() == null ? null : startMongodb(factory, operator.mongodb());
         return new ProtocolServices(loop, postgresql, mongodb);
     }
 
     /** The operator's list of hosts is all there is, unless discovery or the registry replaces it. */
-    private ProtocolService startMongodb(ProtocolServiceFactory factory, OperatorConfig.Mongo mongodb) {
+    private ProtocolService startMongodb(ProtocolServiceFactory factory, OperatorConfig.MongodbFront mongodb) {
         boolean registered = isRegistered(RegistryConfig.MONGODB);
         ProtocolService service = factory.mongodb();
         service.begin(
@@ -146,7 +148,7 @@
             MembershipService membership = SocketRetry.retry(() -> newMembership(services));
             joined.set(membership);
             shutdown.leaveOnExit(membership);
-            commands.members(membership::lines);
+            commands.setMembers(membership::lines);
             membership.start();
         });
         return joined.get();
--- a/src/main/java/mintstair/serve/RotatedRecording.java
+++ b/src/main/java/mintstair/serve/RotatedRecording.java
@@ -20,13 +20,13 @@
 final class RotatedRecording implements TrafficRecording {
     private static final int DIGEST_KEY_BYTES = 32;
 
-    private final OperatorConfig.Rotated config;
+    private final OperatorConfig.RotatedFiles config;
     private final TrafficLog log;
     private final Sampler sampler;
     private final byte[] digestKey = new byte[DIGEST_KEY_BYTES];
     private long connections;
 
-    RotatedRecording(EventLoop loop, OperatorConfig.Rotated config, long seed) throws IOException {
+    RotatedRecording(EventLoop loop, OperatorConfig.RotatedFiles config, long seed) throws IOException {
         this.config = config;
         Rotation rotation = new Rotation(config.fileBytes(), config.fileMicros(), config.totalBytes());
         log = new TrafficLog(config.folder(), rotation, config.queueBytes(), loop::now);
--- a/src/main/java/mintstair/serve/StoreService.java
+++ b/src/main/java/mintstair/serve/StoreService.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import mintstair.config.EndpointListReader;
 import mintstair.config.FirstLine;
 import mintstair.config.Json;
-import mintstair.config.ListReader;
 import mintstair.config.OperatorConfig;
 import mintstair.log.GuardedTask;
 import mintstair.request.EndpointList;
@@ -43,7 +43,10 @@
      * @param state gives the state to keep; may block
      */
     StoreService(
-            OperatorConfig.Members config, String name, Consumer<EndpointList> hostsListener, Supplier<String> state)
+            OperatorConfig.StoreConfig config,
+            String name,
+            Consumer<EndpointList> hostsListener,
+            Supplier<String> state)
             throws IOException {
         this.hostsListener = hostsListener;
         this.state = state;
@@ -71,7 +74,7 @@
         }
         lastHosts = hosts;
         try {
-            hostsListener.accept(ListReader.read(Json.read(hosts.getBytes(StandardCharsets.UTF_8))));
+            hostsListener.accept(EndpointListReader.read(Json.read(hosts.getBytes(StandardCharsets.UTF_8))));
         } catch (IOException | IllegalArgumentException e) {
             System.err.println("store: " + HOSTS_KEY + ": " + FirstLine.of(e));
         }
--- a/src/main/java/mintstair/serve/TrafficRecording.java
+++ b/src/main/java/mintstair/serve/TrafficRecording.java
@@ -37,7 +37,7 @@
      *
      * @param seed selects the connections that are sampled
      */
-    static TrafficRecording open(EventLoop loop, OperatorConfig.Recording config, long seed) throws IOException {
+    static TrafficRecording open(EventLoop loop, OperatorConfig.RecordingConfig config, long seed) throws IOException {
         if (config == null) {
             return NONE;
         }
--- a/src/main/java/mintstair/serve/WarmUp.java
+++ b/src/main/java/mintstair/serve/WarmUp.java
@@ -59,7 +59,7 @@
 
     private WarmUp(EventLoop loop, InstanceSettings settings) {
         this.loop = loop;
-        classes = new ArrayList<>(settings.classes.keySet());
+        classes = new ArrayList<>(settings.classIndexes.keySet());
         remaining = requestCount(settings.fleetSize);
         RequestRouter router = new RequestRouter(loop.now(), SEED, settings);
         dispatcher = new Dispatcher(loop, router, new SimulatedHosts(loop), new Counters(), line -> {});
--- a/src/main/java/mintstair/traffic/ReplayCommand.java
+++ b/src/main/java/mintstair/traffic/ReplayCommand.java
@@ -93,7 +93,7 @@
         List<RecordedExchange> recorded = loader.readAll();
         String idPrefix = Long.toHexString(WallClock.millis()) + "x";
         ReplayOutcome outcome;
-        try (Replayer replayer = new Replayer(recorded, options, NodeConfig.address(to), protocol, idPrefix)) {
+        try (Replayer replayer = new Replayer(recorded, options, NodeConfig.parseAddress(to), protocol, idPrefix)) {
             outcome = ReplayOutcome.of(replayer.play(), replayer);
         }
         PrintWriter out = spec.commandLine().getOut();
--- a/src/test/java/mintstair/config/ListReaderTest.java
+++ b/src/test/java/mintstair/config/EndpointListReaderTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class ListReaderTest {
+class EndpointListReaderTest {
     private static final String ENTRY = "{\"uid\":\"h1\",\"endpoint\":\"127.0.0.1:5432\",\"az\":\"a\",\"pod_group\":2,"
             + "\"state\":\"SERVING\",\"rank\":\"source\",\"capacity_hint\":1.5,\"boot_ms\":6100}";
 
     private static EndpointList read(String entry) throws IOException {
         String list = "{\"rev\":7,\"all\":true,\"targets\":[" + entry + "]}";
-        return ListReader.read(Json.read(list.getBytes(StandardCharsets.UTF_8)));
+        return EndpointListReader.read(Json.read(list.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
--- a/src/test/java/mintstair/config/InstanceSettingsTest.java
+++ b/src/test/java/mintstair/config/InstanceSettingsTest.java
@@ -54,8 +54,8 @@
                 30_000_000,
                 1,
                 0.3);
-        assertEquals(List.of(read, write), settings.settings.classes());
-        assertEquals(Map.of("read", 0, "write", 1), settings.classes);
+        assertEquals(List.of(read, write), settings.routerSettings.classes());
+        assertEquals(Map.of("read", 0, "write", 1), settings.classIndexes);
         assertEquals(2_500_000, settings.longestDeadlineMicros());
     }
 
@@ -80,7 +80,7 @@
 
         assertEquals(14, settings.fleetSize);
         assertTrue(settings.listPushed);
-        assertEquals(Map.of("t", 0), settings.tenants);
+        assertEquals(Map.of("t", 0), settings.tenantIndexes);
         assertEquals(2_000_000, settings.positionZeroMicros);
         assertEquals(List.of("x0", "x1"), settings.reportFields);
         assertEquals(1_500_000, settings.drainGraceMicros);
--- a/src/test/java/mintstair/config/NodeConfigTest.java
+++ b/src/test/java/mintstair/config/NodeConfigTest.java
@@ -48,8 +48,8 @@
         assertEquals(9, config.discovery().getPort());
         assertEquals(9901, config.control().getPort());
         assertEquals(-1, config.seed());
-        assertEquals(256, config.descriptors());
-        assertEquals(3, config.known().revision());
+        assertEquals(256, config.maxDescriptors());
+        assertEquals(3, config.initialEndpoints().revision());
     }
 
     @Test
@@ -58,8 +58,8 @@
                 + "\"settings\":" + SETTINGS + "}");
 
         assertEquals(0, config.seed());
-        assertEquals(1024, config.descriptors());
-        assertNull(config.known());
+        assertEquals(1024, config.maxDescriptors());
+        assertNull(config.initialEndpoints());
     }
 
     /** The error is one line with the file; the path of the value is known beside. */
@@ -115,9 +115,9 @@
         Files.writeString(file, CONFIG.replace(text, replacement));
 
         if (message.isEmpty()) {
-            assertEquals("n1", NodeConfig.readAnew(file, before).name());
+            assertEquals("n1", NodeConfig.reload(file, before).name());
         } else {
-            ConfigException error = assertThrows(ConfigException.class, () -> NodeConfig.readAnew(file, before));
+            ConfigException error = assertThrows(ConfigException.class, () -> NodeConfig.reload(file, before));
             assertEquals(file + ": " + message, error.getMessage());
         }
     }
@@ -127,7 +127,7 @@
         NodeConfig before = read(CONFIG);
         Files.writeString(file, CONFIG.replace("\"known\":{\"rev\":3,\"targets\":[]},", ""));
 
-        assertNull(NodeConfig.readAnew(file, before).known());
+        assertNull(NodeConfig.reload(file, before).initialEndpoints());
     }
 
     @Test
--- a/src/test/java/mintstair/control/ControlCommandsTest.java
+++ b/src/test/java/mintstair/control/ControlCommandsTest.java
@@ -13,10 +13,10 @@
     void readinessFollowsWhetherClientsAreTaken() {
         assertEquals("fail\n", commands.respond("readyz"));
 
-        commands.takesClients(true);
+        commands.setReady(true);
         assertEquals("ok\n", commands.respond("readyz"));
 
-        commands.takesClients(false);
+        commands.setReady(false);
         assertEquals("fail\n", commands.respond("readyz"));
     }
 
@@ -29,7 +29,7 @@
     void membersAreShownByAMemberOfAFleetOnly() {
         assertEquals("fail\n", commands.respond("members"));
 
-        commands.members(() -> "member a\n");
+        commands.setMembers(() -> "member a\n");
         assertEquals("ok\nmember a\neof\n", commands.respond("members"));
     }
 
--- a/src/test/java/mintstair/log/NonBlockingOutputTest.java
+++ b/src/test/java/mintstair/log/NonBlockingOutputTest.java
@@ -46,7 +46,7 @@
             output.write(LINE, 0, LINE.length);
         }
         assertFalse(output.drain(10));
-        long dropped = output.dropped();
+        long dropped = output.droppedWrites();
         assertTrue(dropped > 0 && dropped < lines, "dropped " + dropped);
         blocked.open.countDown();
         assertTrue(output.drain(20_000));
--- a/src/test/java/mintstair/membership/FleetMemberTest.java
+++ b/src/test/java/mintstair/membership/FleetMemberTest.java
@@ -77,7 +77,7 @@
                 "both to know each other");
         Program.await(() -> first.garbledMessages() > 0 && second.garbledMessages() > 0, "the stranger to be rejected");
 
-        sendRandomBytes(NodeConfig.address(address(first)));
+        sendRandomBytes(NodeConfig.parseAddress(address(first)));
 
         long received = second.statistics().receivedMessages();
         Program.await(() -> second.statistics().receivedMessages() > received + 10, "the protocol to go on");
@@ -150,7 +150,7 @@
 
     @Test
     void failsOnAnAddressInUseWithTheAddressInTheMessage() throws IOException {
-        InetSocketAddress inUse = NodeConfig.address(address(startMember("one", "a", List.of())));
+        InetSocketAddress inUse = NodeConfig.parseAddress(address(startMember("one", "a", List.of())));
         MembershipConfig config = new MembershipConfig("one", inUse, null, List.of(), PERIOD_MICROS);
 
         IOException failure = assertThrows(IOException.class, () -> create(config, "b", 3, view -> {}));
--- a/src/test/java/mintstair/serve/BothFrontsTest.java
+++ b/src/test/java/mintstair/serve/BothFrontsTest.java
@@ -15,9 +15,9 @@
 import mintstair.backend.Protocol;
 import mintstair.backend.mongo.MongoProtocol;
 import mintstair.backend.pg.PgProtocol;
+import mintstair.config.EndpointListReader;
 import mintstair.config.InstanceSettings;
 import mintstair.config.Json;
-import mintstair.config.ListReader;
 import mintstair.front.mongo.MongoFront;
 import mintstair.front.pg.PgFront;
 import mintstair.program.Program;
@@ -90,7 +90,7 @@
         AtomicLong clock = new AtomicLong(NOW * 1000);
         boolean pg = protocol instanceof PgProtocol;
         String listed = hosts.stream().map(h -> h.listed("SERVING")).collect(Collectors.joining(","));
-        EndpointList list = ListReader.read(
+        EndpointList list = EndpointListReader.read(
                 Json.read(("{\"rev\":1,\"all\":true,\"targets\":[" + listed + "]}").getBytes(StandardCharsets.UTF_8)));
         InstanceSettings settings = TestSettings.usual();
         try (EventLoop loop = new EventLoop(clock::get)) {
--- a/src/test/java/mintstair/serve/DrainingEndpointsTest.java
+++ b/src/test/java/mintstair/serve/DrainingEndpointsTest.java
@@ -9,9 +9,9 @@
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import mintstair.config.EndpointListReader;
 import mintstair.config.InstanceSettings;
 import mintstair.config.Json;
-import mintstair.config.ListReader;
 import mintstair.program.Program;
 import mintstair.request.EndpointList;
 import mintstair.standin.Client;
@@ -65,7 +65,10 @@
     /** Begins from the list as it is at first. */
     private void begin() throws IOException {
         String known = "{\"rev\":1,\"all\":true,\"targets\":[" + Discovery.hosts(hosts) + "]}";
-        service.begin(address(relay.port()), ListReader.read(Json.read(known.getBytes(StandardCharsets.UTF_8))), true);
+        service.begin(
+                address(relay.port()),
+                EndpointListReader.read(Json.read(known.getBytes(StandardCharsets.UTF_8))),
+                true);
     }
 
     /** The same; a watch is open on return. */
--- a/src/test/java/mintstair/serve/StoreServiceTest.java
+++ b/src/test/java/mintstair/serve/StoreServiceTest.java
@@ -37,7 +37,7 @@
         List<String> taken = new CopyOnWriteArrayList<>();
         AtomicInteger calls = new AtomicInteger();
         try (StoreService service = new StoreService(
-                        new OperatorConfig.Members("n1", members, folder),
+                        new OperatorConfig.StoreConfig("n1", members, folder),
                         "n1",
                         list -> {
                             if (calls.incrementAndGet() == 1) {
--- a/src/test/java/mintstair/wire/ParsersTest.java
+++ b/src/test/java/mintstair/wire/ParsersTest.java
@@ -19,8 +19,8 @@
 import mintstair.backend.Protocol;
 import mintstair.backend.mongo.MongoProtocol;
 import mintstair.backend.pg.PgProtocol;
+import mintstair.config.EndpointListReader;
 import mintstair.config.Json;
-import mintstair.config.ListReader;
 import mintstair.request.ConnectionEnd;
 import mintstair.request.HostReply;
 import mintstair.request.ReplicationRole;
@@ -129,7 +129,7 @@
 
     private static void assertListReadOrRejected(byte[] bytes) {
         try {
-            ListReader.read(Json.read(bytes));
+            EndpointListReader.read(Json.read(bytes));
         } catch (IOException | IllegalArgumentException e) {
             assertTrue(e.getMessage() != null);
         }
