--- a/src/main/java/mintstair/membership/AddressCache.java
+++ b/src/main/java/mintstair/membership/AddressCache.java
@@ -28,7 +28,7 @@
         if (resolved.size() >= MAX_ADDRESSES) {
             resolved.clear();
         }
-        InetSocketAddress socketAddress = NodeConfig.address(address);
+        InetSocketAddress socketAddress = NodeConfig.parseAddress(address);
         resolved.put(address, socketAddress);
         return socketAddress;
     }
--- a/src/main/java/mintstair/proxy/Dispatcher.java
+++ b/src/main/java/mintstair/proxy/Dispatcher.java
@@ -137,7 +137,7 @@
      * @throws RuntimeException if the settings are invalid
      */
     public void applySettings(InstanceSettings settings) {
-        settings.classes.keySet().forEach(counters::addRequestClass);
+        settings.classIndexes.keySet().forEach(counters::addRequestClass);
         driver.execute(router.applySettings(loop.now(), settings));
     }
 
--- a/src/test/java/mintstair/membership/FleetMemberTest.java
+++ b/src/test/java/mintstair/membership/FleetMemberTest.java
@@ -79,7 +79,7 @@
                 () -> first.malformedMessages() > 0 && second.malformedMessages() > 0,
                 "datagrams of the other fleet to be counted as malformed");
 
-        sendRandomBytes(NodeConfig.address(address(first)));
+        sendRandomBytes(NodeConfig.parseAddress(address(first)));
 
         long received = second.statistics().receivedMessages();
         Program.await(
@@ -153,7 +153,7 @@
 
     @Test
     void failsWithTheAddressInTheMessageIfItIsInUse() throws IOException {
-        InetSocketAddress inUse = NodeConfig.address(address(startMember("one", "a", List.of())));
+        InetSocketAddress inUse = NodeConfig.parseAddress(address(startMember("one", "a", List.of())));
         MembershipConfig config = new MembershipConfig("one", inUse, null, List.of(), PERIOD_MICROS);
 
         IOException failure = assertThrows(IOException.class, () -> create(config, "b", 3, view -> {}));
