--- a/src/test/java/mintstair/decision/ReadWriteSplitterTest.java
+++ b/src/test/java/mintstair/decision/ReadWriteSplitterTest.java
@@ -457,7 +457,7 @@
         withoutRouters.fleetSize = 0;
         assertTrue(assertThrows(IllegalArgumentException.class, withoutRouters::start)
                 .getMessage()
-                .contains("routers"));
+                .contains("balancers must be at least 1"));
         RouterFixture withoutAttempts = new RouterFixture();
         withoutAttempts.maxAttempts = 0;
         assertTrue(assertThrows(IllegalArgumentException.class, withoutAttempts::start)
