--- a/src/main/java/mintstair/discovery/DiscoveryResponse.java
+++ b/src/main/java/mintstair/discovery/DiscoveryResponse.java
@@ -1,8 +1,11 @@
 package mintstair.discovery;
 
 /**
- * A complete HTTP response of discovery.
+ * A complete HTTP response of the discovery service.
  *
- * @param endsConnection whether the body ended with the connection, so that no further call can be made on it
+ * @param status the HTTP status code
+ * @param body the body, empty if there is none
+ * @param connectionClosed whether the end of the connection marked the end of the body, so that no further call can be
+ *     made on the connection
  */
-record DiscoveryResponse(int status, byte[] body, boolean endsConnection) {}
+record DiscoveryResponse(int status, byte[] body, boolean connectionClosed) {}
--- a/src/main/java/mintstair/discovery/EndpointListParser.java
+++ b/src/main/java/mintstair/discovery/EndpointListParser.java
@@ -5,11 +5,15 @@
 import mintstair.config.ListReader;
 import mintstair.request.EndpointList;
 
-/** Reads the bodies of discovery's responses. */
+/** Parses the bodies of the discovery service's responses. */
 final class EndpointListParser {
     private EndpointListParser() {}
 
-    /** Reads a snapshot or a delta. */
+    /**
+     * Parses a snapshot or a delta.
+     *
+     * @throws MalformedEndpointListException if the body is not JSON or not an endpoint list
+     */
     static EndpointList parse(byte[] body) throws MalformedEndpointListException {
         try {
             return ListReader.read(Json.read(body));
@@ -18,7 +22,7 @@
         }
     }
 
-    /** Whether the body is a complete JSON text, whatever is in it. */
+    /** Returns whether the body is a complete JSON text, whatever its content. */
     static boolean isCompleteJson(byte[] body) {
         try {
             Json.read(body);
--- a/src/main/java/mintstair/discovery/EndpointWatch.java
+++ b/src/main/java/mintstair/discovery/EndpointWatch.java
@@ -13,21 +13,20 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Keeps the endpoint list of one discovery service current: one call for the snapshot, then one long poll for deltas
- * after the other. The service keeps deltas for 200 ms after a response, so the next poll is sent at once.
+ * Keeps the endpoint list of one discovery service current. The watch requests a snapshot and then sends one long poll
+ * for a delta after another. The service retains deltas for 200 ms after a response, so the next poll is sent at once.
  *
- * <p>This class supervises the {@link WatchStream}s that the calls are made on. A stream whose response is overdue,
- * whose connection fails or whose response is malformed is replaced, with the delay that {@link WatchPacing} sets.
- * Where the pacing hedges overdue calls, a further stream is opened beside the overdue one and the first to respond is
- * kept.
+ * <p>Calls are made on {@link WatchStream}s. A stream that cannot connect, loses its connection or has an overdue
+ * response is replaced after the delay that {@link WatchPacing} determines. After an error status or a malformed list
+ * the next call is delayed as well, and is made on the same connection if that is still open. If the pacing hedges
+ * overdue calls, a further stream is opened at once beside the overdue one, and the stream that responds first is kept.
  *
- * <p>Every method, the constructor aside, must be called on the event loop, on which the listener is called too.
+ * <p>All methods must be called on the event loop, where the listener is called as well. The constructor may be called
+ * on any thread.
  */
 public final class EndpointWatch {
     private static final int HTTP_OK = 200;
-    /**
-     * The revision while no list is known, or none that deltas could be applied to: the next call is for the snapshot.
-     */
+    /** Stands for having no list that a delta could be applied to, so that the next call requests the snapshot. */
     private static final long UNKNOWN_REVISION = -1;
 
     private final EventLoop loop;
@@ -36,18 +35,26 @@
     private final Consumer<EndpointList> listener;
     private final Counters counters;
     private final WatchFailureLog failureLog;
-    /** Streams whose response would still be used, oldest first. */
+    /** The streams whose responses are still accepted, oldest first. */
     private final ArrayDeque<WatchStream> streams = new ArrayDeque<>();
 
     private WatchPacing pacing;
+    /** The revision of the list in use; negative if the snapshot is to be requested. */
     private long revision;
+
     private boolean lastCallSucceeded;
+    /** Opens a stream after a delay; null if none is to be opened. */
     private Future<?> delayedStart;
+
     private boolean closed;
 
     /**
-     * @param revision the revision that deltas are requested from; below 0 for none, which requests the snapshot
-     * @param listener receives each list; where it throws, the snapshot is requested again
+     * Creates a watch, which makes no call until {@link #start()}.
+     *
+     * @param revision the revision after which changes are requested; negative to request the snapshot
+     * @param pacing when calls are made and how long they may take
+     * @param counters receives the number of calls and of failed calls
+     * @param listener receives each snapshot and delta; if it throws, the snapshot is requested again
      */
     public EndpointWatch(
             EventLoop loop,
@@ -67,7 +74,7 @@
         failureLog = new WatchFailureLog(loop::now);
     }
 
-    /** Opens a stream, and closes the oldest where as many as the pacing allows are in flight. */
+    /** Opens a stream. Closes the oldest one first if there are already as many as the pacing allows. */
     public void start() {
         if (closed) {
             return;
@@ -80,17 +87,20 @@
         stream.open(pacing.responseTimeoutMicros(0));
     }
 
-    /** Applies this pacing from now on; a call that is in flight becomes overdue no later than under this pacing. */
-    public void setPacing(WatchPacing changed) {
-        pacing = changed;
+    /**
+     * Replaces the pacing. The latest call in flight becomes overdue no later than if it were sent now, under the new
+     * pacing.
+     */
+    public void setPacing(WatchPacing newPacing) {
+        pacing = newPacing;
         WatchStream newest = streams.peekLast();
         if (newest != null) {
             long waitMicros = pacing.pollWaitMicros(lastCallSucceeded);
-            newest.advanceTimeout(waitMicros, pacing.responseTimeoutMicros(waitMicros));
+            newest.shortenTimeout(waitMicros, pacing.responseTimeoutMicros(waitMicros));
         }
     }
 
-    /** Ends the watch for good: closes its connections; the listener is not called any more. */
+    /** Closes all connections. The listener is not called any more, and the watch cannot be started again. */
     public void close() {
         closed = true;
         closeAllExcept(null);
@@ -119,9 +129,9 @@
         });
     }
 
-    /** Sends the next call on this stream, or on a new one where the last response ended its connection. */
+    /** Sends the next call on this stream, or on a new one if the stream's connection is closed. */
     private void sendCall(WatchStream stream) {
-        if (stream.isFinished()) {
+        if (stream.isConnectionClosed()) {
             streams.remove(stream);
             stream.close();
             start();
@@ -145,21 +155,21 @@
     private void recordFailure(String reason) {
         counters.listCallsFailed++;
         lastCallSucceeded = false;
-        failureLog.record(reason);
+        failureLog.recordFailure(reason);
     }
 
     private void recordSuccess() {
-        failureLog.recordRecovery();
+        failureLog.recordSuccess();
         lastCallSucceeded = true;
         pacing.recordSuccess();
     }
 
-    /** Uses one response and goes on with the next call; its stream is the only one from here on. */
+    /** Processes a response, closes all other streams and sends the next call. */
     private void onResponse(WatchStream stream, DiscoveryResponse response) {
         closeAllExcept(stream);
         if (response.status() != HTTP_OK) {
-            // The list and the connection are as good as before, but the service is busy: the retry is delayed.
-            recordFailure("status " + response.status());
+            // The list and the connection remain usable, but the service is busy, so the call is retried after a delay.
+            recordFailure(address + " responded with status " + response.status());
             sendCallAfterDelay(stream, Failure.REJECTED);
             return;
         }
@@ -167,12 +177,12 @@
         try {
             list = EndpointListParser.parse(response.body());
         } catch (MalformedEndpointListException e) {
-            requestSnapshotAfterFailure(stream, e.getMessage());
+            requestSnapshotAfterFailure(stream, "malformed endpoint list from " + address + ": " + e.getMessage());
             return;
         }
         recordSuccess();
         if (!list.isSnapshot() && list.revision() < revision) {
-            // Another service, or one that was restarted: its delta does not apply to this list.
+            // The service was restarted or is another one, so its delta does not apply to the list in use.
             revision = UNKNOWN_REVISION;
             sendCall(stream);
             return;
@@ -180,48 +190,49 @@
         try {
             listener.accept(list);
         } catch (RuntimeException e) {
-            // The list may have been applied in part, so that no revision stands for what is known now.
-            requestSnapshotAfterFailure(stream, String.valueOf(e));
+            // The list may have been applied in part, so no revision describes the list in use.
+            requestSnapshotAfterFailure(stream, "cannot apply the endpoint list from " + address + ": " + e);
             return;
         }
         revision = list.revision();
         sendCall(stream);
     }
 
-    /** Keeps the last list, but makes the next call one for the snapshot. */
+    /** Records a failure and requests the snapshot after a delay; the last list stays in use until then. */
     private void requestSnapshotAfterFailure(WatchStream stream, String reason) {
         revision = UNKNOWN_REVISION;
         recordFailure(reason);
         sendCallAfterDelay(stream, Failure.CONNECTION_LOST);
     }
 
-    /** Closes a stream that failed. The newest is replaced after a delay; older ones already have been. */
+    /** Closes a failed stream. Replaces the newest stream after a delay; older ones have already been replaced. */
     private void onStreamFailure(WatchStream stream, String reason, Failure failure) {
-        boolean newest = streams.peekLast() == stream;
+        boolean isNewest = streams.peekLast() == stream;
         if (!streams.remove(stream)) {
             return;
         }
         stream.close();
-        if (newest) {
+        if (isNewest) {
             recordFailure(reason);
             startAfterDelay(failure);
         }
     }
 
-    private WatchStream streamOn(Connection<?> connection) {
+    /** Returns the stream on this connection, or null if the connection is no longer in use. */
+    private WatchStream findStream(Connection<?> connection) {
         for (WatchStream stream : streams) {
-            if (stream.isOn(connection)) {
+            if (stream.usesConnection(connection)) {
                 return stream;
             }
         }
         return null;
     }
 
-    /** What happens on connections; events of one that is not in use any more are ignored. */
+    /** Handles the events of connections, and ignores connections that are no longer in use. */
     private final class ConnectionEvents implements WatchTransport.Listener {
         @Override
         public void onResponse(Connection<?> connection, DiscoveryResponse response) {
-            WatchStream stream = streamOn(connection);
+            WatchStream stream = findStream(connection);
             if (stream != null) {
                 stream.recordResponse(response);
                 EndpointWatch.this.onResponse(stream, response);
@@ -230,14 +241,14 @@
 
         @Override
         public void onClose(Connection<?> connection) {
-            WatchStream stream = streamOn(connection);
+            WatchStream stream = findStream(connection);
             if (stream != null) {
-                onStreamFailure(stream, "connection lost", Failure.CONNECTION_LOST);
+                onStreamFailure(stream, "connection to " + address + " lost", Failure.CONNECTION_LOST);
             }
         }
     }
 
-    /** What becomes of the streams that this watch opens. */
+    /** Handles the events of this watch's streams. */
     private final class StreamEvents implements WatchStream.Listener {
         @Override
         public boolean isInUse(WatchStream stream) {
@@ -257,11 +268,15 @@
         @Override
         public void onOverdue(WatchStream stream, long pollWaitMicros) {
             if (!pacing.hedgesOverdueCalls()) {
-                onStreamFailure(stream, "response overdue", pacing.timeoutFailure(pollWaitMicros));
+                onStreamFailure(stream, overdueReason(), pacing.timeoutFailure(pollWaitMicros));
             } else if (streams.peekLast() == stream) {
-                recordFailure("response overdue");
+                recordFailure(overdueReason());
                 start();
             }
         }
+
+        private String overdueReason() {
+            return "no response from " + address + " in time";
+        }
     }
 }
--- a/src/main/java/mintstair/discovery/MalformedEndpointListException.java
+++ b/src/main/java/mintstair/discovery/MalformedEndpointListException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import mintstair.config.FirstLine;
 
-/** A response body that holds no endpoint list; the message is one line. */
+/** Thrown when a response body is not an endpoint list. Its message is a single line, fit for the log. */
 final class MalformedEndpointListException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/mintstair/discovery/WatchStream.java
+++ b/src/main/java/mintstair/discovery/WatchStream.java
@@ -6,36 +6,44 @@
 import org.glassfish.grizzly.GrizzlyFuture;
 
 /**
- * One connection to discovery and the call that is in flight on it. A call is overdue when its response, or the
- * connection before the first call, takes too long: an agent that was partitioned off may fall silent, also in the
- * middle of a response, without its connection ever closing. Used on the event loop only.
+ * A connection to the discovery service with at most one call in flight. Reports a call as overdue when its response
+ * takes too long, and likewise when connecting takes too long: a service behind a network partition may stop responding
+ * at any point, even in the middle of a response, without the connection ever closing. Confined to the event loop.
  */
 final class WatchStream {
-    /** The owner of the stream. */
+    /** The owner of the stream, which is notified of its events. */
     interface Listener {
-        /** Whether the stream's connection is still wanted. */
+        /** Returns whether the stream is still in use; if not, a connection that is established late is closed. */
         boolean isInUse(WatchStream stream);
 
+        /** Called when the connection is established and a call can be sent on it. */
         void onConnected(WatchStream stream);
 
+        /** Called when the connection could not be established. */
         void onConnectFailure(WatchStream stream);
 
-        /** The response is overdue; {@code pollWaitMicros} as given to {@link #expectResponse}. */
+        /**
+         * Called when connecting or a response is overdue.
+         *
+         * @param pollWaitMicros how long the service may hold the call; 0 for a call that is not held
+         */
         void onOverdue(WatchStream stream, long pollWaitMicros);
     }
 
-    private static final long NOT_IN_FLIGHT = Long.MAX_VALUE;
+    private static final long NOTHING_IN_FLIGHT = Long.MAX_VALUE;
 
     private final EventLoop loop;
     private final WatchTransport transport;
     private final Listener listener;
-    private GrizzlyFuture<Connection> connecting;
+    private GrizzlyFuture<Connection> connectAttempt;
+    /** Null until the connection is established. */
     private Connection<?> connection;
-    /** The overdue check of the call in flight, or the next call after a delay. */
+    /** Reports the call in flight as overdue, or sends the next call after a delay. */
     private Future<?> timer;
+    /** On the loop's clock; {@link #NOTHING_IN_FLIGHT} while no response and no connection is expected. */
+    private long overdueAtMicros = NOTHING_IN_FLIGHT;
 
-    private long overdueAtMicros = NOT_IN_FLIGHT;
-    private boolean finished;
+    private boolean connectionClosed;
 
     WatchStream(EventLoop loop, WatchTransport transport, Listener listener) {
         this.loop = loop;
@@ -43,18 +51,22 @@
         this.listener = listener;
     }
 
-    /** Connects; overdue after this time. */
+    /**
+     * Starts to connect.
+     *
+     * @param timeoutMicros the time after which connecting is overdue
+     */
     void open(long timeoutMicros) {
-        connecting = transport.connect(this::onConnected, () -> listener.onConnectFailure(this));
+        connectAttempt = transport.connect(this::onConnected, () -> listener.onConnectFailure(this));
         expectResponse(0, timeoutMicros);
     }
 
-    private void onConnected(Connection<?> established) {
+    private void onConnected(Connection<?> newConnection) {
         if (!listener.isInUse(this)) {
-            established.closeSilently();
+            newConnection.closeSilently();
             return;
         }
-        connection = established;
+        connection = newConnection;
         listener.onConnected(this);
     }
 
@@ -67,10 +79,10 @@
     }
 
     /**
-     * Begins to wait for the response to a call.
+     * Starts the timer of the response to a call.
      *
-     * @param pollWaitMicros how long the service holds the call; 0 for one that it responds to at once
-     * @param timeoutMicros after how long the response is overdue
+     * @param pollWaitMicros how long the service may hold the call before it responds; 0 if it is to respond at once
+     * @param timeoutMicros the time after which the response is overdue
      */
     void expectResponse(long pollWaitMicros, long timeoutMicros) {
         cancelTimer();
@@ -78,30 +90,34 @@
         timer = loop.at(overdueAtMicros, () -> listener.onOverdue(this, pollWaitMicros));
     }
 
-    /** Makes the call in flight, if there is one, overdue after this time, unless it will be earlier. */
-    void advanceTimeout(long pollWaitMicros, long timeoutMicros) {
-        if (overdueAtMicros != NOT_IN_FLIGHT && overdueAtMicros > loop.now() + timeoutMicros) {
+    /**
+     * Makes the call in flight, if any, overdue once {@code timeoutMicros} have passed from now, unless it is overdue
+     * before that. The parameters are those of {@link #expectResponse}.
+     */
+    void shortenTimeout(long pollWaitMicros, long timeoutMicros) {
+        if (overdueAtMicros != NOTHING_IN_FLIGHT && overdueAtMicros > loop.now() + timeoutMicros) {
             expectResponse(pollWaitMicros, timeoutMicros);
         }
     }
 
-    /** Runs {@code call} at this time on the loop's clock; nothing is in flight until then. */
-    void scheduleCall(long atMicros, Runnable call) {
+    /** Runs {@code call} at the given time of the loop's clock; nothing is in flight until then. */
+    void scheduleCall(long timeMicros, Runnable call) {
         cancelTimer();
-        overdueAtMicros = NOT_IN_FLIGHT;
-        timer = loop.at(atMicros, call);
+        overdueAtMicros = NOTHING_IN_FLIGHT;
+        timer = loop.at(timeMicros, call);
     }
 
+    /** Records whether the connection can be used after this response. */
     void recordResponse(DiscoveryResponse response) {
-        finished = response.endsConnection();
+        connectionClosed = response.connectionClosed();
     }
 
-    /** Whether the last response ended the connection, so that the next call needs another stream. */
-    boolean isFinished() {
-        return finished;
+    /** Returns whether the last response ended with the connection, so that the next call needs a new stream. */
+    boolean isConnectionClosed() {
+        return connectionClosed;
     }
 
-    boolean isOn(Connection<?> other) {
+    boolean usesConnection(Connection<?> other) {
         return connection == other;
     }
 
@@ -111,13 +127,14 @@
         }
     }
 
+    /** Closes the connection, or cancels the attempt to connect. The listener is not notified of it. */
     void close() {
         cancelTimer();
         if (connection != null) {
             connection.closeSilently();
         } else {
-            // The operating system would go on trying to connect for minutes.
-            connecting.cancel(true);
+            // Otherwise the operating system would keep trying to connect for minutes.
+            connectAttempt.cancel(true);
         }
     }
 }
--- a/src/main/java/mintstair/discovery/WatchTransport.java
+++ b/src/main/java/mintstair/discovery/WatchTransport.java
@@ -26,22 +26,23 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * HTTP/1.1 to one discovery service over Grizzly. Its methods do not block and may be called on any thread; all
- * callbacks run on the event loop.
+ * Sends HTTP/1.1 requests to one discovery service and receives its responses, over Grizzly. Methods do not block and
+ * may be called on any thread; all callbacks run on the event loop.
  */
 final class WatchTransport {
-    /** Receives what happens on connections, on the event loop. */
+    /** Receives the events of connections, on the event loop. */
     interface Listener {
+        /** Called when a response is complete. */
         void onResponse(Connection<?> connection, DiscoveryResponse response);
 
-        /** The connection closed without completing a response. */
+        /** Called when a connection closed, unless its end completed a response. */
         void onClose(Connection<?> connection);
     }
 
     private static final String LIST_PATH = "/registry/instances";
     /**
-     * Ten times an indented list of 1,024 endpoints. Bounds the heap that an endless response may take before it is
-     * overdue; its buffer is copied as it grows.
+     * The largest body that is accepted: ten times an indented list of 1,024 endpoints. Limits the heap that an endless
+     * response takes up before it is overdue; the buffer of the body is copied as it grows.
      */
     private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
 
@@ -62,10 +63,10 @@
         connector = TCPNIOConnectorHandler.builder(transport).processor(filters).build();
     }
 
-    /** Connects; the returned future cancels the attempt, after which neither callback runs. */
+    /** Starts to connect. Cancelling the returned future ends the attempt, after which neither callback runs. */
     GrizzlyFuture<Connection> connect(Consumer<Connection<?>> onConnected, Runnable onFailure) {
-        GrizzlyFuture<Connection> connecting = connector.connect(address);
-        connecting.addCompletionHandler(new EmptyCompletionHandler<Connection>() {
+        GrizzlyFuture<Connection> attempt = connector.connect(address);
+        attempt.addCompletionHandler(new EmptyCompletionHandler<Connection>() {
             @Override
             public void completed(Connection connection) {
                 loop.execute(() -> onConnected.accept(connection));
@@ -76,15 +77,19 @@
                 loop.execute(onFailure);
             }
         });
-        return connecting;
+        return attempt;
     }
 
-    /** Requests the whole list. */
+    /** Requests a snapshot of the endpoint list. */
     void requestSnapshot(Connection<?> connection) {
         connection.write(listRequest().build());
     }
 
-    /** Requests what changed after this revision; the service responds at the next change or when the wait is over. */
+    /**
+     * Requests the changes after a revision.
+     *
+     * @param waitMicros how long the service holds the request if there is no change; it is sent in whole milliseconds
+     */
     void requestDelta(Connection<?> connection, long revision, long waitMicros) {
         HttpRequestPacket.Builder request = listRequest();
         request.query("index=" + revision + "&wait=" + waitMicros / 1000);
@@ -100,16 +105,17 @@
     }
 
     /**
-     * Collects the parts of a response and hands complete responses and ends of connections to the event loop. Runs on
-     * the network thread.
+     * Assembles responses from their parts, and passes complete responses and closed connections to the event loop.
+     * Runs on the network thread.
      */
     private final class ResponseFilter extends BaseFilter {
         /**
-         * What has arrived of a response.
+         * A response that has arrived in part.
          *
-         * @param endsAtClose whether the response has no length, so that the end of the connection is its end
+         * @param body what has arrived of the body
+         * @param closeDelimited whether the response has no length, so that the end of the connection ends it
          */
-        private record PartialResponse(ByteArrayOutputStream body, int status, boolean endsAtClose) {}
+        private record PartialResponse(ByteArrayOutputStream body, int status, boolean closeDelimited) {}
 
         private final Attribute<PartialResponse> partialResponses = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
                 "discovery.response." + System.identityHashCode(this));
@@ -136,8 +142,8 @@
             PartialResponse partial = partialResponses.get(connection);
             if (partial == null) {
                 HttpResponsePacket head = (HttpResponsePacket) content.getHttpHeader();
-                boolean endsAtClose = !head.isChunked() && head.getContentLength() < 0;
-                partial = new PartialResponse(new ByteArrayOutputStream(), head.getStatus(), endsAtClose);
+                boolean closeDelimited = !head.isChunked() && head.getContentLength() < 0;
+                partial = new PartialResponse(new ByteArrayOutputStream(), head.getStatus(), closeDelimited);
                 partialResponses.set(connection, partial);
             }
             return partial;
@@ -149,21 +155,22 @@
             partial.body.writeBytes(bytes);
         }
 
-        private void complete(Connection<?> connection, PartialResponse whole, boolean endsConnection) {
-            DiscoveryResponse response = new DiscoveryResponse(whole.status, whole.body.toByteArray(), endsConnection);
+        private void complete(Connection<?> connection, PartialResponse partial, boolean connectionClosed) {
+            DiscoveryResponse response =
+                    new DiscoveryResponse(partial.status, partial.body.toByteArray(), connectionClosed);
             loop.execute(() -> listener.onResponse(connection, response));
         }
 
         /**
-         * A connection that was reset looks like one that was closed, so a response without a length is complete only
-         * if its body is complete by itself.
+         * Completes a response that the end of the connection delimits. Since a reset connection cannot be told from
+         * one that was closed, such a response counts as complete only if its body is a complete JSON text.
          */
         @Override
         public NextAction handleClose(FilterChainContext context) {
             Connection<?> connection = context.getConnection();
             PartialResponse partial = partialResponses.remove(connection);
             if (partial != null
-                    && partial.endsAtClose
+                    && partial.closeDelimited
                     && EndpointListParser.isCompleteJson(partial.body.toByteArray())) {
                 complete(connection, partial, true);
             } else {
--- a/src/main/java/mintstair/discovery/pace/WatchPacing.java
+++ b/src/main/java/mintstair/discovery/pace/WatchPacing.java
@@ -4,68 +4,89 @@
 import mintstair.retry.Backoff;
 
 /**
- * The timing of the long polls that watch the endpoint list: how long a poll waits for changes, when its response is
- * overdue, and the delay before a retry. A draining endpoint may be sent requests only for a grace period, which starts
- * when the service has the change and not when this proxy reads it; a lost response must therefore be noticed within
- * that period.
+ * Determines the timing of the calls that watch the endpoint list: how long a poll waits for changes, when a response
+ * is overdue, and the delay before a retry. A draining endpoint may be sent requests only during a grace period, which
+ * starts when the service has the change, not when this proxy receives it. A missing response must therefore be
+ * detected within that period.
  *
- * <p>There are two kinds of service. An agent on this machine responds at once and at no cost, and its grace period
- * runs whether or not a poll is open: a quarter of the grace period is for a response, half is for a poll's wait, and
- * the rest for a retry. A service that the whole fleet shares is polled with long waits, and its retries are spread by
- * {@link JitteredBackoff}.
+ * <p>There are two kinds of service. A local agent runs on the same machine as the proxy and responds at once and at
+ * negligible cost; the grace period of its changes starts whether or not a poll is open. A quarter of the grace period
+ * is for a response, half for the wait of a poll, and the rest for a retry. A shared service is called by the whole
+ * fleet. It is polled with long waits, and retries are spread by {@link JitteredBackoff}.
  *
- * <p>All times are microseconds. Not thread-safe.
+ * <p>All times are in microseconds. Not thread-safe.
  */
 public final class WatchPacing {
-    /** Used where the settings give no grace period, and for those below or above the bounds. */
+    /** The grace period if the settings state none. */
     static final long DEFAULT_GRACE_MICROS = 1_000_000;
-
+    /** Shorter grace periods are treated as this one. */
     private static final long MIN_GRACE_MICROS = 200_000;
+    /** Longer grace periods are treated as this one. */
     private static final long MAX_GRACE_MICROS = 4_000_000;
-    /** The first delay after a failure of the local agent; it doubles up to the time for a response. */
+    /**
+     * The upper bound of the first delay after a failure of a local agent; it doubles with each further failure, up to
+     * the time for a response.
+     */
     private static final long LOCAL_INITIAL_DELAY_MICROS = 10_000;
-    /** Practically no wait: an unconfirmed local agent is to respond at once, so that its silence shows at once. */
+    /**
+     * The wait of the first poll of a local agent and after a failure: practically none, so that an agent that does not
+     * respond is detected as early as possible.
+     */
     private static final long LOCAL_UNCONFIRMED_WAIT_MICROS = 1_000;
-    /** Polls in flight to the local agent: a late response is still accepted while the next poll is tried. */
+    /**
+     * The most calls in flight to a local agent: the response to an overdue call is still accepted while further calls
+     * are made.
+     */
     private static final int LOCAL_MAX_IN_FLIGHT = 4;
 
-    /** How long the shared service holds a poll, so that an idle fleet polls rarely. */
+    /** The wait of a poll of a shared service; long, so that a fleet polls rarely while the list does not change. */
     private static final long SHARED_WAIT_MICROS = 20_000_000;
-    /** The first poll, and one after a failure: shows soon whether the service responds and knows this revision. */
+    /**
+     * The wait of the first poll of a shared service and after a failure; short, so that it shows early whether the
+     * service responds and has this revision.
+     */
     private static final long SHARED_UNCONFIRMED_WAIT_MICROS = 2_000_000;
     /**
-     * The grace period of a change that a failed poll missed starts this long after the service had it and was
-     * reachable.
+     * If a change is missed because a call to a shared service failed, its grace period starts this long after the
+     * service had the change and was reachable.
      */
     static final long NOTIFICATION_DEADLINE_MICROS = 6_000_000;
     /**
-     * The grace period of what a silent poll missed starts 2 s after the end of its wait, and
-     * {@link #NOTIFICATION_DEADLINE_MICROS} after it was sent; half of either is for noticing the silence.
+     * The time for a response of a shared service once the wait of a poll has passed. If a change is missed because a
+     * poll gets no response, its grace period starts 2 s after the end of the wait; half of that is for detecting that
+     * the response is missing.
      */
     private static final long SHARED_DELTA_OVERDUE_MICROS = 1_000_000;
-
+    /**
+     * The time for a response of a shared service to a call for the snapshot. If a change is missed because that call
+     * gets no response, its grace period starts {@link #NOTIFICATION_DEADLINE_MICROS} after the call was sent; half of
+     * that is for detecting that the response is missing.
+     */
     private static final long SHARED_SNAPSHOT_OVERDUE_MICROS = NOTIFICATION_DEADLINE_MICROS / 2;
-    /** The longest delay after a lost connection or a silent poll: most of the time that is then left. */
+    /** The longest delay after a lost connection or an overdue poll: most of the time that is then left. */
     private static final long MAX_DELAY_AFTER_LOSS_MICROS = 900_000;
-    /** After a rejection the service is known to be up and busy, and a response may take the rest of the time. */
+    /** The longest delay after a rejection. The service is up but busy, so a response may take the rest of the time. */
     static final long MAX_DELAY_AFTER_REJECTION_MICROS = 4_500_000;
-    /** After a timeout; the service may have become reachable just after the call was sent. */
+    /** The longest delay after a timeout. The service may have become reachable just after the call was sent. */
     static final long MAX_DELAY_AFTER_TIMEOUT_MICROS = 2_500_000;
 
-    /** Why a call has to be made again. */
+    /** The kind of failure after which a call is retried. */
     public enum Failure {
         /**
-         * The connection failed or a held poll fell silent, or the response was malformed: says nothing about the load.
+         * The connection failed, a poll that the service held got no response, or the response was malformed. Does not
+         * indicate that the service is overloaded.
          */
         CONNECTION_LOST,
-        /** The service responded, but with an error status. */
+        /** The service responded with an error status. */
         REJECTED,
-        /** No response to a call that is not held. */
+        /** A call to which the service was to respond at once got no response. */
         TIMED_OUT
     }
 
     private final boolean localAgent;
+    /** The time for a response of the local agent; unused for a shared service. */
     private final long localResponseMicros;
+
     private final Backoff afterLoss;
     private final Backoff afterRejection;
     private final Backoff afterTimeout;
@@ -84,9 +105,9 @@
     }
 
     /**
-     * For an agent on this machine.
+     * Returns the pacing for a local agent.
      *
-     * @param drainGraceMicros how long a draining endpoint may still be sent requests; 0 where the settings give none
+     * @param drainGraceMicros how long a draining endpoint may still be sent requests; 0 for the default
      */
     public static WatchPacing forLocalAgent(long drainGraceMicros, Random random) {
         long graceMicros = drainGraceMicros > 0 ? drainGraceMicros : DEFAULT_GRACE_MICROS;
@@ -97,22 +118,23 @@
     }
 
     /**
-     * For a service shared by this many proxies, each of which is sent a list of this many endpoints. After any failure
-     * the retry comes early enough for its response to arrive within {@link #NOTIFICATION_DEADLINE_MICROS}, whenever
-     * during the failed call or the delay the service became reachable again.
+     * Returns the pacing for a service that is shared by a fleet of {@code proxies}, each of which is sent a list of
+     * {@code endpoints}. After any failure the retry is made early enough for its response to arrive within
+     * {@link #NOTIFICATION_DEADLINE_MICROS} of when the service became reachable again, whether that was during the
+     * failed call or during the delay.
      */
     public static WatchPacing forSharedService(int proxies, int endpoints, Random random) {
         JitteredBackoff jittered = new JitteredBackoff(proxies, endpoints, random);
         return new WatchPacing(
                 false,
                 0,
-                jittered.upTo(MAX_DELAY_AFTER_LOSS_MICROS),
-                jittered.upTo(MAX_DELAY_AFTER_REJECTION_MICROS),
-                jittered.upTo(MAX_DELAY_AFTER_TIMEOUT_MICROS));
+                jittered.withMaxDelay(MAX_DELAY_AFTER_LOSS_MICROS),
+                jittered.withMaxDelay(MAX_DELAY_AFTER_REJECTION_MICROS),
+                jittered.withMaxDelay(MAX_DELAY_AFTER_TIMEOUT_MICROS));
     }
 
     /**
-     * How long the service is asked to hold a poll for changes.
+     * Returns how long the service is to hold a poll until there is a change.
      *
      * @param confirmed whether the previous call succeeded
      */
@@ -124,9 +146,9 @@
     }
 
     /**
-     * After how long a missing response counts as overdue.
+     * Returns the time after which a response is overdue.
      *
-     * @param pollWaitMicros how long the service holds the poll; 0 for a call for the snapshot
+     * @param pollWaitMicros how long the service may hold the call; 0 for a call for the snapshot
      */
     public long responseTimeoutMicros(long pollWaitMicros) {
         if (localAgent) {
@@ -135,14 +157,16 @@
         return pollWaitMicros > 0 ? pollWaitMicros + SHARED_DELTA_OVERDUE_MICROS : SHARED_SNAPSHOT_OVERDUE_MICROS;
     }
 
-    /** The failure that an overdue response stands for, given the wait of its poll (0 for a call for the snapshot). */
+    /**
+     * Returns which kind of failure an overdue response is.
+     *
+     * @param pollWaitMicros how long the service may hold the call; 0 for a call for the snapshot
+     */
     public Failure timeoutFailure(long pollWaitMicros) {
         return pollWaitMicros > 0 ? Failure.CONNECTION_LOST : Failure.TIMED_OUT;
     }
 
-    /**
-     * Records a failure and returns the delay before the retry; it grows with consecutive failures of the same kind.
-     */
+    /** Records a failure and returns the delay before the retry, which grows with each failure of the same kind. */
     public long retryDelayMicros(Failure failure) {
         return switch (failure) {
             case CONNECTION_LOST -> afterLoss.nextDelayMicros();
@@ -151,17 +175,17 @@
         };
     }
 
-    /** Whether the next call is made at once, beside one whose response is overdue. */
+    /** Returns whether a call whose response is overdue is hedged, with a further call that is made at once. */
     public boolean hedgesOverdueCalls() {
         return localAgent;
     }
 
-    /** The most calls that may be in flight at once. */
+    /** Returns how many calls may be in flight at once. */
     public int maxInFlight() {
         return localAgent ? LOCAL_MAX_IN_FLIGHT : 1;
     }
 
-    /** Records a usable response: the next failure counts as the first. */
+    /** Records a success, after which the next failure of each kind counts as the first. */
     public void recordSuccess() {
         afterLoss.reset();
         afterRejection.reset();
--- a/src/test/java/mintstair/discovery/EndpointWatchTest.java
+++ b/src/test/java/mintstair/discovery/EndpointWatchTest.java
@@ -23,7 +23,7 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransportBuilder;
 import org.junit.jupiter.api.Test;
 
-/** What the watch asks of a scripted discovery service. */
+/** Tests which calls the watch makes to a scripted discovery service, and when. */
 class EndpointWatchTest {
     private static final String SNAPSHOT = "{\"rev\":7,\"all\":true,\"targets\":[]}";
     private static final String OLDER_DELTA = "{\"rev\":3,\"all\":false,\"targets\":[]}";
@@ -34,13 +34,14 @@
     private final List<EndpointList> lists = new CopyOnWriteArrayList<>();
     private final Counters counters = new Counters();
 
-    /** The body for a call, which is counted from 1 on; null rejects it with status 503. */
+    /** Decides how the service responds to each call. */
     private interface Script {
+        /** Returns the body of the response to a call, numbered from 1, or null to reject the call with status 503. */
         String respond(int call, String query);
     }
 
-    /** Watches the scripted service from this revision on, as one of three proxies, until {@code done}. */
-    private void watch(long revision, int endpoints, Script script, BooleanSupplier done) throws Exception {
+    /** Watches the scripted service as one of three proxies, starting at a revision, until the condition holds. */
+    private void watch(long revision, int endpoints, Script script, BooleanSupplier condition) throws Exception {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), 50);
         server.createContext("/registry/instances", exchange -> serve(exchange, script));
         server.start();
@@ -52,7 +53,7 @@
             EndpointWatch watch =
                     new EndpointWatch(loop, transport, server.getAddress(), revision, pacing, counters, lists::add);
             loop.execute(watch::start);
-            Program.await(done, "the calls");
+            Program.await(condition, "the calls");
             loop.execute(watch::close);
         } finally {
             transport.shutdownNow();
@@ -74,9 +75,9 @@
         exchange.close();
     }
 
-    /** Guards against adding to a thundering herd with new connections or calls for the snapshot. */
+    /** Guards against new connections and calls for the snapshot that add to the load of an overloaded service. */
     @Test
-    void rejectedCallIsRepeatedOnItsConnectionFromItsRevision() throws Exception {
+    void rejectedCallIsRetriedOnTheSameConnectionFromTheSameRevision() throws Exception {
         Script script = (call, query) -> call == 1 || call == 3 || call == 4 ? null : SNAPSHOT;
 
         watch(-1, 0, script, () -> queries.size() > 4 && lists.size() > 1);
@@ -84,16 +85,19 @@
         assertEquals(3, counters.listCallsFailed);
         assertTrue(counters.listCalls >= 5);
         assertEquals("null", queries.get(0));
-        assertEquals("null", queries.get(1), "there is no revision yet");
+        assertEquals("null", queries.get(1), "no revision is known yet");
         for (int i = 2; i < 5; i++) {
             assertTrue(queries.get(i).startsWith("index=7&"), queries.toString());
         }
-        assertEquals(1, clientPorts.subList(0, 5).stream().distinct().count(), "one connection");
+        assertEquals(1, clientPorts.subList(0, 5).stream().distinct().count(), "number of connections");
     }
 
-    /** Guards against a snapshot for each proxy of a fleet, and against deltas of another service. */
+    /**
+     * Guards against a snapshot for each proxy of a fleet that restarts, and against applying the deltas of another
+     * service.
+     */
     @Test
-    void knownRevisionIsContinuedAndAnOlderDeltaLeadsToTheSnapshot() throws Exception {
+    void watchStartsAtTheKnownRevisionAndRequestsTheSnapshotAfterAnOlderDelta() throws Exception {
         Script script = (call, query) -> query.startsWith("index=41&") ? OLDER_DELTA : SNAPSHOT;
 
         watch(41, 0, script, () -> lists.size() > 0 && queries.size() > 2);
@@ -104,15 +108,18 @@
         assertTrue(queries.get(2).startsWith("index=7&"), queries.toString());
     }
 
-    /** Guards against a thundering herd at another service, where no revision is known but how long lists are. */
+    /**
+     * Guards against a thundering herd when a fleet changes to another service: the revision there is unknown, while
+     * the length of the list is known.
+     */
     @Test
-    void retryWithoutARevisionIsDelayedByTheLengthOfTheList() throws Exception {
+    void retryDelayDependsOnTheLengthOfTheListWithoutARevision() throws Exception {
         long delayMicros = WatchPacing.forSharedService(3, 60, new Random(1)).retryDelayMicros(Failure.REJECTED);
-        assertTrue(delayMicros > 200_000, "more than for an empty list");
+        assertTrue(delayMicros > 200_000, "the delay is longer than for an empty list");
 
         watch(-1, 60, (call, query) -> call == 1 ? null : SNAPSHOT, () -> lists.size() > 0);
 
-        long passedNanos = callTimesNanos.get(1) - callTimesNanos.get(0);
-        assertTrue(passedNanos >= (delayMicros - 10_000) * 1000, passedNanos / 1000 + " us");
+        long elapsedNanos = callTimesNanos.get(1) - callTimesNanos.get(0);
+        assertTrue(elapsedNanos >= (delayMicros - 10_000) * 1000, elapsedNanos / 1000 + " us");
     }
 }
--- a/src/test/java/mintstair/discovery/ResponseEndTest.java
+++ b/src/test/java/mintstair/discovery/ResponseEndTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How responses of discovery end, over sockets, by a script with one step a connection; the last step serves all
- * further ones.
+ * Tests how the watch treats responses that end early, late, or not at all. The service runs on a socket and follows a
+ * script with one step per connection; the last step is repeated for all further connections.
  */
 class ResponseEndTest {
     private static final String LIST =
@@ -39,12 +39,12 @@
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n";
     private static final String HEAD_WITH_LENGTH = "HTTP/1.1 200 OK\r\nContent-Length: " + LIST.length() + "\r\n\r\n";
 
-    /** What one connection does after its first request. */
+    /** What the service does on one connection after its first request. */
     private interface Step {
-        void play(Socket socket, OutputStream out) throws IOException;
+        void run(Socket socket, OutputStream out) throws IOException;
     }
 
-    private static final Step SILENCE = (socket, out) -> {};
+    private static final Step NO_RESPONSE = (socket, out) -> {};
 
     private final EventLoop loop = new EventLoop();
     private final TCPNIOTransport transport =
@@ -71,6 +71,7 @@
         }
     }
 
+    /** Starts a watch of the service, without a known revision. */
     private void watch(WatchPacing pacing, Step... steps) {
         StandInHost.daemon(() -> accept(steps));
         InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
@@ -102,13 +103,13 @@
                 head.append((char) next);
             }
             requests.add(head.substring(0, head.indexOf("\r\n")));
-            step.play(socket, socket.getOutputStream());
+            step.run(socket, socket.getOutputStream());
         } catch (IOException e) {
             // The watch closed the connection.
         }
     }
 
-    private static WatchPacing localAgent() {
+    private static WatchPacing localAgentPacing() {
         return WatchPacing.forLocalAgent(1_000_000, new Random(1));
     }
 
@@ -127,7 +128,7 @@
         return (socket, out) -> {
             out.write(text.getBytes(StandardCharsets.UTF_8));
             out.flush();
-            reset().play(socket, out);
+            reset().run(socket, out);
         };
     }
 
@@ -136,22 +137,22 @@
     }
 
     /**
-     * A reset before the last byte, wherever it comes, is no end of a list that has no length: the snapshot is
-     * requested again.
+     * Guards against accepting part of a list: a reset at any point before the last byte must not complete a response
+     * that is delimited by the end of its connection. The snapshot is requested again.
      */
     @Test
-    void resetIsNoEndOfAListWithoutALength() {
+    void resetDoesNotCompleteAResponseWithoutALength() {
         List<Step> steps = new ArrayList<>();
         for (int n = 1; n < LIST.length(); n += 9) {
             steps.add(resetAfter(HEAD_WITHOUT_LENGTH + LIST.substring(0, n)));
         }
         steps.add(sends(HEAD_WITH_LENGTH + LIST));
 
-        watch(localAgent(), steps.toArray(Step[]::new));
+        watch(localAgentPacing(), steps.toArray(Step[]::new));
         awaitList();
 
         int deltaRequests = requests.get(requests.size() - 1).contains("index=7") ? 1 : 0;
-        assertEquals(steps.size(), requests.size() - deltaRequests, "one request for each: " + requests);
+        assertEquals(steps.size(), requests.size() - deltaRequests, "one request per connection: " + requests);
         assertEquals(
                 List.of(1), lists.stream().map(list -> list.entries().size()).toList());
         assertTrue(
@@ -160,48 +161,51 @@
     }
 
     @Test
-    void endOfTheConnectionIsTheEndOfAListWithoutALength() {
-        watch(localAgent(), (socket, out) -> {
+    void closedConnectionCompletesAResponseWithoutALength() {
+        watch(localAgentPacing(), (socket, out) -> {
             out.write((HEAD_WITHOUT_LENGTH + LIST).getBytes(StandardCharsets.UTF_8));
             socket.close();
         });
-        Program.await(() -> lists.size() > 1, "the list, again and again");
+        Program.await(() -> lists.size() > 1, "a second list");
 
         assertEquals(1, lists.get(0).entries().size());
     }
 
-    /** Silent from the first byte, in the head, and in the body: each is hedged after a quarter of the grace period. */
+    /**
+     * Covers responses that stop before the first byte, in the head, and in the body. Each is hedged after a quarter of
+     * the grace period.
+     */
     @Test
-    void responseThatFallsSilentIsHedgedWithinTheGracePeriod() {
+    void responseThatStopsIsHedgedWithinTheGracePeriod() {
         long startNanos = System.nanoTime();
 
         watch(
-                localAgent(),
-                SILENCE,
+                localAgentPacing(),
+                NO_RESPONSE,
                 sends(HEAD_WITH_LENGTH.substring(0, 20)),
                 sends(HEAD_WITH_LENGTH + LIST.substring(0, 50)),
                 sends(HEAD_WITH_LENGTH + LIST));
         awaitList();
 
-        long tookMillis = (System.nanoTime() - startNanos) / 1_000_000;
-        assertTrue(tookMillis < 1_500, tookMillis + " ms");
+        long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
+        assertTrue(elapsedMillis < 1_500, elapsedMillis + " ms");
     }
 
-    /**
-     * After a snapshot the agent is silent for good on every connection: it is polled on and on, and the list is kept.
-     */
+    /** After the snapshot the agent responds on no connection. The watch keeps the list and continues to poll. */
     @Test
-    void agentThatFallsSilentForGoodIsPolledOnAndOn() {
-        watch(localAgent(), sends(HEAD_WITH_LENGTH + LIST), SILENCE);
+    void agentThatNoLongerRespondsIsStillPolledFromTheKnownRevision() {
+        watch(localAgentPacing(), sends(HEAD_WITH_LENGTH + LIST), NO_RESPONSE);
         Program.await(() -> requests.size() > 8, "further calls");
 
         assertEquals(1, lists.size());
-        assertTrue(requests.get(requests.size() - 1).contains("index=7&wait=1"), "from the known revision");
+        assertTrue(
+                requests.get(requests.size() - 1).contains("index=7&wait=1"),
+                "the last poll is from the known revision");
     }
 
     /** Guards the heap of a small process against a response that never ends. */
     @Test
-    void endlessResponseIsCutOff() {
+    void endlessResponseIsAborted() {
         AtomicLong writtenBytes = new AtomicLong();
         Step endless = (socket, out) -> {
             byte[] blanks = " ".repeat(64 * 1024).getBytes(StandardCharsets.UTF_8);
@@ -218,26 +222,26 @@
         assertTrue(writtenBytes.get() < 16L * 1024 * 1024, writtenBytes + " bytes");
     }
 
-    /** A shared service that resets and rejects in turn: the list is there within 6 s of when it could be served. */
+    /** The service resets two connections and rejects a call. The list must arrive within 6 s of the last failure. */
     @Test
-    void sharedServiceIsPolledAgainInTime() {
+    void failedCallsToASharedServiceAreRetriedWithinTheNotificationDeadline() {
         AtomicLong lastFailureNanos = new AtomicLong();
-        Step failing = (socket, out) -> {
+        Step resetting = (socket, out) -> {
             lastFailureNanos.set(System.nanoTime());
-            reset().play(socket, out);
+            reset().run(socket, out);
         };
         Step rejectingOnce = (socket, out) -> {
             lastFailureNanos.set(System.nanoTime());
-            sends("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").play(socket, out);
-            // The next call comes on the same connection.
+            sends("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").run(socket, out);
+            // The retry is sent on the same connection.
             while (socket.getInputStream().read() != '\n') {}
-            sends(HEAD_WITH_LENGTH + LIST).play(socket, out);
+            sends(HEAD_WITH_LENGTH + LIST).run(socket, out);
         };
 
-        watch(WatchPacing.forSharedService(120, 120, new Random(1)), failing, failing, rejectingOnce);
+        watch(WatchPacing.forSharedService(120, 120, new Random(1)), resetting, resetting, rejectingOnce);
         awaitList();
 
-        long tookMillis = (System.nanoTime() - lastFailureNanos.get()) / 1_000_000;
-        assertTrue(tookMillis < 6_000, tookMillis + " ms after the last failure");
+        long elapsedMillis = (System.nanoTime() - lastFailureNanos.get()) / 1_000_000;
+        assertTrue(elapsedMillis < 6_000, elapsedMillis + " ms after the last failure");
     }
 }
