--- a/src/test/java/mintstair/serve/AttemptRulesTest.java
+++ b/src/test/java/mintstair/serve/AttemptRulesTest.java
@@ -10,39 +10,39 @@
 import mintstair.standin.LateHost;
 import org.junit.jupiter.api.Test;
 
-/** The rules that hold when an attempt is written, which may be long after the decision to send it. */
+/** Tests the checks that are made when an attempt is written, which may be long after the decision to send it. */
 class AttemptRulesTest extends ServiceFixture {
     private static final Pattern SENT_DEADLINE = Pattern.compile("d=(\\d+)");
 
     /**
-     * The first attempt lost its connection after it was written, and the connection for the retry comes up when the
-     * deduplication window is over: the retry would run a second time. The next request is the first that comes on
-     * that connection.
+     * The first attempt loses its connection after it was written, and the connection for the retry is established only
+     * after the deduplication window. A retry sent then would be executed a second time, so the first request on that
+     * connection must be the next one.
      */
     @Test
-    void repeatThatWaitedForItsConnectionBeyondItsWindowIsNotSent() throws Exception {
+    void retryIsNotSentIfItsConnectionIsEstablishedAfterTheDeduplicationWindow() throws Exception {
         LateHost host = lateHost();
-        serveKeyed(0.3, host("p", host.port(), true));
+        serveDeduplicated(0.3, host("p", host.port(), true));
         Client.Pg client = client();
         client.send(true, "id=keyed,c=write,cluster=1", 5_000);
         host.accept();
         host.greet(0);
         assertTrue(host.statement(0).contains("id=keyed,"));
-        long written = loop.now();
+        long writtenMicros = loop.now();
         host.end(0, true);
         host.accept();
-        awaitTime(written + 350_000);
+        awaitTime(writtenMicros + 350_000);
         host.greet(1);
         String answer = client.answer();
         assertTrue(answer.startsWith("refused") || answer.equals("failed"), answer);
         client.send(true, "id=next,c=write,cluster=1", 5_000);
-        String seen = host.statement(1);
-        assertTrue(seen.contains("id=next,"), seen);
+        String statement = host.statement(1);
+        assertTrue(statement.contains("id=next,"), statement);
     }
 
-    /** A request is read while the loop is busy for 400 ms: the host gets the time that the client then has left. */
+    /** A request is read while the loop is blocked for 400 ms; the deadline sent to the host must exclude that time. */
     @Test
-    void deadlineThatIsPassedOnCountsFromWhenTheRequestWasRead() throws Exception {
+    void deadlineSentToTheHostIsMeasuredFromTheReadOfTheRequest() throws Exception {
         LateHost late = lateHost();
         serve(true, 1, host("p", late.port(), true));
         Client.Pg client = client();
@@ -52,44 +52,45 @@
         late.statement(0);
         late.say(0, LateHost.answer("warm"));
         assertEquals("served warm", client.answer());
-        CountDownLatch busy = new CountDownLatch(1);
-        suspend(loop::execute, busy);
-        long bytes = bytesRead();
-        long sent = System.nanoTime();
+        CountDownLatch unblocked = new CountDownLatch(1);
+        suspend(loop::execute, unblocked);
+        long bytesBefore = bytesRead();
+        long sentNanos = System.nanoTime();
         client.send(true, "id=late,c=write,cluster=1", 2_000);
-        awaitRead(bytes);
+        awaitBytesRead(bytesBefore);
         awaitTime(loop.now() + 400_000);
-        busy.countDown();
+        unblocked.countDown();
         String statement = late.statement(0);
-        long waited = (System.nanoTime() - sent) / 1_000_000;
+        long waitedMillis = (System.nanoTime() - sentNanos) / 1_000_000;
         Matcher deadline = SENT_DEADLINE.matcher(statement);
         assertTrue(deadline.find(), statement);
-        long left = 2_000 - 400;
+        long remainingMillis = 2_000 - 400;
         assertTrue(
-                Long.parseLong(deadline.group(1)) <= left + 150,
-                "sent " + deadline.group(1) + " ms of " + left + " left, seen after " + waited);
+                Long.parseLong(deadline.group(1)) <= remainingMillis + 150,
+                "sent " + deadline.group(1) + " ms of " + remainingMillis + " ms left, received after " + waitedMillis
+                        + " ms");
     }
 
-    /** The connection comes up while the loop is busy, which it is until the request's time is over. */
+    /** The connection is established while the loop is blocked, which lasts until the request's deadline has passed. */
     @Test
-    void attemptIsNotBegunOnceItsRequestsTimeIsOver() throws Exception {
+    void attemptIsNotWrittenAfterTheDeadlineOfItsRequest() throws Exception {
         LateHost late = lateHost();
         serve(true, 1, host("p", late.port(), true));
         Client.Pg client = client();
         client.send(true, "id=over,c=write,cluster=1", 300);
         late.accept();
         late.hear(0);
-        CountDownLatch busy = new CountDownLatch(1);
-        suspend(loop::execute, busy);
-        long bytes = bytesRead();
+        CountDownLatch unblocked = new CountDownLatch(1);
+        suspend(loop::execute, unblocked);
+        long bytesBefore = bytesRead();
         late.welcome(0);
-        awaitRead(bytes);
+        awaitBytesRead(bytesBefore);
         awaitTime(loop.now() + 400_000);
-        busy.countDown();
+        unblocked.countDown();
         String answer = client.answer();
         assertTrue(answer.startsWith("refused") || answer.equals("failed"), answer);
         client.send(true, "id=next,c=write,cluster=1", 5_000);
-        String seen = late.statement(0);
-        assertTrue(seen.contains("id=next,"), seen);
+        String statement = late.statement(0);
+        assertTrue(statement.contains("id=next,"), statement);
     }
 }
--- a/src/test/java/mintstair/serve/BothFrontsTest.java
+++ b/src/test/java/mintstair/serve/BothFrontsTest.java
@@ -31,9 +31,12 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 import org.junit.jupiter.api.Test;
 
-/** One recorded mix of classes and of troubles, through both fronts: the same decisions, the same answers. */
+/**
+ * Sends the same requests, with the same host failures, through both fronts: routing decisions and answers must be
+ * equal.
+ */
 class BothFrontsTest {
-    /** Positions far from the present, so that no decision hangs on how fast this machine is. */
+    /** Replication positions are an hour from the present, so that decisions do not depend on the machine's speed. */
     private static final long NOW = 1_800_000_000_000L;
 
     private static final long AHEAD = NOW + 3_600_000;
@@ -41,42 +44,42 @@
 
     private record Query(boolean write, String comment, int deadlineMillis) {}
 
-    /** Makes one kind of stand-in host. */
-    interface Maker {
-        StandInHost host(String name, boolean primary, long position) throws IOException;
+    /** Creates stand-in hosts of one protocol. */
+    interface HostFactory {
+        StandInHost create(String name, boolean primary, long position) throws IOException;
     }
 
-    private static List<Query> mix() {
-        List<Query> mix = new ArrayList<>();
+    private static List<Query> queries() {
+        List<Query> queries = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             String[] requestClasses = {"any", "bounded", "session", "write", "session", "any", "bounded"};
             String requestClass = requestClasses[i % requestClasses.length];
             long position = i % 2 == 0 ? NOW : AHEAD + 1000;
             String session = requestClass.equals("session") ? ",after=" + position : "";
-            mix.add(new Query(
+            queries.add(new Query(
                     requestClass.equals("write"), "id=m" + i + ",c=" + requestClass + ",cluster=1" + session, 4000));
         }
-        mix.add(new Query(false, "id=error,c=any,cluster=1", 4000));
-        mix.add(new Query(true, "id=break,c=write,cluster=1", 4000));
-        mix.add(new Query(false, "id=silent,c=any,cluster=1", 300));
-        mix.add(new Query(false, "id=cut,c=any,cluster=1", 4000));
-        mix.add(new Query(true, "id=full,c=write,cluster=1", 30));
-        return mix;
+        queries.add(new Query(false, "id=error,c=any,cluster=1", 4000));
+        queries.add(new Query(true, "id=break,c=write,cluster=1", 4000));
+        queries.add(new Query(false, "id=silent,c=any,cluster=1", 300));
+        queries.add(new Query(false, "id=cut,c=any,cluster=1", 4000));
+        queries.add(new Query(true, "id=full,c=write,cluster=1", 30));
+        return queries;
     }
 
-    private static List<StandInHost> hosts(Maker maker, List<String> decisions) throws IOException {
+    private static List<StandInHost> hosts(HostFactory factory, List<String> decisions) throws IOException {
         List<StandInHost> hosts = List.of(
-                maker.host("p", true, AHEAD),
-                maker.host("r1", false, AHEAD),
-                maker.host("r2", false, BEHIND),
-                maker.host("r3", false, AHEAD));
+                factory.create("p", true, AHEAD),
+                factory.create("r1", false, AHEAD),
+                factory.create("r2", false, BEHIND),
+                factory.create("r3", false, AHEAD));
         for (StandInHost host : hosts) {
             host.witness = decisions::add;
             host.script.put("break", Act.BREAK);
             host.script.put("silent", Act.SILENT);
             host.script.put("full", Act.FULL);
         }
-        // Only some hosts fail these, so that a further attempt is served.
+        // Only some hosts fail on these, so that a retry on another host is served.
         for (StandInHost host : hosts.subList(2, 4)) {
             host.script.put("error", Act.ERROR);
             host.script.put("cut", Act.BREAK);
@@ -84,15 +87,15 @@
         return hosts;
     }
 
-    /** Plays the mix, one request after the other, on a clock that moves only between and by time-outs. */
-    private static List<String> play(Protocol protocol, List<StandInHost> hosts, TCPNIOTransport transport)
+    /** Sends the queries one after the other; the clock advances only between requests and to cause time-outs. */
+    private static List<String> sendAll(Protocol protocol, List<StandInHost> hosts, TCPNIOTransport transport)
             throws IOException {
         AtomicLong clock = new AtomicLong(NOW * 1000);
-        boolean pg = protocol instanceof PgProtocol;
+        boolean isPg = protocol instanceof PgProtocol;
         String listed = hosts.stream().map(h -> h.listed("SERVING")).collect(Collectors.joining(","));
         EndpointList list = ListReader.read(
                 Json.read(("{\"rev\":1,\"all\":true,\"targets\":[" + listed + "]}").getBytes(StandardCharsets.UTF_8)));
-        InstanceSettings settings = TestSettings.usual();
+        InstanceSettings settings = TestSettings.defaults();
         try (EventLoop loop = new EventLoop(clock::get)) {
             ProtocolService service = new ProtocolService(
                     loop,
@@ -101,21 +104,20 @@
                     20261201,
                     settings,
                     100,
-                    (dispatcher, counters) -> pg
+                    (dispatcher, counters) -> isPg
                             ? new PgFront(loop, dispatcher, transport, counters, 10)
                             : new MongoFront(loop, dispatcher, transport, counters, 10));
             service.start(null, list, false);
             int port = service.acceptClients(new InetSocketAddress("127.0.0.1", 0), null);
             List<String> answers = new ArrayList<>();
-            try (Client client = pg ? new Client.Pg(port) : new Client.Mongo(port)) {
-                for (Query query : mix()) {
+            try (Client client = isPg ? new Client.Pg(port) : new Client.Mongo(port)) {
+                for (Query query : queries()) {
                     client.send(query.write, query.comment, query.deadlineMillis);
                     if (query.comment.startsWith("id=silent")) {
                         Program.await(() -> hosts.stream().anyMatch(h -> h.seen.contains("silent")), "an attempt");
                         clock.addAndGet(query.deadlineMillis * 1000L);
                     } else if (query.comment.startsWith("id=full")) {
-                        Program.await(
-                                () -> counters(loop, service).contains(" ended_turned_away=1"), "the host's refusal");
+                        Program.await(() -> counters(loop, service).contains(" ended_turned_away=1"), "the rejection");
                         clock.addAndGet(query.deadlineMillis * 1000L);
                     }
                     answers.add(query.comment + ": " + client.answer());
@@ -134,7 +136,7 @@
     }
 
     @Test
-    void theSameMixIsDecidedAndAnsweredAlike() throws IOException {
+    void sameRequestsAreRoutedAndAnsweredAlikeByBothFronts() throws IOException {
         List<String> pgDecisions = Collections.synchronizedList(new ArrayList<>());
         List<String> mongoDecisions = Collections.synchronizedList(new ArrayList<>());
         List<StandInHost> pg = hosts(PgHost::new, pgDecisions);
@@ -142,13 +144,13 @@
         TCPNIOTransport transport = ClientTransport.create();
         transport.start();
         try {
-            List<String> pgAnswers = play(new PgProtocol(), pg, transport);
-            List<String> mongoAnswers = play(new MongoProtocol(), mongo, transport);
+            List<String> pgAnswers = sendAll(new PgProtocol(), pg, transport);
+            List<String> mongoAnswers = sendAll(new MongoProtocol(), mongo, transport);
             assertEquals(pgAnswers, mongoAnswers);
             assertEquals(pgDecisions, mongoDecisions);
-            // What is compared holds all that it should: each ending, and each kind of choice.
+            // The compared lists must not be trivial: they contain each result and each kind of routing decision.
             assertEquals(
-                    1, pgDecisions.stream().filter(d -> d.startsWith("break ")).count(), "a write runs once");
+                    1, pgDecisions.stream().filter(d -> d.startsWith("break ")).count(), "a write is sent once");
             assertTrue(pgAnswers.contains("id=m0,c=any,cluster=1: served m0"), pgAnswers.toString());
             for (String ending :
                     List.of("id=break,c=write,cluster=1: failed", "id=error,c=any,cluster=1: served error")) {
@@ -156,7 +158,7 @@
             }
             assertTrue(
                     pgAnswers.stream().anyMatch(a -> a.startsWith("id=full") && a.contains("refused")), "" + pgAnswers);
-            assertTrue(pgDecisions.stream().anyMatch(d -> d.endsWith(" r2")), "any reads use the one behind");
+            assertTrue(pgDecisions.stream().anyMatch(d -> d.endsWith(" r2")), "class any reads a lagging replica");
             assertTrue(pgDecisions.contains("m3 at p") && pgDecisions.contains("m11 at p"), "" + pgDecisions);
         } finally {
             transport.shutdownNow();
--- a/src/test/java/mintstair/serve/ConnectionEndsTest.java
+++ b/src/test/java/mintstair/serve/ConnectionEndsTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Connections that end, on either side, while a response or a request on them is not complete. */
+/** Tests connections of clients and to hosts that are closed before a request or response on them is complete. */
 class ConnectionEndsTest extends ServiceFixture {
     private final Set<Connection<?>> connections = ConcurrentHashMap.newKeySet();
     private final AtomicLong bytesRead = new AtomicLong();
@@ -62,11 +62,11 @@
     }
 
     /**
-     * Guards against a close with unread bytes: its reset would discard the response that was just written. And
-     * against an error that drops the requests that came whole before it.
+     * Guards against a close with unread bytes, which causes a reset that discards the response just written, and
+     * against a protocol error that drops complete requests received before it.
      */
     @Test
-    void clientThatGoesOnSendingGetsItsResponseTheErrorAndAnOrderlyClose() throws Exception {
+    void clientThatSendsAfterAProtocolErrorGetsItsResponsesTheErrorAndAnOrderlyClose() throws Exception {
         for (int n = 0; n < 5; n++) {
             Client.Pg client = client();
             ByteArrayOutputStream all = new ByteArrayOutputStream();
@@ -86,64 +86,64 @@
                         client.raw(new byte[20]);
                     }
                 } catch (IOException e) {
-                    // The proxy does not read without end.
+                    // Expected: the proxy stops reading at some point.
                 }
             });
             sender.start();
             host.say(0, LateHost.answer("a" + n));
             assertEquals("served a" + n, client.answer());
-            assertTrue(host.statement(0).contains("id=b" + n + ","), "what came whole before the garbage");
+            assertTrue(host.statement(0).contains("id=b" + n + ","), "the request before the error");
             host.say(0, LateHost.answer("b" + n));
             assertEquals("served b" + n, client.answer());
             assertEquals("failed", client.answer());
             assertEquals("08P01", client.code);
-            assertEquals(-1, client.in.read(), "an end, no reset");
+            assertEquals(-1, client.in.read(), "expected end of stream, not a reset");
             stop[0] = true;
             sender.join();
         }
     }
 
     /**
-     * Guards against a close with bytes unread in the system: its reset overtakes the error where a network loses a
-     * part of it. Here bytes arrive while the network thread is suspended, the error is written meanwhile, and more
-     * bytes arrive after the close.
+     * Guards against a close while the kernel holds unread bytes: its reset may arrive before the error message if the
+     * network loses a part of that. Here bytes arrive while the network thread is suspended and the error is written,
+     * and more bytes arrive after the close.
      */
     @Test
-    void bytesThatArriveAroundTheErrorAreReadAndNotReset() throws Exception {
+    void bytesThatArriveBeforeAndAfterTheErrorAreReadAndCauseNoReset() throws Exception {
         Client.Pg client = client();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(write("held"));
         all.writeBytes(new byte[] {'@', 0, 0, 0, 4});
         client.raw(all.toByteArray());
         host.accept();
-        Program.await(() -> connections.size() >= 2, "both sides");
-        CountDownLatch network = new CountDownLatch(1);
+        Program.await(() -> connections.size() >= 2, "the connections to the client and the host");
+        CountDownLatch networkReleased = new CountDownLatch(1);
         suspend(
                 task -> ((NIOConnection) connections.iterator().next()).executeInEventThread(IOEvent.READ, task),
-                network);
-        long before = bytesRead.get();
+                networkReleased);
+        long bytesBefore = bytesRead.get();
         client.raw(new byte[20]);
         loop.execute(() -> service.drainBy(loop.now(), loop.now()));
-        assertEquals("failed", client.answer(), "the request, which was on its way to its host");
+        assertEquals("failed", client.answer(), "the request that waits for its host");
         assertNotEquals("08P01", client.code);
-        assertEquals('E', client.in.read(), "the error");
-        String words = new String(client.in.readNBytes(client.in.readInt() - 4), StandardCharsets.UTF_8);
-        assertTrue(words.contains("08P01"), words);
-        // The task that wrote the error has requested the close by then.
+        assertEquals('E', client.in.read(), "an ErrorResponse");
+        String error = new String(client.in.readNBytes(client.in.readInt() - 4), StandardCharsets.UTF_8);
+        assertTrue(error.contains("08P01"), error);
+        // When this task runs, the task that wrote the error has requested the close.
         CompletableFuture.runAsync(() -> {}, loop::execute).join();
-        // With the loop suspended, its time-out for unread bytes cannot pass, however slow the machine.
-        CountDownLatch looping = new CountDownLatch(1);
-        suspend(loop::execute, looping);
-        network.countDown();
-        assertEquals(-1, client.in.read(), "the end");
+        // While the loop is suspended its time-out for unread bytes cannot expire, however slow the machine is.
+        CountDownLatch loopReleased = new CountDownLatch(1);
+        suspend(loop::execute, loopReleased);
+        networkReleased.countDown();
+        assertEquals(-1, client.in.read(), "the end of the stream");
         client.raw(new byte[20]);
-        Program.await(() -> bytesRead.get() == before + 40, "what came before the end and behind it to be read");
-        looping.countDown();
+        Program.await(() -> bytesRead.get() == bytesBefore + 40, "bytes sent before and after the close to be read");
+        loopReleased.countDown();
     }
 
-    /** One that never stops sending, and never closes, does not keep its descriptor. */
+    /** Guards against descriptors held by clients that send without end, or stay connected, after a protocol error. */
     @Test
-    void clientThatNeverStopsSendingIsClosedAllTheSame() throws Exception {
+    void clientThatDoesNotCloseAfterAProtocolErrorIsDisconnected() throws Exception {
         Client.Pg client = client();
         client.raw(new byte[] {'@', 0, 0, 0, 4});
         StandInHost.daemon(() -> {
@@ -152,34 +152,34 @@
                     client.raw(new byte[1024]);
                 }
             } catch (IOException e) {
-                // It was closed.
+                // Expected: the proxy has closed the connection.
             }
         });
-        Program.await(() -> service.front.connections() == 0, "its end");
+        Program.await(() -> service.front.connections() == 0, "the end of the connection that keeps sending");
         Client.Pg idle = client();
         idle.raw(new byte[] {'@', 0, 0, 0, 4});
         assertEquals("failed", idle.answer());
-        Program.await(() -> service.front.connections() == 0, "the close of one that sends nothing more and stays");
+        Program.await(() -> service.front.connections() == 0, "the end of the idle connection");
     }
 
-    /** Guards against responses that the system delays until the other side has acknowledged (Nagle's algorithm). */
+    /** Guards against small writes that Nagle's algorithm delays until the peer has acknowledged earlier ones. */
     @Test
-    void smallWritesAreNotDelayedOnEitherSide() throws Exception {
+    void tcpNoDelayIsSetOnConnectionsToClientsAndHosts() throws Exception {
         Client.Pg client = client();
         client.raw(write("one"));
         host.accept();
         host.greet(0);
         host.statement(0);
-        Program.await(() -> connections.size() >= 2, "both sides");
+        Program.await(() -> connections.size() >= 2, "the connections to the client and the host");
         for (Connection<?> connection : connections) {
             SocketChannel channel = (SocketChannel) ((NIOConnection) connection).getChannel();
             assertTrue(channel.getOption(StandardSocketOptions.TCP_NODELAY), connection.toString());
         }
     }
 
-    /** A host that closes in the middle of a reply: a write may have run, is failed at once and not retried. */
+    /** A host closes the connection within a reply: the write may have been executed, so it must not be retried. */
     @Test
-    void incompleteReplyOfAHostIsNoResponse() throws Exception {
+    void writeFailsWithoutRetryIfItsReplyIsIncomplete() throws Exception {
         byte[] answer = LateHost.answer("half");
         for (int n = 0; n < 4; n++) {
             Client.Pg client = client();
@@ -194,9 +194,9 @@
         assertEquals(4, service.counters.attemptsSent());
     }
 
-    /** An idle connection that its host closed, or reset, before the next request is not used for it. */
+    /** An idle connection that its host has closed or reset is not used for the next request. */
     @Test
-    void requestIsNotWrittenOnAConnectionThatItsHostHasEnded() throws Exception {
+    void requestIsNotWrittenOnAConnectionThatItsHostHasClosed() throws Exception {
         Client.Pg client = client();
         for (int n = 0; n < 4; n++) {
             client.raw(write("i" + n));
@@ -210,9 +210,9 @@
         assertEquals(4, service.counters.attemptsSent());
     }
 
-    /** A reset long after a request has ended, with no request on the connection, fails no other request. */
+    /** The host resets a connection while no request is in flight on it; no other request may fail. */
     @Test
-    void resetAfterTheReplyFailsNoRequest() throws Exception {
+    void resetOfAnIdleConnectionFailsNoRequest() throws Exception {
         Client.Pg client = client();
         client.raw(write("a"));
         host.accept();
@@ -221,7 +221,7 @@
         host.say(0, LateHost.answer("a"));
         assertEquals("served a", client.answer());
         client.raw(write("b"));
-        assertTrue(host.statement(0).contains("id=b,"), "the connection is kept");
+        assertTrue(host.statement(0).contains("id=b,"), "the connection is reused");
         host.say(0, LateHost.answer("b"));
         assertEquals("served b", client.answer());
         host.end(0, true);
@@ -233,30 +233,30 @@
         assertEquals("served c", client.answer());
     }
 
-    /** A request that is read at the moment in which a front drains is answered. */
+    /** Guards against requests that are read while the front starts to drain, and get no response. */
     @Test
-    void requestAtTheMomentOfTheDrainIsAnsweredOrLeftUnread() throws Exception {
-        List<Client.Pg> resting = new ArrayList<>();
+    void requestSentDuringTheDrainIsAnsweredOrNotRead() throws Exception {
+        List<Client.Pg> idleClients = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            resting.add(client());
+            idleClients.add(client());
         }
         loop.execute(() -> service.front.stopListening());
         loop.execute(() -> service.front.drain());
         int answered = 0;
         for (int i = 0; i < 10; i++) {
             try {
-                resting.get(i).raw(write("r" + i));
-                resting.get(i).socket.setSoTimeout(20_000);
-                if (resting.get(i).in.read() >= 0) {
+                idleClients.get(i).raw(write("r" + i));
+                idleClients.get(i).socket.setSoTimeout(20_000);
+                if (idleClients.get(i).in.read() >= 0) {
                     answered++;
                 }
             } catch (IOException e) {
-                // It was not read: the client sends it again elsewhere.
+                // The request was not read; a real client retries it on another proxy.
             }
         }
         assertEquals(
                 answered,
                 service.counters.requestsAccepted(),
-                "what was read has its answer, nothing else was forwarded");
+                "each request that was read is answered, and no other is accepted");
     }
 }
--- a/src/test/java/mintstair/serve/DescriptorBudgetTest.java
+++ b/src/test/java/mintstair/serve/DescriptorBudgetTest.java
@@ -9,21 +9,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class DescriptorBudgetTest {
-    /** The descriptors of a process that is full. */
+    /** Returns the descriptors that a process uses when all of its budget is used. */
     private static int used(DescriptorBudget budget) {
-        int clients = budget.clients() + Front.slack(budget.clients());
-        return clients + budget.hosts() + DescriptorBudget.RESERVED;
+        int clientConnections = budget.clients() + Front.slack(budget.clients());
+        return clientConnections + budget.hosts() + DescriptorBudget.RESERVED;
     }
 
-    /** Those of a successor beside it, with its hosts and half of the clients less the idle ones of the first. */
+    /**
+     * Returns the descriptors that a successor adds: its own and its connections to hosts. Its clients replace idle
+     * clients of the predecessor.
+     */
     private static int usedBySuccessor(DescriptorBudget budget) {
         return budget.hosts() + DescriptorBudget.RESERVED;
     }
 
-    /** Guards against clients that are rejected though descriptors are free, and against more than there are. */
+    /** Guards against clients rejected although descriptors are free, and against use beyond the limit. */
     @ParameterizedTest
     @ValueSource(ints = {256, 384, 1024})
-    void descriptorsAreDividedInFull(int descriptors) {
+    void nearlyAllDescriptorsAreUsedAndNoMore(int descriptors) {
         DescriptorBudget budget = DescriptorBudget.of(descriptors, 1, false, 3);
 
         int used = used(budget);
@@ -34,14 +37,14 @@
 
     @ParameterizedTest
     @ValueSource(ints = {256, 384, 1024})
-    void successorFitsBesideAFullProcess(int descriptors) {
+    void successorFitsIntoTheLimitBesideAFullyUsedProcess(int descriptors) {
         DescriptorBudget budget = DescriptorBudget.of(descriptors, 1, true, 3);
 
         assertTrue(used(budget) + usedBySuccessor(budget) <= descriptors, budget.toString());
         assertTrue(budget.clients() >= descriptors / 4, budget.toString());
     }
 
-    /** However many hosts are known, they do not take what clients need. */
+    /** Guards against connections to hosts that use the descriptors needed by clients if many hosts are known. */
     @ParameterizedTest
     @ValueSource(ints = {128, 256, 384, 1024})
     void manyKnownHostsLeaveDescriptorsForClientsAndASuccessor(int descriptors) {
@@ -56,7 +59,7 @@
     }
 
     @Test
-    void processBesideItsPredecessorStartsWithHalfOfTheClients() {
+    void processStartedBesideItsPredecessorAcceptsHalfOfTheClients() {
         DescriptorBudget budget = new DescriptorBudget(101, 16);
 
         assertEquals(new DescriptorBudget(50, 16), budget.besidePredecessor());
--- a/src/test/java/mintstair/serve/DisconnectedClientsTest.java
+++ b/src/test/java/mintstair/serve/DisconnectedClientsTest.java
@@ -16,18 +16,18 @@
 import mintstair.standin.StandInHost.Act;
 import org.junit.jupiter.api.Test;
 
-/** A client that has closed its connection: no attempt begins for it any more, in whatever state its request is. */
+/** Tests that no attempt is sent for a client that has disconnected, whatever the state of its request. */
 class DisconnectedClientsTest extends ServiceFixture {
-    /** Without cancellation, so that nothing but the client's disconnect keeps attempts from beginning. */
+    /** Serves without cancellation, so that only the client's disconnect can prevent attempts. */
     private void serve(EndpointList.Entry... hosts) throws IOException {
         serve(false, 64, hosts);
     }
 
     /**
-     * Once no request is in flight: on a connection that comes up only now, the next request is the first that the
-     * host sees.
+     * Waits until no request is in flight, sends another and establishes the host's connection, on which that request
+     * must be the first.
      */
-    private void awaitNextToBeFirst(LateHost late) throws IOException {
+    private void assertNextRequestIsTheFirstSent(LateHost late) throws IOException {
         awaitMetric("in_flight", 0);
         Client.Pg next = client();
         next.send(true, "id=next,c=write,cluster=1", 15_000);
@@ -37,9 +37,8 @@
         assertTrue(first.contains("id=next,"), first);
     }
 
-    /** Its connection comes up long after the disconnect; the next request is the first that the host sees. */
     @Test
-    void attemptThatWaitsForAConnectionDoesNotBeginOnceItsClientHasDisconnected() throws IOException {
+    void attemptWaitingForAConnectionIsNotSentAfterItsClientHasDisconnected() throws IOException {
         LateHost late = lateHost();
         serve(host("late", late.port(), true));
         Client.Pg disconnected = client();
@@ -47,12 +46,12 @@
         late.accept();
         awaitMetric("in_flight", 1);
         disconnected.close();
-        awaitNextToBeFirst(late);
+        assertNextRequestIsTheFirstSent(late);
     }
 
-    /** A connection that comes up after its request's deadline carries the next request, not that one. */
+    /** The connection is established after the request's deadline, and must carry the next request. */
     @Test
-    void attemptThatWaitsForAConnectionDoesNotBeginOnceItsRequestIsOver() throws IOException {
+    void attemptWaitingForAConnectionIsNotSentAfterItsDeadline() throws IOException {
         LateHost late = lateHost();
         serve(host("late", late.port(), true));
         Client.Pg client = client();
@@ -66,9 +65,9 @@
         assertTrue(late.statement(0).contains("id=next,"));
     }
 
-    /** Hundreds that disconnect together while all of their requests wait: none of them begins. */
+    /** Hundreds of clients disconnect at once while their requests wait for a connection. */
     @Test
-    void burstOfDisconnectedClientsIsNotForwarded() throws IOException {
+    void requestsOfManyClientsThatDisconnectAtOnceAreNotSent() throws IOException {
         LateHost late = lateHost();
         serve(host("late", late.port(), true));
         List<Client.Pg> burst = new ArrayList<>();
@@ -81,36 +80,36 @@
         for (Client.Pg client : burst) {
             client.close();
         }
-        awaitNextToBeFirst(late);
+        assertNextRequestIsTheFirstSent(late);
         assertEquals(301, service.counters.requestsAccepted());
     }
 
-    /** Queued as there is no primary: when one is listed, only requests whose clients are still connected are sent. */
+    /** Two requests wait until a primary is listed; only the one whose client is still connected may be sent then. */
     @Test
-    void requestQueuedForAPrimaryIsDroppedWithItsClient() throws IOException {
+    void requestWaitingForAPrimaryIsDroppedWhenItsClientDisconnects() throws IOException {
         PgHost primary = new PgHost("p", true, 5);
-        open.add(primary);
+        resources.add(primary);
         serve(host("r", 9, false));
         Client.Pg disconnected = client();
-        Client.Pg stays = client();
+        Client.Pg connected = client();
         disconnected.send(true, "id=gone,c=write,cluster=1", 15_000);
-        stays.send(true, "id=stays,c=write,cluster=1", 15_000);
+        connected.send(true, "id=stays,c=write,cluster=1", 15_000);
         awaitMetric("in_flight", 2);
         disconnected.close();
         awaitMetric("in_flight", 1);
         loop.execute(() ->
                 service.onStoreEndpoints(new EndpointList(2, true, List.of(host("p", primary.port(), true)))));
-        assertEquals("served stays", stays.answer());
+        assertEquals("served stays", connected.answer());
         assertEquals(List.of("stays"), List.copyOf(primary.seen));
     }
 
-    /** It disconnects during its first attempt, which fails as one that may be retried, and is not. */
+    /** The client disconnects during the first attempt, which then fails in a way that would allow a retry. */
     @Test
-    void retryDoesNotBeginOnceItsClientHasDisconnected() throws IOException {
+    void failedAttemptIsNotRetriedAfterItsClientHasDisconnected() throws IOException {
         PgHost first = new PgHost("first", false, 5);
         PgHost second = new PgHost("second", false, 5);
-        open.add(first);
-        open.add(second);
+        resources.add(first);
+        resources.add(second);
         first.script.put("gone", Act.SILENT);
         second.script.put("gone", Act.SILENT);
         serve(host("first", first.port(), false), host("second", second.port(), false));
@@ -129,43 +128,43 @@
     }
 
     /**
-     * The loop is busy when a request and the end of its connection arrive: it must know of the end when it gets to
-     * the request.
+     * A request and the end of its connection arrive while the loop is blocked. The loop must detect the disconnect
+     * when it handles the request.
      */
     @Test
-    void requestOfAClientThatDisconnectedBeforeTheLoopGotToItIsNotForwarded() throws Exception {
+    void requestIsNotSentIfItsClientDisconnectedBeforeTheLoopHandlesIt() throws Exception {
         PgHost primary = new PgHost("p", true, 5);
-        open.add(primary);
+        resources.add(primary);
         serve(host("p", primary.port(), true));
         assertEquals("served before", client().ask(true, "id=before,c=write,cluster=1", 15_000));
         Client.Pg disconnected = client();
-        CountDownLatch blocked = new CountDownLatch(1);
-        suspend(loop::execute, blocked);
-        int clients = service.front.connections();
+        CountDownLatch unblocked = new CountDownLatch(1);
+        suspend(loop::execute, unblocked);
+        int connections = service.front.connections();
         disconnected.send(true, "id=gone,c=write,cluster=1", 15_000);
         disconnected.close();
-        Program.await(() -> service.front.connections() < clients, "the network thread to have seen the end");
-        blocked.countDown();
+        Program.await(() -> service.front.connections() < connections, "the network thread to detect the disconnect");
+        unblocked.countDown();
         assertEquals("served next", client().ask(true, "id=next,c=write,cluster=1", 15_000));
         assertEquals(2, service.counters.attemptsSent(), "attempts");
     }
 
-    /** Pipelines requests and disconnects: only the first has begun. */
+    /** A client pipelines requests and disconnects while the first of them is in flight. */
     @Test
-    void pipelinedRequestsOfADisconnectedClientAreDropped() throws IOException {
+    void pipelinedRequestsAreDroppedWhenTheirClientDisconnects() throws IOException {
         PgHost primary = new PgHost("p", true, 5);
-        open.add(primary);
+        resources.add(primary);
         primary.script.put("m0", Act.SILENT);
         serve(host("p", primary.port(), true));
         Client.Pg disconnected = client();
-        StringBuilder all = new StringBuilder();
+        StringBuilder pipeline = new StringBuilder();
         for (int i = 0; i < 50; i++) {
-            all.append(new String(
+            pipeline.append(new String(
                     Client.Pg.query(Client.Pg.words(true, "id=m" + i + ",c=write,cluster=1", 15_000)),
                     StandardCharsets.ISO_8859_1));
         }
-        disconnected.raw(all.toString().getBytes(StandardCharsets.ISO_8859_1));
-        Program.await(() -> primary.seen.contains("m0"), "the first of many");
+        disconnected.raw(pipeline.toString().getBytes(StandardCharsets.ISO_8859_1));
+        Program.await(() -> primary.seen.contains("m0"), "the first pipelined request");
         disconnected.close();
         awaitMetric("in_flight", 0);
         assertEquals("served next", client().ask(true, "id=next,c=write,cluster=1", 15_000));
--- a/src/test/java/mintstair/serve/DrainingEndpointsTest.java
+++ b/src/test/java/mintstair/serve/DrainingEndpointsTest.java
@@ -22,11 +22,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How soon a draining host gets no more requests, at one of 100 proxies with 120 hosts, whatever becomes of the
- * watch: an update counts from when its agent has it, and one that an unresponsive watch misses after 6 s.
+ * Tests how soon a draining host gets no more requests, for one of 100 proxies with 120 hosts, under various failures
+ * of the watch. The time is measured from when the agent has the update; 6 s are allowed for an update that an
+ * unresponsive watch has missed.
  */
 class DrainingEndpointsTest extends ServiceFixture {
-    /** No request goes to a host later than this after it began to drain. */
+    /** The time after which a draining host must get no more requests. */
     private static final long GRACE_MILLIS = 1_000;
 
     private static final long UNRESPONSIVE_MILLIS = 6_000;
@@ -38,9 +39,9 @@
     @BeforeEach
     void start() throws IOException {
         agent = new Discovery(Discovery.hosts(hosts));
-        open.add(agent);
+        resources.add(agent);
         relay = new Relay(agent.port());
-        open.add(0, relay);
+        resources.add(0, relay);
         service = service(100, "automatic", "0.25");
     }
 
@@ -62,15 +63,15 @@
         return new InetSocketAddress("127.0.0.1", port);
     }
 
-    /** Begins from the list as it is at first. */
-    private void begin() throws IOException {
+    /** Starts the service with the initial list. */
+    private void startService() throws IOException {
         String known = "{\"rev\":1,\"all\":true,\"targets\":[" + Discovery.hosts(hosts) + "]}";
         service.start(address(relay.port()), ListReader.read(Json.read(known.getBytes(StandardCharsets.UTF_8))), true);
     }
 
-    /** The same; a watch is open on return. */
-    private void watch() throws IOException {
-        begin();
+    /** Starts the service with the initial list and waits until a watch is open. */
+    private void startWatch() throws IOException {
+        startService();
         Program.await(() -> agent.asked.size() > 1, "a watch");
     }
 
@@ -78,174 +79,173 @@
         agent.tell(Discovery.hosts(hosts, host + "=DRAINING"));
     }
 
-    /** The router excludes one host within this time. */
-    private void awaitDrainingWithin(long millis) {
-        long began = System.nanoTime();
+    /** Asserts that the router excludes one host within this time. */
+    private void assertExcludedWithin(long millis) {
+        long startNanos = System.nanoTime();
         Program.await(() -> metric("db_hosts_excluded") == 1, "the update");
-        long took = (System.nanoTime() - began) / 1_000_000;
-        assertTrue(took < millis, took + " ms");
+        long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
+        assertTrue(elapsedMillis < millis, elapsedMillis + " ms");
     }
 
-    private void awaitAttempts() {
+    private void awaitFailedCalls() {
         long failed = service.counters.listCallsFailed;
-        Program.await(() -> service.counters.listCallsFailed > failed + 4, "some attempts");
+        Program.await(() -> service.counters.listCallsFailed > failed + 4, "five failed calls");
     }
 
     @Test
-    void watchThatIsResetIsReopenedAtOnce() throws IOException {
-        watch();
+    void watchIsReopenedAtOnceAfterAReset() throws IOException {
+        startWatch();
         relay.cut();
         drain("h7");
-        awaitDrainingWithin(GRACE_MILLIS);
+        assertExcludedWithin(GRACE_MILLIS);
     }
 
-    /** Where all proxies call one service, only calls that it rejected are spread in time. */
+    /** If all proxies call one service, only calls after a rejection are spread over time, not those after a reset. */
     @Test
-    void watchOnASharedServiceThatIsResetIsReopenedSoon() throws IOException {
+    void watchOnASharedServiceIsReopenedSoonAfterAReset() throws IOException {
         service = service(100, "subscribe", "0.25");
-        watch();
+        startWatch();
         relay.cut();
         drain("h7");
-        awaitDrainingWithin(UNRESPONSIVE_MILLIS / 2);
+        assertExcludedWithin(UNRESPONSIVE_MILLIS / 2);
     }
 
     @Test
-    void unresponsiveWatchIsReopenedBeforeWhatItMissesCounts() throws IOException {
-        watch();
+    void unresponsiveWatchIsReopenedInTime() throws IOException {
+        startWatch();
         relay.mute();
         drain("h7");
-        awaitDrainingWithin(UNRESPONSIVE_MILLIS);
+        assertExcludedWithin(UNRESPONSIVE_MILLIS);
     }
 
     @Test
-    void incompleteResponseIsRequestedAgain() throws IOException {
-        watch();
+    void listIsRequestedAgainAfterAnIncompleteResponse() throws IOException {
+        startWatch();
         relay.tear(3_000);
         drain("h7");
-        awaitDrainingWithin(GRACE_MILLIS);
+        assertExcludedWithin(GRACE_MILLIS);
     }
 
     @Test
-    void agentThatRefusedIsCalledAsSoonAsItListens() throws IOException {
-        watch();
+    void updateIsReceivedSoonAfterAnAgentThatRefusedConnectionsListens() throws IOException {
+        startWatch();
         relay.refuse(true);
-        awaitAttempts();
+        awaitFailedCalls();
         drain("h7");
         relay.refuse(false);
-        awaitDrainingWithin(GRACE_MILLIS);
+        assertExcludedWithin(GRACE_MILLIS);
     }
 
     @Test
-    void updateOfAnOutageIsKnownSoonAfterIt() throws IOException {
-        watch();
+    void updateMadeDuringAnOutageIsReceivedSoonAfterIt() throws IOException {
+        startWatch();
         relay.silence(true);
         int calls = agent.asked.size();
-        awaitAttempts();
+        awaitFailedCalls();
         assertTrue(relay.connections.get() < 20, "no more than a few calls a second: " + relay.connections);
-        assertEquals(calls, agent.asked.size(), "nothing passes");
+        assertEquals(calls, agent.asked.size(), "no call reaches the agent");
         drain("h7");
         relay.silence(false);
-        awaitDrainingWithin(GRACE_MILLIS);
+        assertExcludedWithin(GRACE_MILLIS);
         assertTrue(
                 agent.asked.stream().skip(calls).anyMatch("index=1&wait=1"::equals),
-                "no long poll that hides a further outage");
+                "expected a short poll first, as a long poll would hide another outage");
     }
 
-    /** A list that cannot be read changes nothing, and a snapshot is requested at once. */
+    /** A malformed delta changes nothing, and a snapshot is requested at once. */
     @Test
-    void unreadableDeltaIsReplacedByASnapshot() throws IOException {
-        watch();
+    void snapshotIsRequestedAfterAMalformedDelta() throws IOException {
+        startWatch();
         int before = agent.asked.size();
         agent.tell("{\"uid\":17}");
-        Program.await(() -> agent.asked.stream().skip(before).anyMatch("null"::equals), "a call for the whole list");
+        Program.await(() -> agent.asked.stream().skip(before).anyMatch("null"::equals), "a call for a snapshot");
         assertEquals(hosts, metric("db_hosts_known"));
         drain("h7");
-        awaitDrainingWithin(GRACE_MILLIS);
+        assertExcludedWithin(GRACE_MILLIS);
     }
 
-    /** An entry with an impossible port must not withhold the other entries of its list. */
+    /** Guards against an entry with an invalid port that causes the other entries of its list to be ignored. */
     @Test
-    void drainingHostIsKnownThoughAnotherEntryOfItsListCannotBeUsed() throws IOException {
-        watch();
+    void drainingHostIsExcludedIfAnotherEntryOfItsListIsInvalid() throws IOException {
+        startWatch();
         agent.tell(Discovery.hosts(hosts, "h7=DRAINING").replaceFirst("127.0.0.1:1\"", "127.0.0.1:99999\""));
-        awaitDrainingWithin(GRACE_MILLIS);
+        assertExcludedWithin(GRACE_MILLIS);
         agent.tell(Discovery.hosts(hosts, "h7=DRAINING"));
         Program.await(
-                () -> metric("db_hosts_known") == hosts && metric("db_hosts_excluded") == 1,
-                "the entry once it can be used");
+                () -> metric("db_hosts_known") == hosts && metric("db_hosts_excluded") == 1, "the corrected entry");
     }
 
-    /** An update counts from a process's first moment, whose own list is older. */
+    /** The configured list of a new process is older than that of the agent. */
     @Test
-    void newProcessLearnsAtOnceWhatItsCachedListLacks() throws IOException {
+    void newProcessAppliesAtOnceAnUpdateThatItsConfiguredListLacks() throws IOException {
         drain("h7");
         relay.tear(3_000);
-        begin();
-        awaitDrainingWithin(GRACE_MILLIS);
+        startService();
+        assertExcludedWithin(GRACE_MILLIS);
     }
 
-    /** A host that is removed, and one that returns under its name. */
+    /** A removed host that is listed again under the same name is known again. */
     @Test
-    void removedHostsAreExcludedAtOnceAndReturnWhenListed() throws IOException {
-        watch();
+    void removedHostIsForgottenAndKnownAgainWhenListed() throws IOException {
+        startWatch();
         relay.cut();
         drain("h7");
-        awaitDrainingWithin(GRACE_MILLIS);
+        assertExcludedWithin(GRACE_MILLIS);
         relay.cut();
         agent.tell(Discovery.hosts(hosts - 1));
         Program.await(
                 () -> metric("db_hosts_known") == hosts - 1 && metric("db_hosts_excluded") == 0,
-                "one removed, the other back");
+                "one host to be removed and the draining one to serve");
         agent.tell(Discovery.hosts(hosts));
-        Program.await(() -> metric("db_hosts_known") == hosts, "the one listed anew");
+        Program.await(() -> metric("db_hosts_known") == hosts, "the host that is listed again");
     }
 
     /**
-     * At a reload the previous discovery is watched until the new one, called as soon as it listens, has sent its
-     * list.
+     * After a reload the previous discovery service is watched until the new one, which does not listen at first, has
+     * sent a list.
      */
     @Test
-    void previousDiscoveryIsWatchedUntilTheNewOneHasReported() throws IOException {
-        watch();
+    void previousDiscoveryIsWatchedUntilTheNewOneHasSentAList() throws IOException {
+        startWatch();
         try (Discovery newDiscovery = new Discovery(Discovery.hosts(hosts - 1, "h8=DRAINING"));
                 Relay newRelay = new Relay(newDiscovery.port())) {
             newRelay.refuse(true);
             loop.execute(() -> service.changeDiscoveryService(address(newRelay.port())));
-            awaitAttempts();
+            awaitFailedCalls();
             drain("h7");
-            awaitDrainingWithin(GRACE_MILLIS);
+            assertExcludedWithin(GRACE_MILLIS);
             newRelay.refuse(false);
             Program.await(() -> metric("db_hosts_known") == hosts - 1, "the new list");
             agent.tell(Discovery.hosts(hosts));
             int calls = newDiscovery.asked.size();
             Program.await(() -> newDiscovery.asked.size() > calls + 1, "the new watch");
-            assertEquals(hosts - 1, metric("db_hosts_known"), "the previous one is not watched any more");
-            awaitDrainingWithin(GRACE_MILLIS);
+            assertEquals(hosts - 1, metric("db_hosts_known"), "the previous service is no longer watched");
+            assertExcludedWithin(GRACE_MILLIS);
         }
     }
 
-    /** Guards against a call made by a long timeout, once the settings have a short one. */
+    /** Guards against a call in flight that keeps its long timeout after a reload has set a short one. */
     @Test
-    void callInFlightWhenSettingsChangeTimesOutByTheNewPacing() throws IOException {
+    void callInFlightDuringAReloadTimesOutByTheNewSettings() throws IOException {
         service = service(100, "subscribe", "0.25");
-        watch();
+        startWatch();
         relay.mute();
-        InstanceSettings pushed = settings(100, "automatic", "0.25");
-        loop.execute(() -> service.applySettings(pushed));
+        InstanceSettings changed = settings(100, "automatic", "0.25");
+        loop.execute(() -> service.applySettings(changed));
         drain("h7");
-        awaitDrainingWithin(UNRESPONSIVE_MILLIS / 2);
+        assertExcludedWithin(UNRESPONSIVE_MILLIS / 2);
     }
 
-    /** Guards against delays, or sizes, that grow with the number of proxies past what was tried before. */
+    /** Guards against delays and list sizes that grow with the number of proxies and hosts. */
     @Test
-    void oneOfAThousandProxiesWithAThousandHostsLearnsItAsSoon() throws IOException {
+    void drainingHostIsExcludedAsSoonWithAThousandProxiesAndHosts() throws IOException {
         hosts = 1024;
         agent.tell(Discovery.hosts(hosts));
         service = service(1024, "automatic", "0.25");
-        watch();
+        startWatch();
         relay.cut();
         drain("h1023");
-        awaitDrainingWithin(GRACE_MILLIS);
+        assertExcludedWithin(GRACE_MILLIS);
     }
 
     private static EndpointList.Entry replica(String name, int port, EndpointList.State state) {
@@ -253,10 +253,11 @@
     }
 
     /**
-     * Guards against attempts that were decided before the update and written after it, as connections come up late.
+     * Guards against attempts that were decided before the update and are written after it, because their connection
+     * was established late.
      */
     @Test
-    void readThatWaitsForADrainingHostsConnectionIsServedElsewhere() throws IOException {
+    void readWaitingForAConnectionToADrainingHostIsServedByAnotherHost() throws IOException {
         service = service(100, "automatic", "20");
         try (ServerSocket unresponsive = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
                 PgHost other = new PgHost("other", false, 5)) {
--- a/src/test/java/mintstair/serve/EndpointUpdateQueueTest.java
+++ b/src/test/java/mintstair/serve/EndpointUpdateQueueTest.java
@@ -25,8 +25,8 @@
                 + update.list().revision());
     }
 
-    private static ViewUpdate.Endpoints update(long revision, boolean whole, List<EndpointList.Entry> hosts) {
-        return new ViewUpdate.Endpoints("postgresql", new EndpointList(revision, whole, hosts), false);
+    private static ViewUpdate.Endpoints update(long revision, boolean isSnapshot, List<EndpointList.Entry> hosts) {
+        return new ViewUpdate.Endpoints("postgresql", new EndpointList(revision, isSnapshot, hosts), false);
     }
 
     private static ViewUpdate.Endpoints delta(long revision) {
@@ -48,10 +48,11 @@
     }
 
     /**
-     * A loop that is far behind gets one snapshot in place of what waits, and then what came after it; nothing grows.
+     * Guards against unbounded growth while the loop is blocked: queued lists are replaced by one snapshot, after which
+     * later lists are queued again.
      */
     @Test
-    void waitingListsAreReplacedByOneSnapshotBeyondTheBound() {
+    void queuedListsAreReplacedByOneSnapshotBeyondTheMaximumNumberOfBatches() {
         int max = EndpointUpdateQueue.MAX_BATCHES;
 
         for (int i = 1; i <= max + 3; i++) {
@@ -64,13 +65,13 @@
         assertEquals(1, queue.conflations());
     }
 
-    /** Guards against a heap full of snapshots: their entries count, not only their number. */
+    /** Guards against a heap filled by few large snapshots: the number of their entries is bounded as well. */
     @Test
-    void snapshotsWithManyEntriesWaitInNoMoreThanTheBound() {
-        List<EndpointList.Entry> thousand = Collections.nCopies(1_024, HOST);
+    void queuedListsAreReplacedBeyondTheMaximumNumberOfEntries() {
+        List<EndpointList.Entry> entries = Collections.nCopies(1_024, HOST);
 
         for (long i = 1; i <= 40; i++) {
-            ViewUpdate.Endpoints update = update(i, true, thousand);
+            ViewUpdate.Endpoints update = update(i, true, entries);
             queue.offer(List.of(update), () -> List.of(update));
         }
         loop.forEach(Runnable::run);
--- a/src/test/java/mintstair/serve/FrontLimitsTest.java
+++ b/src/test/java/mintstair/serve/FrontLimitsTest.java
@@ -13,20 +13,20 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a front does at its limits: of clients, of bytes that wait, and of what its protocol allows. */
+/** Tests the limits of a front: the number of clients, the queued bytes and commands, and malformed messages. */
 class FrontLimitsTest extends ServiceFixture {
-    /** No host can be reached, and no primary is known, so that writes wait for their deadline. */
+    /** Serves one unreachable replica and no primary, so that writes wait until their deadline. */
     @BeforeEach
     void start() throws IOException {
         listen(2);
     }
 
     private int listen(int maxClients) throws IOException {
-        return serve(TestSettings.usual(), 10, maxClients, host("r", 9, false));
+        return serve(TestSettings.defaults(), 10, maxClients, host("r", 9, false));
     }
 
     @Test
-    void oneClientTooManyIsRejectedAndTheOthersStay() throws IOException {
+    void clientBeyondTheLimitIsRejectedAndTheOthersStayConnected() throws IOException {
         try (Client.Pg first = new Client.Pg(port());
                 Client.Pg second = new Client.Pg(port())) {
             first.send(true, "id=one,c=write,cluster=1", 3000);
@@ -37,7 +37,7 @@
                     client.socket.setSoTimeout(100);
                     third = client.answer();
                 } catch (SocketTimeoutException e) {
-                    // The requests of the first two are still on their way in.
+                    // The requests of the first two clients have not been read yet.
                 }
             }
             assertTrue(first.answer().startsWith("refused "));
@@ -49,20 +49,20 @@
         }
     }
 
-    /** Guards the small heap: a client that goes on sending while its first command waits loses its connection. */
+    /** Guards against a heap filled by a client that keeps sending while its first command waits. */
     @Test
-    void clientThatPipelinesWithoutEndIsDisconnected() throws IOException {
+    void clientThatPipelinesTooManyBytesIsDisconnected() throws IOException {
         boolean disconnected;
         try (Client.Pg client = new Client.Pg(port())) {
             byte[] query = Client.Pg.query("x".repeat(100_000));
             client.send(true, "id=held,c=write,cluster=1", 1000);
             try (Client.Pg other = new Client.Pg(port())) {
-                awaitTaken(other);
+                awaitFirstRequest(other);
             }
             for (int i = 0; i < 60; i++) {
                 client.raw(query);
             }
-            assertTrue(client.answer().startsWith("refused "), "what was taken is still answered");
+            assertTrue(client.answer().startsWith("refused "), "the accepted request is still answered");
             client.answer();
             disconnected = client.code.equals("08P01");
         } catch (IOException e) {
@@ -82,9 +82,9 @@
         }
     }
 
-    /** Guards against clients that send one request and stay connected for good. */
+    /** Guards against clients that send one request, stay connected, and keep others from connecting. */
     @Test
-    void longestIdleClientIsEvictedForOneWithARequest() throws IOException {
+    void longestIdleClientIsEvictedForANewClientWithARequest() throws IOException {
         try (Client.Pg first = new Client.Pg(port());
                 Client.Pg second = new Client.Pg(port())) {
             long end = System.nanoTime() + 20_000_000_000L;
@@ -96,38 +96,39 @@
                     answer = next.answer();
                     answer = answer.equals("nothing") ? next.answer() : answer;
                 } catch (IOException e) {
-                    // Rejected while its request was on the way.
+                    // Rejected before its request was read.
                 }
             }
             assertEquals("empty", answer);
-            assertEquals(-1, first.in.read(), "the first has been idle for longest");
+            assertEquals(-1, first.in.read(), "the first client has been idle for longest");
             second.raw(Client.Pg.query(""));
             assertEquals("empty", second.answer());
         }
     }
 
     /**
-     * Guards against clients that connect and request nothing: one that had a request and kept its connection stays.
+     * Guards against clients that connect and send no request: they are evicted before a client that had a request,
+     * even if that has been idle for longer.
      */
     @Test
-    void clientsWithoutARequestAreEvictedFirst() throws IOException {
-        try (Client.Pg asked = new Client.Pg(port());
+    void clientWithoutARequestIsEvictedFirst() throws IOException {
+        try (Client.Pg active = new Client.Pg(port());
                 Client.Pg fresh = new Client.Pg(port())) {
-            assertTrue(asked.ask(true, "id=a,c=write,cluster=1", 200).startsWith("refused "));
+            assertTrue(active.ask(true, "id=a,c=write,cluster=1", 200).startsWith("refused "));
             fresh.raw(Client.Pg.query(""));
-            assertEquals("empty", fresh.answer(), "the one that was active last");
-            awaitEnd(fresh);
-            asked.raw(Client.Pg.query(""));
-            assertEquals("empty", asked.answer());
+            assertEquals("empty", fresh.answer(), "the client that was active last");
+            awaitEviction(fresh);
+            active.raw(Client.Pg.query(""));
+            assertEquals("empty", active.answer());
         }
     }
 
-    private void awaitEnd(Client.Pg client) throws IOException {
-        awaitEnd(client, port());
+    private void awaitEviction(Client.Pg client) throws IOException {
+        awaitEviction(client, port());
     }
 
-    /** Connects others until this client is evicted. */
-    private static void awaitEnd(Client.Pg client, int port) throws IOException {
+    /** Connects further clients until this client is evicted. */
+    private static void awaitEviction(Client.Pg client, int port) throws IOException {
         long end = System.nanoTime() + 20_000_000_000L;
         client.socket.setSoTimeout(25);
         int read = 0;
@@ -136,27 +137,27 @@
                 next.raw(Client.Pg.startup());
                 read = client.in.read();
             } catch (SocketTimeoutException e) {
-                // Not evicted yet.
+                // The client has not been evicted yet.
             } catch (IOException e) {
-                // The next was rejected while its request was on the way.
+                // The new client was rejected before its request was read.
             }
         }
         assertEquals(-1, read);
     }
 
     /**
-     * Guards against clients that run short of connections, as others keep theirs: idle ones are evicted before the
-     * limit.
+     * Guards against new clients being rejected because others keep idle connections: idle clients are evicted before
+     * the limit is reached.
      */
     @Test
-    void longestIdleOfManyIsEvictedAsOthersConnect() throws IOException {
-        int roomy = listen(20);
+    void longestIdleClientIsEvictedBeforeTheLimitIsReached() throws IOException {
+        int port = listen(20);
         List<Client.Pg> clients = new ArrayList<>();
-        try (Client.Pg first = new Client.Pg(roomy)) {
+        try (Client.Pg first = new Client.Pg(port)) {
             for (int i = 0; i < 8; i++) {
-                clients.add(new Client.Pg(roomy));
+                clients.add(new Client.Pg(port));
             }
-            awaitEnd(first, roomy);
+            awaitEviction(first, port);
         } finally {
             for (Client.Pg client : clients) {
                 client.close();
@@ -164,9 +165,9 @@
         }
     }
 
-    /** Guards against floods of connections that send nothing: they are evicted at once, and time out. */
+    /** Guards against floods of connections that send nothing: they are evicted first, and time out. */
     @Test
-    void connectionsWithoutAStartupAreEvictedAndTimeOut() throws IOException {
+    void connectionsWithoutAStartupMessageAreEvictedOrTimeOut() throws IOException {
         try (Client.Pg first = new Client.Pg(port(), true);
                 Client.Pg second = new Client.Pg(port(), true)) {
             assertServes();
@@ -176,12 +177,12 @@
         }
     }
 
-    /** Half a message, an impossible length, an unknown type. */
+    /** Sends an incomplete message, invalid lengths and an unknown message type. */
     @Test
-    void malformedMessageEndsWithOneError() throws IOException {
-        byte[] half = Client.Pg.query("SELECT");
+    void malformedMessageIsAnsweredWithAnErrorAndAClose() throws IOException {
+        byte[] complete = Client.Pg.query("SELECT");
         for (byte[] message : new byte[][] {
-            Arrays.copyOf(half, half.length - 1),
+            Arrays.copyOf(complete, complete.length - 1),
             {'Q', -1, -1, -1, -1},
             {'Q', 0x7f, -1, -1, -1},
             {'@', 0, 0, 0, 4},
@@ -190,7 +191,7 @@
             try (Client.Pg client = new Client.Pg(port())) {
                 client.raw(message);
                 assertEquals("failed", client.answer(), Arrays.toString(message));
-                // The error is followed by the close, not by a timeout: each connection holds a descriptor.
+                // The close must follow the error without a timeout, as each connection holds a descriptor.
                 client.socket.setSoTimeout(1_500);
                 assertEquals(-1, client.in.read());
             }
@@ -199,19 +200,19 @@
     }
 
     @Test
-    void hundredsOfPipelinedCommandsEndWithOneError() throws IOException {
+    void tooManyPipelinedCommandsAreAnsweredWithOneErrorAndAClose() throws IOException {
         try (Client.Pg client = new Client.Pg(port())) {
-            // Until the proxy knows that the response to the start-up was written, it takes no command.
+            // The proxy accepts no command before the response to the start-up message has been written.
             client.send(true, "id=first,c=write,cluster=1", 1000);
             try (Client.Pg other = new Client.Pg(port())) {
-                awaitTaken(other);
+                awaitFirstRequest(other);
             }
             ByteArrayOutputStream commands = new ByteArrayOutputStream();
             for (int i = 0; i < 300; i++) {
                 commands.writeBytes(Client.Pg.query(Client.Pg.words(true, "id=w" + i + ",c=write,cluster=1", 1000)));
             }
             client.raw(commands.toByteArray());
-            assertTrue(client.answer().startsWith("refused "), "what was taken is still answered");
+            assertTrue(client.answer().startsWith("refused "), "the accepted request is still answered");
             assertEquals("failed", client.answer());
             assertEquals("08P01", client.code);
             assertEquals(-1, client.in.read());
@@ -219,20 +220,20 @@
         assertServes();
     }
 
-    /** Returns once the front has taken its first request. */
-    private static void awaitTaken(Client.Pg other) throws IOException {
+    /** Waits until the front has accepted its first request. */
+    private static void awaitFirstRequest(Client.Pg other) throws IOException {
         do {
             other.raw(Client.Pg.query("SHOW counters"));
         } while (!other.answer().contains("taken=1 "));
     }
 
-    /** Guards against responses that go to the wrong client. */
+    /** Guards against responses that are sent to the wrong client. */
     @Test
-    void idOfAnInFlightRequestBelongsToItsFirstClient() throws IOException {
+    void idOfAnInFlightRequestIsRejectedFromAnotherClient() throws IOException {
         try (Client.Pg owner = new Client.Pg(port());
                 Client.Pg other = new Client.Pg(port())) {
             owner.send(true, "id=mine,c=write,cluster=1", 1000);
-            awaitTaken(other);
+            awaitFirstRequest(other);
             String answer = other.ask(true, "id=mine,c=write,cluster=1", 1000);
             assertEquals("failed", answer);
             assertEquals("08P01", other.code);
--- a/src/test/java/mintstair/serve/ListeningSocketsTest.java
+++ b/src/test/java/mintstair/serve/ListeningSocketsTest.java
@@ -13,9 +13,9 @@
         return ListeningSockets.count(table, new InetSocketAddress(host, PORT));
     }
 
-    /** A successor counts; neither a connection nor another port or address does. */
+    /** Two sockets listen on the address; a connection and sockets on another port or address are not counted. */
     @Test
-    void socketsThatListenOnTheAddressAreCounted() {
+    void onlySocketsThatListenOnTheAddressAreCounted() {
         List<String> table = List.of(
                 "  sl  local_address rem_address   st tx_queue rx_queue",
                 "   0: 0100087F:1539 00000000:0000 0A 00000000:00000000",
@@ -30,9 +30,9 @@
         assertEquals(0, count(table, "127.7.0.1"));
     }
 
-    /** A dual-stack process listens on an IPv4 address by an IPv6 socket, which the other table has. */
+    /** A dual-stack process listens on an IPv4 address with an IPv6 socket, which the IPv6 table contains. */
     @Test
-    void socketsOfTheOtherVersionAreCounted() {
+    void ipv4MappedAndIpv6SocketsAreCounted() {
         List<String> table = List.of(
                 "  sl  local_address                         remote_address                        st tx_queue rx_queue",
                 "   0: 0000000000000000FFFF00000100007F:1539 00000000000000000000000000000000:0000 0A 00000000:00000000",
--- a/src/test/java/mintstair/serve/ReloadSignalTest.java
+++ b/src/test/java/mintstair/serve/ReloadSignalTest.java
@@ -7,27 +7,27 @@
 import org.junit.jupiter.api.Test;
 import sun.misc.Signal;
 
-/** Signals before and after a listener is set; by a signal that means nothing to the virtual machine. */
+/** Tests signals that arrive before and after a listener is set, with a signal that has no other effect. */
 class ReloadSignalTest {
-    private static final String HARMLESS = "URG";
+    private static final String SIGNAL = "URG";
 
     private final AtomicInteger received = new AtomicInteger();
     private final AtomicInteger reloads = new AtomicInteger();
 
     private void raise(int expected) {
-        Signal.raise(new Signal(HARMLESS));
+        Signal.raise(new Signal(SIGNAL));
         Program.await(() -> received.get() == expected, "signal " + expected);
     }
 
     @Test
-    void signalsBeforeTheListenerAreKeptAsOneAndLaterOnesAreHandledInTurn() {
-        ReloadSignal signal = new ReloadSignal(HARMLESS, received::incrementAndGet);
+    void signalsBeforeTheListenerIsSetCauseOneReloadAndLaterOnesOneEach() {
+        ReloadSignal signal = new ReloadSignal(SIGNAL, received::incrementAndGet);
         raise(1);
         raise(2);
 
         signal.onReload(reloads::incrementAndGet);
 
-        assertEquals(1, reloads.get(), "at once, and once for both");
+        assertEquals(1, reloads.get(), "one reload for both signals");
         raise(3);
         assertEquals(2, reloads.get());
     }
--- a/src/test/java/mintstair/serve/ServiceFixture.java
+++ b/src/test/java/mintstair/serve/ServiceFixture.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A PostgreSQL service in this process, whose event loop and network thread a test may suspend. */
+/** Runs a PostgreSQL service in the test's process; the event loop and the network thread can be suspended. */
 abstract class ServiceFixture {
     private static final int MAX_CLIENTS = 600;
     private static final int SEED = 5;
@@ -32,7 +32,7 @@
     final EventLoop loop = new EventLoop();
     final TCPNIOTransport transport = ClientTransport.create();
     /** Closed after each test. */
-    final List<AutoCloseable> open = new ArrayList<>();
+    final List<AutoCloseable> resources = new ArrayList<>();
 
     ProtocolService service;
     private final AtomicLong bytesRead = new AtomicLong();
@@ -51,14 +51,14 @@
 
     @AfterEach
     void stop() throws Exception {
-        for (AutoCloseable each : open) {
-            each.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
         loop.close();
         transport.shutdownNow();
     }
 
-    /** Serves these hosts, with so many connections to them at most, and waits 20 s for each. */
+    /** Serves these hosts with a connection limit and a connect timeout of 20 s. */
     final void serve(boolean cancelling, int maxHostConnections, EndpointList.Entry... hosts) throws IOException {
         InstanceSettings settings = TestSettings.with(
                 "\"cancelling\":true",
@@ -68,8 +68,8 @@
         serve(settings, maxHostConnections, MAX_CLIENTS, hosts);
     }
 
-    /** Serves these hosts over one connection at a time; writes have idempotency keys, known for so many seconds. */
-    final void serveKeyed(double windowSeconds, EndpointList.Entry... hosts) throws IOException {
+    /** Serves these hosts with one connection; writes are deduplicated by their idempotency key within the window. */
+    final void serveDeduplicated(double windowSeconds, EndpointList.Entry... hosts) throws IOException {
         InstanceSettings settings = TestSettings.with(
                 "\"at_most_once\"",
                 "\"deduplicated\",\"windowS\":" + windowSeconds,
@@ -78,7 +78,7 @@
         serve(settings, 1, MAX_CLIENTS, hosts);
     }
 
-    /** Serves these hosts by these settings; returns the port. */
+    /** Serves these hosts with these settings; returns the port. */
     final int serve(InstanceSettings settings, int maxHostConnections, int maxClients, EndpointList.Entry... hosts)
             throws IOException {
         service = newService(settings, maxHostConnections, maxClients);
@@ -87,7 +87,7 @@
         return port;
     }
 
-    /** A service that does not know any endpoints yet. */
+    /** Creates a service that knows no endpoints yet. */
     final ProtocolService newService(InstanceSettings settings, int maxHostConnections, int maxClients) {
         return new ProtocolService(
                 loop,
@@ -99,7 +99,7 @@
                 (dispatcher, counters) -> new PgFront(loop, dispatcher, transport, counters, maxClients));
     }
 
-    /** Where the service accepts clients. */
+    /** Returns the port on which the service accepts clients. */
     final int port() {
         return port;
     }
@@ -110,17 +110,17 @@
 
     final Client.Pg client() throws IOException {
         Client.Pg client = new Client.Pg(port);
-        open.add(client);
+        resources.add(client);
         return client;
     }
 
     final LateHost lateHost() throws IOException {
         LateHost host = new LateHost();
-        open.add(host);
+        resources.add(host);
         return host;
     }
 
-    /** One of the service's metrics, as it is now. */
+    /** Returns the current value of a metric of the service. */
     final long metric(String name) {
         CompletableFuture<Long> value = new CompletableFuture<>();
         loop.execute(() -> {
@@ -135,19 +135,19 @@
         Program.await(() -> metric(name) == expected, name + "=" + expected);
     }
 
-    /** How many bytes the network thread has read up to now. */
+    /** Returns the number of bytes that the network thread has read. */
     final long bytesRead() {
         return bytesRead.get();
     }
 
-    /** Waits until the network thread has read more than so many bytes. */
-    final void awaitRead(long bytes) {
-        Program.await(() -> bytesRead.get() > bytes, "bytes on the network thread");
+    /** Waits until the network thread has read more than this number of bytes. */
+    final void awaitBytesRead(long bytes) {
+        Program.await(() -> bytesRead.get() > bytes, "the network thread to read bytes");
     }
 
-    /** Waits until the loop's clock has come to this time. */
+    /** Waits until the loop's clock has reached this time. */
     final void awaitTime(long micros) {
-        Program.await(() -> loop.now() >= micros, "the time");
+        Program.await(() -> loop.now() >= micros, "the loop's clock");
     }
 
     /** Suspends a thread until the latch is released; returns once it is suspended. */
--- a/src/test/java/mintstair/serve/StoreServiceTest.java
+++ b/src/test/java/mintstair/serve/StoreServiceTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy's use of the store, with one member. */
+/** Tests a proxy's use of a store with one member. */
 class StoreServiceTest {
     private static String hosts(String uid) {
         return "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"" + uid
@@ -23,18 +23,17 @@
     }
 
     /**
-     * An executor drops a periodic task for good when one run of it throws. The service caught exceptions and one kind
-     * of error; any other error, as from a class that can't be loaded, ended the reading of hosts without a line in
-     * the log.
+     * An executor cancels a periodic task when one run of it throws. Errors that the service did not catch, such as
+     * that of a class that cannot be loaded, silently stopped the reading of hosts.
      */
     @Test
-    void hostsAreReadOnAfterAnErrorOfWhoeverTakesThem(@TempDir Path folder) throws Exception {
+    void hostsAreStillReadAfterTheListenerHasThrownAnError(@TempDir Path folder) throws Exception {
         InetSocketAddress address;
-        try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+        try (ServerSocket unused = new ServerSocket(0)) {
+            address = new InetSocketAddress("127.0.0.1", unused.getLocalPort());
         }
         Map<String, InetSocketAddress> members = Map.of("n1", address);
-        List<String> taken = new CopyOnWriteArrayList<>();
+        List<String> received = new CopyOnWriteArrayList<>();
         AtomicInteger calls = new AtomicInteger();
         try (StoreService service = new StoreService(
                         new OperatorConfig.Members("n1", members, folder),
@@ -43,15 +42,15 @@
                             if (calls.incrementAndGet() == 1) {
                                 throw new NoClassDefFoundError("of a test");
                             }
-                            taken.add(list.entries().get(0).host());
+                            received.add(list.entries().get(0).host());
                         },
                         () -> "state");
                 Store outside = Store.outside(members)) {
             outside.put("config/mongodb/hosts", hosts("a"));
             Program.await(() -> calls.get() == 1, "the first list");
             outside.put("config/mongodb/hosts", hosts("b"));
-            Program.await(() -> !taken.isEmpty(), "the second list");
+            Program.await(() -> !received.isEmpty(), "the second list");
         }
-        assertEquals(List.of("b"), taken);
+        assertEquals(List.of("b"), received);
     }
 }
--- a/src/test/java/mintstair/serve/TestSettings.java
+++ b/src/test/java/mintstair/serve/TestSettings.java
@@ -9,16 +9,17 @@
 import mintstair.program.Program;
 
 /**
- * The settings of the services that tests start in this process: those of the program's tests, without health checks.
+ * Provides settings for services that tests start in their own process: those of the program tests, without health
+ * checks.
  */
 final class TestSettings {
     private TestSettings() {}
 
-    static InstanceSettings usual() {
+    static InstanceSettings defaults() {
         return with();
     }
 
-    /** The settings with some texts replaced: each is followed by its replacement. */
+    /** Returns the settings with some texts replaced; each text is followed by its replacement. */
     static InstanceSettings with(String... replacements) {
         String text = Program.SETTINGS.replace("PROBING", "false");
         for (int i = 0; i < replacements.length; i += 2) {
--- a/src/test/java/mintstair/serve/WarmUpTest.java
+++ b/src/test/java/mintstair/serve/WarmUpTest.java
@@ -10,17 +10,17 @@
 
 class WarmUpTest extends ServiceFixture {
     @Test
-    void oneOfManyProxiesSimulatesFewerRequestsDownToABound() {
+    void requestCountDecreasesWithTheFleetSizeDownToAMinimum() {
         assertTrue(WarmUp.requestCount(2) > 2 * WarmUp.requestCount(14));
         assertTrue(WarmUp.requestCount(1000) == WarmUp.requestCount(100));
     }
 
-    /** Guards against a start that waits for the timeout: in memory nothing has to be waited for. */
+    /** Guards against a start that waits for the timeout: the simulated hosts reply at once. */
     @Test
-    void allRequestsEndAndNoneReachesTheRouterThatServes() throws IOException {
-        serve(TestSettings.usual(), 10, 2, host("r", 9, false));
+    void allRequestsAreCompletedAndNoneReachesTheServingRouter() throws IOException {
+        serve(TestSettings.defaults(), 10, 2, host("r", 9, false));
 
-        assertTrue(WarmUp.run(TestSettings.usual(), address(), Duration.ofSeconds(30)));
+        assertTrue(WarmUp.run(TestSettings.defaults(), address(), Duration.ofSeconds(30)));
 
         Client.Pg client = client();
         client.raw(Client.Pg.query("SHOW counters"));
