--- a/src/main/java/mintstair/serve/ProxyStartup.java
+++ b/src/main/java/mintstair/serve/ProxyStartup.java
@@ -71,7 +71,8 @@
         WarmUp.run(config.settings(), config.listen(), services.postgresql().front);
         recordHosts(recording, services);
         Proxy proxy = new Proxy(services, reloader, recording, registry);
-        boolean acceptsClients = shutdown.unlessTerminating(() -> shutdown.drainOnExit(proxy, proxy.acceptClients(config, operator)));
+        boolean acceptsClients =
+                shutdown.unlessTerminating(() -> shutdown.drainOnExit(proxy, proxy.acceptClients(config, operator)));
         if (!acceptsClients) {
             return;
         }
@@ -114,7 +115,9 @@
         boolean usesRegistry = usesRegistry(RegistryConfig.MONGODB);
         ProtocolService service = factory.mongodb();
         service.start(
-                usesRegistry ? null : mongodb.discovery(), mongodb.hosts(), usesRegistry || mongodb.discovery() != null);
+                usesRegistry ? null : mongodb.discovery(),
+                mongodb.hosts(),
+                usesRegistry || mongodb.discovery() != null);
         return service;
     }
 
--- a/src/main/java/mintstair/serve/SimulatedHosts.java
+++ b/src/main/java/mintstair/serve/SimulatedHosts.java
@@ -48,7 +48,8 @@
     }
 
     @Override
-    public Attempt send(String host, Statement statement, long writeByMicros, long abandonAtMicros, AttemptListener listener) {
+    public Attempt send(
+            String host, Statement statement, long writeByMicros, long abandonAtMicros, AttemptListener listener) {
         statement.encode(abandonAtMicros - loop.now());
         requestCount++;
         boolean losesConnection = requestCount % REQUESTS_PER_LOST_CONNECTION == 0;
--- a/src/test/java/mintstair/decision/FleetShareTest.java
+++ b/src/test/java/mintstair/decision/FleetShareTest.java
@@ -39,7 +39,8 @@
         for (SimulatedFleet.Node node : fleet.running()) {
             ClusterSizeEstimate estimate = node.swim.sizeEstimate();
             ReadWriteSplitter router = (ReadWriteSplitter) fixtures[node.index].router;
-            router.onFleetSize(fleet.nowMicros, new FleetSize(estimate.largest(), estimate.counted(), estimate.settled()));
+            router.onFleetSize(
+                    fleet.nowMicros, new FleetSize(estimate.largest(), estimate.counted(), estimate.settled()));
             sum += node.isStalled() ? 0 : 1 / router.effectiveFleetSize();
         }
         return sum;
@@ -137,7 +138,10 @@
                                 .subList(first, first + 30)
                                 .forEach(node -> fleet.stall(node, fleet.nowMicros + random.nextInt(60) * SECOND));
                     default ->
-                        fleet.nodes.stream().filter(node -> !node.isRunning).toList().forEach(fleet::start);
+                        fleet.nodes.stream()
+                                .filter(node -> !node.isRunning)
+                                .toList()
+                                .forEach(fleet::start);
                 }
                 pass(random.nextInt(60) * SECOND);
             }
--- a/src/test/java/mintstair/serve/DrainingEndpointsTest.java
+++ b/src/test/java/mintstair/serve/DrainingEndpointsTest.java
@@ -175,8 +175,7 @@
         assertExcludedWithin(GRACE_MILLIS);
         agent.tell(Discovery.hosts(hosts, "h7=DRAINING"));
         Program.await(
-                () -> metric("db_hosts_known") == hosts && metric("db_hosts_excluded") == 1,
-                "the corrected entry");
+                () -> metric("db_hosts_known") == hosts && metric("db_hosts_excluded") == 1, "the corrected entry");
     }
 
     /** The configured list of a new process is older than that of the agent. */
