--- a/src/main/java/mintstair/Main.java
+++ b/src/main/java/mintstair/Main.java
@@ -19,7 +19,7 @@
 import mintstair.serve.ReloadSignal;
 import mintstair.traffic.TrafficCommand;
 
-/** The program's commands. Whatever is wrong with their input ends the program with one line and status 2. */
+/** Runs the command named on the command line. Invalid input ends the program with a one-line error and status 2. */
 public final class Main {
     static final String USAGE = "usage: java -jar mintstair.jar serve [--operator FILE] [FILE] | check FILE | adapter"
             + " | replay [--to HOST:PORT] [--port PORT] [--mongodb] FILE | store OPERATOR_FILE get KEY"
@@ -29,19 +29,20 @@
             + " | registry show|watch|put-host|drain|delete OPERATOR_FILE ...";
 
     private static final int FAILURE_STATUS = 2;
-    private static final long LAST_LINES_MILLIS = 1_000;
-    /** The variable that names the configuration where the command does not. */
+    /** The time allowed for writing the last lines of output before the process exits. */
+    private static final long OUTPUT_DRAIN_MILLIS = 1_000;
+    /** The environment variable with the path of the configuration, used if the command line has none. */
     private static final String CONFIG_VARIABLE = "NODE_CONFIG";
 
     private Main() {}
 
-    /** Runs the command that the first argument names. */
+    /** Runs the command named by the first argument. */
     public static void main(String[] args) {
         try {
             run(List.of(args));
         } catch (ConfigException | IllegalArgumentException | IOException e) {
             System.err.println("mintstair: " + FirstLine.of(e));
-            NonBlockingOutput.drainStandardStreams(LAST_LINES_MILLIS);
+            NonBlockingOutput.drainStandardStreams(OUTPUT_DRAIN_MILLIS);
             System.exit(FAILURE_STATUS);
         }
     }
@@ -63,7 +64,7 @@
         }
     }
 
-    /** Fails with the usage of all commands unless the condition holds. */
+    /** Throws an error with the usage of all commands unless the condition holds. */
     static void requireUsage(boolean condition) {
         if (!condition) {
             throw new ConfigException(USAGE);
@@ -81,7 +82,7 @@
         System.exit(0);
     }
 
-    /** The configuration is the file named, or the platform's; without an operator's file its parts are off. */
+    /** Starts a proxy with the configuration file named in the options, or else in the environment. */
     private static void serve(List<String> options) throws IOException {
         NonBlockingOutput.install();
         ReloadSignal reloadSignal = new ReloadSignal();
@@ -98,7 +99,7 @@
             }
         }
         if (file == null) {
-            throw new ConfigException("no configuration: name a file or set NODE_CONFIG");
+            throw new ConfigException("no configuration: pass a file or set NODE_CONFIG");
         }
         Path path = Path.of(file);
         new ProxyStartup(NodeConfig.read(path), operator).start(path, reloadSignal);
@@ -109,13 +110,13 @@
         System.exit(MembersCommand.run(NodeConfig.parseAddress(options.get(0)), System.out));
     }
 
-    /** Shows, follows or changes what the registry holds. */
+    /** Shows, watches or changes the contents of the registry. */
     private static void registry(List<String> options) throws IOException {
         requireUsage(options.size() >= 2);
         String operatorFile = options.get(1);
         RegistryConfig config = OperatorConfig.read(Path.of(operatorFile)).registry();
         if (config == null) {
-            throw new ConfigException(operatorFile + ": no registry is set up");
+            throw new ConfigException(operatorFile + ": no registry is configured");
         }
         RegistryCommand command = new RegistryCommand(config, System.out);
         System.exit(command.run(options.get(0), options.subList(2, options.size())));
--- a/src/main/java/mintstair/ReplayCommand.java
+++ b/src/main/java/mintstair/ReplayCommand.java
@@ -9,13 +9,13 @@
 import mintstair.config.NodeConfig;
 import mintstair.pcap.SerialReplay;
 
-/** The command {@code replay}: sends the requests of a capture once more. */
+/** The command {@code replay}: sends the requests of a capture again. */
 final class ReplayCommand {
     private static final String DEFAULT_TARGET = "127.0.0.1:5433";
 
     private ReplayCommand() {}
 
-    /** Prints the outcome. Requests are those to the port of the target, unless another port is given. */
+    /** Replays the captured requests to the port given, by default that of the target, and prints the result. */
     static void run(List<String> options) throws IOException {
         Main.requireUsage(!options.isEmpty());
         InetSocketAddress target = NodeConfig.parseAddress(DEFAULT_TARGET);
--- a/src/main/java/mintstair/StoreCommand.java
+++ b/src/main/java/mintstair/StoreCommand.java
@@ -10,19 +10,19 @@
 
 /** The command {@code store}: reads or writes one entry of the replicated store, as a client of its members. */
 final class StoreCommand {
-    /** In place of a value: it is on standard input, as the system limits the length of an argument. */
+    /** The argument for a value on standard input, because the system limits the length of an argument. */
     private static final String STANDARD_INPUT = "-";
 
     private StoreCommand() {}
 
-    /** Options: the operator's file, {@code get} or {@code put}, the key, and the value to put. */
+    /** Runs the command; {@code options} are the operator's file, {@code get} or {@code put}, the key, and its value. */
     static void run(List<String> options) throws IOException {
         Main.requireUsage(options.size() >= 3);
         String operatorFile = options.get(0);
         OperatorConfig.StoreConfig config =
                 OperatorConfig.read(Path.of(operatorFile)).store();
         if (config == null) {
-            throw new ConfigException(operatorFile + ": no store is set up");
+            throw new ConfigException(operatorFile + ": no store is configured");
         }
         String action = options.get(1);
         String key = options.get(2);
--- a/src/main/java/mintstair/config/ConfigException.java
+++ b/src/main/java/mintstair/config/ConfigException.java
@@ -4,19 +4,19 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-/** A configuration that cannot be used. The message is one line, which names the place. */
+/** Thrown if a configuration is not usable. The message is one line that names the faulty place. */
 public final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final transient Path file;
     private final String jsonPath;
 
-    /** A fault that belongs to no file. */
+    /** Creates an exception for a fault that is not in a file. */
     public ConfigException(String message) {
         this(message, null, null, null);
     }
 
-    /** A fault that belongs to no file, with what it was found by. */
+    /** Creates an exception for a fault that is not in a file, with its cause. */
     public ConfigException(String message, Throwable cause) {
         this(message, cause, null, null);
     }
@@ -27,32 +27,32 @@
         this.jsonPath = jsonPath;
     }
 
-    /** Something is wrong with the value at this path, as in {@code settings.limits.maxAttempts}. */
+    /** Returns an exception for the value at this path, for example {@code settings.limits.maxAttempts}. */
     static ConfigException at(String jsonPath, String message) {
         return new ConfigException(message, null, null, jsonPath);
     }
 
-    /** This file cannot be used, for the first line of the cause's message. */
+    /** Returns an exception for this file; the first line of the cause's message is the reason. */
     static ConfigException inFile(Path file, Exception cause) {
         String reason = cause instanceof NoSuchFileException ? "no such file" : FirstLine.of(cause);
         return new ConfigException(file + ": " + reason, cause, file, jsonPathOf(cause));
     }
 
-    /** What this place holds, which is no file, cannot be used, for the first line of the cause's message. */
-    static ConfigException inPlace(String place, Exception cause) {
-        return new ConfigException(place + ": " + FirstLine.of(cause), cause, null, jsonPathOf(cause));
+    /** Returns an exception for a source that is not a file; the first line of the cause's message is the reason. */
+    static ConfigException inSource(String source, Exception cause) {
+        return new ConfigException(source + ": " + FirstLine.of(cause), cause, null, jsonPathOf(cause));
     }
 
     private static String jsonPathOf(Exception cause) {
         return cause instanceof ConfigException config ? config.jsonPath : null;
     }
 
-    /** The file that cannot be used, where the configuration is one. */
+    /** Returns the faulty file, or empty if the configuration is not from a file. */
     public Optional<Path> file() {
         return Optional.ofNullable(file);
     }
 
-    /** The path of the value that is missing or wrong, its keys separated by dots, where there is one. */
+    /** Returns the path of the missing or invalid value, its keys separated by dots, if one is known. */
     public Optional<String> jsonPath() {
         return Optional.ofNullable(jsonPath);
     }
--- a/src/main/java/mintstair/config/EndpointListException.java
+++ b/src/main/java/mintstair/config/EndpointListException.java
@@ -1,6 +1,6 @@
 package mintstair.config;
 
-/** An endpoint list, or an entry of one, that is not in the form of the platform. */
+/** Thrown if an endpoint list, or an entry of one, is not in the platform's format. */
 public final class EndpointListException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/mintstair/config/EndpointListReader.java
+++ b/src/main/java/mintstair/config/EndpointListReader.java
@@ -7,13 +7,13 @@
 import mintstair.request.EndpointList;
 
 /**
- * Reads endpoint lists from JSON in the form of the platform's discovery, which configurations, the store and
- * registries use as well. Safe for use by several threads.
+ * Reads endpoint lists from JSON in the format of the platform's discovery service, which configurations, the store
+ * and registries use as well. Thread-safe.
  */
 public final class EndpointListReader {
     private static final Pattern ENDPOINT = Pattern.compile("[^:]+:\\d{1,5}");
     private static final int MAX_PORT = 65_535;
-    /** The word for a primary under the key {@code rank}. */
+    /** The value of the key {@code rank} that marks a primary. */
     private static final String PRIMARY = "source";
 
     private static final int MICROS_PER_MILLI = 1_000;
@@ -21,20 +21,20 @@
     private EndpointListReader() {}
 
     /**
-     * The list.
+     * Reads a list.
      *
-     * @throws EndpointListException where the value is none
+     * @throws EndpointListException if the value is not an endpoint list
      */
     public static EndpointList read(Object json) {
         if (!(json instanceof Map<?, ?> list)
                 || !(list.get("targets") instanceof List<?> targets)
                 || !(list.get("rev") instanceof Number revision)) {
-            throw new EndpointListException("a list of hosts needs rev and targets");
+            throw new EndpointListException("endpoint list must have rev (a number) and targets (a list)");
         }
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (Object target : targets) {
             if (!(target instanceof Map<?, ?> entry)) {
-                throw new EndpointListException("a target must be an object");
+                throw new EndpointListException("each element of targets must be an object");
             }
             entries.add(readEntry(entry));
         }
@@ -42,18 +42,18 @@
     }
 
     /**
-     * One entry of a list.
+     * Reads one entry of a list.
      *
-     * @throws EndpointListException where the value is none
+     * @throws EndpointListException if the value is not a valid entry
      */
     public static EndpointList.Entry readEntry(Map<?, ?> json) {
         String endpoint = text(json, "endpoint");
         if (!ENDPOINT.matcher(endpoint).matches()) {
-            throw new EndpointListException("no endpoint: " + endpoint);
+            throw new EndpointListException("endpoint must be HOST:PORT, found " + endpoint);
         }
         EndpointList.State state = state(json);
-        if (!hasReachablePort(endpoint)) {
-            // The host cannot be reached, while the other entries of the list count all the same.
+        if (!hasValidPort(endpoint)) {
+            // Treated as removed rather than as an error, so that the other entries of the list still apply.
             state = EndpointList.State.REMOVED;
         }
         return new EndpointList.Entry(
@@ -67,18 +67,18 @@
                 Math.round(number(json, "boot_ms", 0) * MICROS_PER_MILLI));
     }
 
-    /** The platform's words for the state of a host; {@code DELETED} is met here alone. */
+    /** Translates the platform's name of a host state; the code calls {@code DELETED} removed. */
     private static EndpointList.State state(Map<?, ?> json) {
-        String word = json.get("state") instanceof String text ? text : "";
-        return switch (word) {
+        String name = json.get("state") instanceof String text ? text : "";
+        return switch (name) {
             case "SERVING" -> EndpointList.State.SERVING;
             case "DRAINING" -> EndpointList.State.DRAINING;
             case "DELETED" -> EndpointList.State.REMOVED;
-            default -> throw new EndpointListException("unknown state of a host: " + json.get("state"));
+            default -> throw new EndpointListException("unknown host state: " + json.get("state"));
         };
     }
 
-    private static boolean hasReachablePort(String endpoint) {
+    private static boolean hasValidPort(String endpoint) {
         return Integer.parseInt(endpoint.substring(endpoint.indexOf(':') + 1)) <= MAX_PORT;
     }
 
@@ -86,7 +86,7 @@
         if (json.get(key) instanceof String text) {
             return text;
         }
-        throw new EndpointListException("a host needs its " + key);
+        throw new EndpointListException("host entry has no " + key);
     }
 
     private static double number(Map<?, ?> json, String key, double defaultValue) {
--- a/src/main/java/mintstair/config/FirstLine.java
+++ b/src/main/java/mintstair/config/FirstLine.java
@@ -1,17 +1,17 @@
 package mintstair.config;
 
-/** The first line of a text from elsewhere, as each message to people is one line. */
+/** Shortens text from outside the program to its first line, as each error message is printed as one line. */
 public final class FirstLine {
     private FirstLine() {}
 
-    /** What stands before the first line end; all of it where there is none, "null" for no text. */
+    /** Returns the text before the first line break, or the whole text if there is none; "null" for null. */
     public static String of(String text) {
-        String whole = String.valueOf(text);
-        int end = whole.indexOf('\n');
-        return end < 0 ? whole : whole.substring(0, end);
+        String lines = String.valueOf(text);
+        int end = lines.indexOf('\n');
+        return end < 0 ? lines : lines.substring(0, end);
     }
 
-    /** The first line of the failure's message. */
+    /** Returns the first line of the message of a throwable. */
     public static String of(Throwable failure) {
         return of(failure.getMessage());
     }
--- a/src/main/java/mintstair/config/InstanceSettings.java
+++ b/src/main/java/mintstair/config/InstanceSettings.java
@@ -16,42 +16,42 @@
 import mintstair.decision.Tenant;
 
 /**
- * The settings of one proxy, read from the platform's object {@code settings}. Here its keys are turned into the
- * terms of the code, and times in seconds into microseconds. Immutable.
+ * The settings of one proxy, read from the platform's object {@code settings}. The constructor translates the keys of
+ * the platform into the terms of the code, and times from seconds to microseconds. Immutable.
  *
- * <p>Settings are lenient, as the platform may add to them: a key that is missing or of another type has its default
- * value. What must be there is checked by {@link SettingsValidator}.
+ * <p>Because the platform may extend the settings, reading is lenient: a key that is missing or whose value has another
+ * type gets its default value. {@link SettingsValidator} checks the required keys.
  */
 public final class InstanceSettings {
     /** The settings of the decision module. */
     public final RouterSettings routerSettings;
-    /** The index of each request class in {@code routerSettings.classes()}, by its name, in the order of the settings. */
+    /** The index in {@code routerSettings.classes()} of each request class, by name; iterates in that order. */
     public final Map<String, Integer> classIndexes;
-    /** The index of each tenant in {@code routerSettings.tenants()}, by its name. */
+    /** The index in {@code routerSettings.tenants()} of each tenant, by name. */
     public final Map<String, Integer> tenantIndexes;
-    /** How many proxies share the hosts and the endpoint list, this one included: {@code balancers}. */
+    /** The number of proxies that share the hosts and the endpoint list, including this one: {@code balancers}. */
     public final int fleetSize;
     /**
-     * Whether an agent on this machine has the endpoint list pushed to it, {@code "discovery": "automatic"}, rather
-     * than all proxies polling one service.
+     * Whether the endpoint list is pushed to an agent on this machine, {@code "discovery": "automatic"}, rather than
+     * polled by all proxies from one service.
      */
     public final boolean listPushed;
-    /** For so long a host may still be sent requests after it began to drain: {@code invariants.drainGraceS}. */
+    /** How long requests may still be sent to a host after it began to drain: {@code invariants.drainGraceS}. */
     public final long drainGraceMicros;
-    /** What replication positions in replies count from: {@code familyInfo.positionZeroS}. */
+    /** The origin of the replication positions in replies: {@code familyInfo.positionZeroS}. */
     public final long positionZeroMicros;
-    /** The names of the fields of a host's report, in their order: {@code report.fields}. */
+    /** The names of the fields of a host report, in their order: {@code report.fields}. */
     public final List<?> reportFields;
-    /** After this long without use a host may close a connection: {@code limits.connIdleS}. */
+    /** How long a connection may be idle before the host may close it: {@code limits.connIdleS}. */
     public final long connectionIdleMicros;
-    /** A connection that is not up by then counts as failed: {@code limits.connectTimeoutS}. */
+    /** The time after which an attempt to connect counts as failed: {@code limits.connectTimeoutS}. */
     public final long connectTimeoutMicros;
 
     /**
      * Reads the settings.
      *
      * @param json the object {@code settings}, as {@link Json} reads it
-     * @throws ConfigException where a word is unknown
+     * @throws ConfigException if a value is not among the defined ones
      */
     public InstanceSettings(Map<?, ?> json) {
         JsonObject root = JsonObject.root(json);
@@ -73,7 +73,7 @@
         drainGraceMicros = routerSettings.protection().drainGraceMicros();
     }
 
-    /** The longest time that a request of any class may take; 0 without classes. */
+    /** Returns the longest deadline of all request classes, in microseconds; 0 if there are no classes. */
     public long longestDeadlineMicros() {
         return routerSettings.classes().stream()
                 .mapToLong(RequestClass::deadlineMicros)
@@ -81,7 +81,7 @@
                 .orElse(0);
     }
 
-    /** Seconds, as the platform has all times, in microseconds. */
+    /** Converts seconds, the unit of all times of the platform, to microseconds. */
     public static long toMicros(double seconds) {
         return JsonObject.toMicros(seconds);
     }
@@ -97,7 +97,7 @@
         return requestClasses;
     }
 
-    /** Consistency and staleness of a class stand in lists of their own, in the order of the classes. */
+    /** Reads one class; {@code info} has separate lists of consistency and staleness, in the order of the classes. */
     private static RequestClass requestClass(JsonObject json, JsonObject info, int index) {
         Idempotency idempotency = idempotency(json);
         DeduplicationScope deduplicationScope = deduplicationScope(json);
@@ -134,14 +134,14 @@
         };
     }
 
-    private static Consistency consistency(List<?> words, int index) {
-        return switch (index < words.size() ? String.valueOf(words.get(index)) : "any") {
+    private static Consistency consistency(List<?> names, int index) {
+        return switch (index < names.size() ? String.valueOf(names.get(index)) : "any") {
             case "write" -> Consistency.WRITE;
             case "fresh" -> Consistency.STRONG;
             case "session" -> Consistency.SESSION;
             case "bounded" -> Consistency.BOUNDED_STALENESS;
             case "any" -> Consistency.EVENTUAL;
-            default -> throw ConfigException.at("familyInfo.consistency", "unknown consistency " + words.get(index));
+            default -> throw ConfigException.at("familyInfo.consistency", "unknown consistency " + names.get(index));
         };
     }
 
@@ -183,14 +183,14 @@
                 attemptLimits(root.object("limits")));
     }
 
-    /** What a replica does with a read that is ahead of its position. */
+    /** Reads what a replica does with a read that requires a later position than its own. */
     private static ReplicaReadCheck replicaReadCheck(JsonObject info) {
-        String word = info.text("serverChecks", "none");
-        return switch (word) {
+        String name = info.text("serverChecks", "none");
+        return switch (name) {
             case "none" -> ReplicaReadCheck.NONE;
             case "refuse" -> ReplicaReadCheck.REJECT;
             case "wait" -> ReplicaReadCheck.WAIT;
-            default -> throw info.error("serverChecks", "unknown serverChecks " + word);
+            default -> throw info.error("serverChecks", "unknown serverChecks " + name);
         };
     }
 
@@ -202,7 +202,7 @@
         return new ProtectionSettings(
                 invariants.micros("drainGraceS", 0),
                 invariants.number("coldFrom", 1), // weight at the start of a slow start
-                invariants.micros("warmAfterS", 0), // length of a slow start
+                invariants.micros("warmAfterS", 0), // duration of a slow start
                 invariants.number("fallMultiple", 1), // bound of the fallback to the primary
                 invariants.micros("fallS", 1), // window of that bound
                 Boolean.TRUE.equals(removalIsAdvisory));
--- a/src/main/java/mintstair/config/Json.java
+++ b/src/main/java/mintstair/config/Json.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * Reads and writes small JSON values as plain maps, lists, strings, doubles and booleans; null is null. Maps keep the
- * order of their keys. Safe for use by several threads.
+ * Reads and writes small JSON values as maps, lists, strings, doubles, booleans and null. Maps keep the order of their
+ * keys. Thread-safe.
  */
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
@@ -21,26 +21,26 @@
     private Json() {}
 
     /**
-     * The one value that the text holds.
+     * Parses a text that holds exactly one value.
      *
-     * @throws IOException where the text is no JSON, or holds more than one value
+     * @throws IOException if the text is not valid JSON or holds more than one value
      */
     public static Object read(byte[] text) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             parser.nextToken();
             Object value = readValue(parser);
             if (parser.nextToken() != null) {
-                throw new IOException("something follows the value");
+                throw new IOException("unexpected content after the JSON value");
             }
             return value;
         }
     }
 
-    /** The value that begins at the parser's current token; the parser is left at its last token. */
+    /** Reads the value that begins at the parser's current token and leaves the parser at the value's last token. */
     public static Object readValue(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
-            throw new IOException("the input ended inside a message");
+            throw new IOException("the JSON input ended inside a value");
         }
         return switch (token) {
             case START_OBJECT -> object(parser);
@@ -71,7 +71,7 @@
         return array;
     }
 
-    /** The text of a value of the kinds that {@link #read} gives; whole numbers are written without a fraction. */
+    /** Returns the JSON text of a value of the types that {@link #read} returns; integers have no fraction. */
     public static String write(Object value) throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator generator = FACTORY.createGenerator(text)) {
--- a/src/main/java/mintstair/config/JsonObject.java
+++ b/src/main/java/mintstair/config/JsonObject.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 
 /**
- * An object of a configuration, with typed look-ups of its values. Look-ups with a default value are lenient: a value
- * of another type counts as missing. Keys that are absent and those that are null are the same.
+ * A JSON object of a configuration, with typed look-ups of its values. Look-ups with a default value treat a value of
+ * another type as missing. A key whose value is null counts as absent.
  *
  * @param values the object as {@link Json} reads it
- * @param path the keys that lead to it, each followed by a dot; empty for the whole configuration
+ * @param path the keys that lead to the object, each followed by a dot; empty for the root
  */
 record JsonObject(Map<?, ?> values, String path) {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** The whole configuration. */
+    /** Wraps the root object of a configuration. */
     static JsonObject root(Map<?, ?> values) {
         return new JsonObject(values, "");
     }
@@ -31,12 +31,12 @@
         return get(key) instanceof Map<?, ?>;
     }
 
-    /** The object under this key; an empty one where there is none. */
+    /** Returns the object under this key, or an empty object if there is none. */
     JsonObject object(String key) {
         return new JsonObject(get(key) instanceof Map<?, ?> map ? map : Map.of(), path + key + ".");
     }
 
-    /** The list under this key; an empty one where there is none. */
+    /** Returns the list under this key, or an empty list if there is none. */
     List<?> list(String key) {
         return get(key) instanceof List<?> list ? list : List.of();
     }
@@ -45,15 +45,15 @@
         return get(key) instanceof String text ? text : defaultValue;
     }
 
-    /** The text under this key, which must be there. */
+    /** Returns the string under this key; throws an error if the key is absent or its value is not a string. */
     String text(String key) {
         if (get(key) instanceof String text) {
             return text;
         }
-        throw error(key, key + " is missing");
+        throw error(key, key + " is missing or not a string");
     }
 
-    /** The text under this key; null where the key is missing, while any other value is an error. */
+    /** Returns the string under this key, or null if the key is absent; any other value is an error. */
     String textOrNull(String key) {
         return has(key) ? text(key) : null;
     }
@@ -62,7 +62,7 @@
         return get(key) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
-    /** The number of seconds under this key, in microseconds. */
+    /** Returns the number of seconds under this key, converted to microseconds. */
     long micros(String key, double defaultSeconds) {
         return toMicros(number(key, defaultSeconds));
     }
@@ -71,7 +71,7 @@
         return get(key) instanceof Boolean flag ? flag : defaultValue;
     }
 
-    /** Fails on a key that is none of these; its message begins with {@code prefix}. */
+    /** Throws an error for a key that is not among the known ones; {@code prefix} begins its message. */
     void requireKnownKeys(Set<String> known, String prefix) {
         for (Object key : values.keySet()) {
             if (!known.contains(key)) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** An error of the value under this key. */
+    /** Returns an error that points to the value under this key. */
     ConfigException error(String key, String message) {
         return ConfigException.at(path + key, message);
     }
--- a/src/main/java/mintstair/config/MembershipConfig.java
+++ b/src/main/java/mintstair/config/MembershipConfig.java
@@ -7,18 +7,18 @@
 import java.util.regex.Pattern;
 
 /**
- * The fleet that this proxy is a member of.
+ * The configuration of this proxy's membership in a fleet.
  *
- * @param fleet the fleet's name: members of others are ignored
- * @param listen where this member takes messages
- * @param advertise the address at which the others reach this member; null for the one that it listens on
- * @param seeds the addresses of some members, which are asked first
- * @param periodMicros the period of the membership protocol
+ * @param fleet the name of the fleet; messages from members of other fleets are ignored
+ * @param listen the address on which this member receives messages
+ * @param advertise the address at which other members reach this one; null for the address it listens on
+ * @param seeds the addresses of the members that this one contacts first to join
+ * @param periodMicros the period of the membership protocol, in microseconds
  */
 public record MembershipConfig(
         String fleet, InetSocketAddress listen, String advertise, List<String> seeds, long periodMicros) {
     private static final Set<String> KEYS = Set.of("fleet", "listen", "advertise", "seeds", "period_s");
-    /** Addresses go into datagrams, many to one. */
+    /** Bounds the size of a datagram, which holds many addresses. */
     private static final int MAX_ADDRESS_CHARACTERS = 64;
 
     private static final Pattern ADDRESS = Pattern.compile("[!-~]{1," + MAX_ADDRESS_CHARACTERS + "}");
@@ -34,10 +34,10 @@
         String advertised = json.textOrNull("advertise");
         String advertise = advertised == null ? null : address(json, "advertise", advertised);
         if (listen.isUnresolved()) {
-            throw json.error("listen", "membership: no address " + listen.getHostString());
+            throw json.error("listen", "membership: cannot resolve the host of listen: " + listen.getHostString());
         }
         if (advertise == null && listen.getAddress().isAnyLocalAddress()) {
-            throw json.error("advertise", "membership: advertise is needed where listen is any address");
+            throw json.error("advertise", "membership: advertise is required if listen is a wildcard address");
         }
         List<String> seeds = seeds(json);
         return new MembershipConfig(fleet, listen, advertise, seeds, periodMicros(json));
@@ -45,7 +45,7 @@
 
     private static List<String> seeds(JsonObject json) {
         if (!(json.get("seeds") instanceof List<?> listed)) {
-            throw json.error("seeds", "membership: seeds is a list of addresses");
+            throw json.error("seeds", "membership: seeds must be a list of addresses");
         }
         List<String> seeds = new ArrayList<>();
         for (Object seed : listed) {
@@ -67,7 +67,8 @@
         if (!ADDRESS.matcher(text).matches()) {
             throw json.error(
                     key,
-                    "membership: an address has at most " + MAX_ADDRESS_CHARACTERS + " printable ASCII characters");
+                    "membership: " + key + " must have at most " + MAX_ADDRESS_CHARACTERS
+                            + " printable ASCII characters");
         }
         return text;
     }
--- a/src/main/java/mintstair/config/NodeConfig.java
+++ b/src/main/java/mintstair/config/NodeConfig.java
@@ -9,17 +9,17 @@
 import mintstair.request.EndpointList;
 
 /**
- * The configuration of one proxy, which the platform writes. Immutable.
+ * The configuration of one proxy, as the platform writes it. Immutable.
  *
  * @param name the proxy's name
- * @param listen where the PostgreSQL front accepts clients
- * @param discovery the service that has the endpoint lists
- * @param control where control commands are accepted; null where they are not
+ * @param listen the address on which the PostgreSQL front accepts clients
+ * @param discovery the address of the service that provides endpoint lists
+ * @param control the address on which control commands are accepted; null if they are not
  * @param seed the seed of all random choices
- * @param maxDescriptors how many file descriptors the process may have
+ * @param maxDescriptors the number of file descriptors that the process may have open
  * @param initialEndpoints the endpoints known before the first list arrives; null for none
- * @param settings what the platform may change while the proxy runs
- * @param json the file's object
+ * @param settings the settings that the platform may change while the proxy runs
+ * @param json the root object of the file
  */
 public record NodeConfig(
         String name,
@@ -31,20 +31,20 @@
         EndpointList initialEndpoints,
         InstanceSettings settings,
         Map<?, ?> json) {
-    /** The key of the endpoints known before the first list arrives. */
-    static final String INITIAL_ENDPOINTS = "known";
+    /** The key of the endpoint list that is used until the first list arrives. */
+    static final String INITIAL_ENDPOINTS_KEY = "known";
 
     private static final String SETTINGS = "settings";
-    /** The variable that has the control address where the file has none. */
+    /** The environment variable for the control address, used if the file has none. */
     private static final String CONTROL_VARIABLE = "NODE_CONTROL";
 
     private static final int DEFAULT_DESCRIPTORS = 1024;
     private static final int HEXADECIMAL = 16;
 
     /**
-     * Reads a file.
+     * Reads a configuration file.
      *
-     * @throws ConfigException where it cannot be used
+     * @throws ConfigException if the file is not usable
      */
     public static NodeConfig read(Path file) {
         try {
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Reads the file anew for a proxy that runs: it needs all that {@code before} had but the known endpoints.
+     * Reads the file again for a running proxy. It must have all keys of {@code before} except the initial endpoints.
      *
-     * @throws ConfigException where it cannot be used
+     * @throws ConfigException if the file is not usable
      */
     public static NodeConfig reload(Path file, NodeConfig before) {
         NodeConfig changed = read(file);
@@ -70,13 +70,13 @@
     }
 
     /**
-     * This configuration with other settings, which need all that the present ones have.
+     * Returns this configuration with other settings, which must have all keys of the current ones.
      *
-     * @param text the object {@code settings}
-     * @param place where the text is from, for the message of an error
-     * @throws ConfigException where they cannot be used
+     * @param text the JSON object {@code settings}
+     * @param source the origin of the text, named in error messages
+     * @throws ConfigException if the settings are not usable
      */
-    public NodeConfig withSettings(byte[] text, String place) {
+    public NodeConfig withSettings(byte[] text, String source) {
         try {
             Map<Object, Object> changedJson = new LinkedHashMap<>(json);
             changedJson.put(SETTINGS, Json.read(text));
@@ -84,20 +84,20 @@
             SettingsValidator.requireComplete(json, changed.json);
             return changed;
         } catch (IOException | IllegalArgumentException | ConfigException e) {
-            throw ConfigException.inPlace(place, e);
+            throw ConfigException.inSource(source, e);
         }
     }
 
     private static NodeConfig of(Object json) {
         if (!(json instanceof Map<?, ?> map)) {
-            throw new ConfigException("not an object");
+            throw new ConfigException("not a JSON object");
         }
         JsonObject root = JsonObject.root(map);
         if (!(root.get(SETTINGS) instanceof Map<?, ?> settings)) {
-            throw root.error(SETTINGS, "settings are missing");
+            throw root.error(SETTINGS, SETTINGS + " is missing or not an object");
         }
         EndpointList initialEndpoints =
-                root.has(INITIAL_ENDPOINTS) ? EndpointListReader.read(root.get(INITIAL_ENDPOINTS)) : null;
+                root.has(INITIAL_ENDPOINTS_KEY) ? EndpointListReader.read(root.get(INITIAL_ENDPOINTS_KEY)) : null;
         int maxDescriptors = (int) root.object("limits").number("sockets", DEFAULT_DESCRIPTORS);
         String name = root.text("name");
         InetSocketAddress listen = parseAddress(root.text("listen"));
@@ -117,13 +117,13 @@
                 map);
     }
 
-    /** The control address, from the file or the environment; null where neither has one. */
+    /** Returns the control address from the file or else from the environment; null if neither has one. */
     private static InetSocketAddress control(JsonObject root) {
         String text = root.text("control", System.getenv(CONTROL_VARIABLE));
         return text == null || text.isEmpty() ? null : parseAddress(text);
     }
 
-    /** The platform writes seeds as hexadecimal text, as not all of their bits fit in a JSON number. */
+    /** Reads the seed, which is hexadecimal text because a JSON number does not hold all 64 bits, or a plain number. */
     private static long seed(Object value) {
         if (value instanceof String text) {
             return Long.parseUnsignedLong(text, HEXADECIMAL);
@@ -132,20 +132,20 @@
     }
 
     /**
-     * Parses an address and port, as in {@code 127.0.0.1:5433}.
+     * Parses an address and port, for example {@code 127.0.0.1:5433}.
      *
-     * @throws ConfigException where the text is none
+     * @throws ConfigException if the text is not an address and port
      */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 1) {
-            throw new ConfigException("no address and port: " + text);
+            throw new ConfigException("expected HOST:PORT, found " + text);
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             return new InetSocketAddress(text.substring(0, colon), port);
         } catch (IllegalArgumentException e) {
-            throw new ConfigException("no address and port: " + text, e);
+            throw new ConfigException("expected HOST:PORT, found " + text, e);
         }
     }
 }
--- a/src/main/java/mintstair/config/OperatorConfig.java
+++ b/src/main/java/mintstair/config/OperatorConfig.java
@@ -10,14 +10,14 @@
 import mintstair.request.EndpointList;
 
 /**
- * What an operator sets up beside the platform's front, in a file of its own; every part that the file does not name
- * is off, and null here. Immutable.
+ * The optional parts of a proxy, which an operator configures in a separate file. A part that the file does not contain
+ * is disabled and null here. Immutable.
  *
- * @param mongodb the second front
+ * @param mongodb the MongoDB front
  * @param record the recording of traffic
  * @param store this proxy's member of the replicated store
- * @param registry the registry that stands in for discovery
- * @param membership the fleet that this proxy joins
+ * @param registry the registry that replaces the discovery service
+ * @param membership the membership in a fleet
  */
 public record OperatorConfig(
         MongodbFront mongodb,
@@ -25,22 +25,26 @@
         StoreConfig store,
         RegistryConfig registry,
         MembershipConfig membership) {
-    /** Without an operator's file. */
+    /** The configuration without an operator's file: all optional parts are disabled. */
     public static final OperatorConfig NONE = new OperatorConfig(null, null, null, null, null);
 
     private static final Set<String> PARTS = Set.of("mongodb", "record", "store", "registry", "membership");
 
     /**
-     * Where the MongoDB front listens, and its hosts: listed here, or by a discovery service of their own; null for
-     * none.
+     * The configuration of the MongoDB front.
+     *
+     * @param listen the address on which the front accepts clients
+     * @param discovery the address of the discovery service for its hosts; null for none
+     * @param hosts the endpoint list of its hosts; null for none
      */
     public record MongodbFront(InetSocketAddress listen, InetSocketAddress discovery, EndpointList hosts) {}
 
     /**
-     * One file of client traffic and the bytes that it may grow to, or rotated files.
+     * The recording of traffic, either into a single file or into rotated files.
      *
-     * @param file the one file; null with rotated files
-     * @param rotated the rotated files; null with one file
+     * @param file the single file; null for rotated files
+     * @param maxBytes the maximum size of the single file, in bytes; 0 for rotated files
+     * @param rotated the rotated files; null for a single file
      */
     public record RecordingConfig(Path file, long maxBytes, RotatedFiles rotated) {
         private static final Set<String> KEYS =
@@ -70,7 +74,7 @@
                     number(json, "share", 1, 0),
                     json.flag("digests", false));
             if (rotated.share() > 1) {
-                throw json.error("share", "record: share must be from 0 to 1");
+                throw json.error("share", "record: share must be between 0 and 1");
             }
             return new RecordingConfig(null, 0, rotated);
         }
@@ -81,21 +85,22 @@
             }
             double number = json.number(key, Double.NaN);
             if (!(number >= min) || number > MAX_NUMBER) {
-                throw json.error(key, "record: " + key + " must be a number from " + (long) min + " on");
+                throw json.error(key, "record: " + key + " must be a number of at least " + (long) min);
             }
             return number;
         }
     }
 
     /**
-     * Rotated files of traffic.
+     * The limits and contents of rotated recording files.
      *
-     * @param fileBytes the size at which a file is followed by the next
-     * @param fileMicros the age at which a file is followed by the next
-     * @param totalBytes the size of all files together
-     * @param queueBytes what may wait for the disk
+     * @param folder the folder of the files
+     * @param fileBytes the size at which the next file is started, in bytes
+     * @param fileMicros the age at which the next file is started, in microseconds
+     * @param totalBytes the maximum size of all files together, in bytes
+     * @param queueBytes the maximum size of the records that wait to be written to disk, in bytes
      * @param hosts whether connections to database hosts are recorded as well
-     * @param share the share of the connections that is recorded, from 0 to 1
+     * @param share the fraction of the connections that is recorded, from 0 to 1
      * @param digests whether values are replaced by digests
      */
     public record RotatedFiles(
@@ -109,34 +114,37 @@
             boolean digests) {}
 
     /**
-     * The replicated store: the name of this proxy's member, the addresses of all members by name, and this one's
-     * folder.
+     * The configuration of the replicated store.
+     *
+     * @param member the name of this proxy's member
+     * @param members the addresses of all members, by name
+     * @param folder the folder of this proxy's member
      */
     public record StoreConfig(String member, Map<String, InetSocketAddress> members, Path folder) {
         private static StoreConfig read(JsonObject json) {
             if (!(json.get("members") instanceof Map<?, ?> listed)) {
-                throw json.error("members", "store needs its members");
+                throw json.error("members", "store: members must be an object of addresses by name");
             }
             Map<String, InetSocketAddress> members = new LinkedHashMap<>();
             listed.forEach(
                     (name, address) -> members.put(name.toString(), NodeConfig.parseAddress(String.valueOf(address))));
             String member = json.text("member");
             if (!members.containsKey(member)) {
-                throw json.error("member", "store: " + member + " is none of its members");
+                throw json.error("member", "store: member " + member + " is not listed in members");
             }
             return new StoreConfig(member, members, Path.of(json.text("folder")));
         }
     }
 
     /**
-     * Reads a file.
+     * Reads an operator's file.
      *
-     * @throws ConfigException where it cannot be used
+     * @throws ConfigException if the file is not usable
      */
     public static OperatorConfig read(Path file) {
         try {
             if (!(Json.read(Files.readAllBytes(file)) instanceof Map<?, ?> map)) {
-                throw new ConfigException("not an object");
+                throw new ConfigException("not a JSON object");
             }
             return of(JsonObject.root(map));
         } catch (IOException | IllegalArgumentException | ConfigException e) {
@@ -145,20 +153,20 @@
     }
 
     private static OperatorConfig of(JsonObject root) {
-        requireParts(root);
+        requireKnownParts(root);
         RegistryConfig registry = root.has("registry") ? RegistryConfig.read(root.object("registry")) : null;
-        boolean registered = registry != null && registry.fronts().contains(RegistryConfig.MONGODB);
-        if (registered && !root.has("mongodb")) {
-            throw root.error("mongodb", "registry lists hosts of mongodb, which is not set up");
+        boolean hostsInRegistry = registry != null && registry.fronts().contains(RegistryConfig.MONGODB);
+        if (hostsInRegistry && !root.has("mongodb")) {
+            throw root.error("mongodb", "registry lists hosts of mongodb, but mongodb is not configured");
         }
-        MongodbFront mongodb = root.has("mongodb") ? mongodb(root.object("mongodb"), registered) : null;
+        MongodbFront mongodb = root.has("mongodb") ? mongodb(root.object("mongodb"), hostsInRegistry) : null;
         RecordingConfig record = root.has("record") ? RecordingConfig.read(root.object("record")) : null;
         StoreConfig store = root.has("store") ? StoreConfig.read(root.object("store")) : null;
         MembershipConfig membership = root.has("membership") ? MembershipConfig.read(root.object("membership")) : null;
         return new OperatorConfig(mongodb, record, store, registry, membership);
     }
 
-    private static void requireParts(JsonObject root) {
+    private static void requireKnownParts(JsonObject root) {
         for (Object key : root.values().keySet()) {
             if (!PARTS.contains(key) || !(root.values().get(key) instanceof Map<?, ?>)) {
                 throw root.error(String.valueOf(key), "unknown setting " + key);
@@ -166,12 +174,12 @@
         }
     }
 
-    private static MongodbFront mongodb(JsonObject json, boolean registered) {
+    private static MongodbFront mongodb(JsonObject json, boolean hostsInRegistry) {
         String discoveryText = json.textOrNull("discovery");
         InetSocketAddress discovery = discoveryText == null ? null : NodeConfig.parseAddress(discoveryText);
         EndpointList hosts = json.has("hosts") ? EndpointListReader.read(json.get("hosts")) : null;
-        if (discovery == null && hosts == null && !registered) {
-            throw json.error("hosts", "mongodb needs hosts or discovery, or a registry");
+        if (discovery == null && hosts == null && !hostsInRegistry) {
+            throw json.error("hosts", "mongodb requires hosts, discovery or a registry");
         }
         return new MongodbFront(NodeConfig.parseAddress(json.text("listen")), discovery, hosts);
     }
--- a/src/main/java/mintstair/config/RegistryConfig.java
+++ b/src/main/java/mintstair/config/RegistryConfig.java
@@ -9,17 +9,17 @@
 import java.util.regex.Pattern;
 
 /**
- * The registry that holds the endpoint lists in place of discovery.
+ * The configuration of the registry that provides the endpoint lists instead of the discovery service.
  *
- * @param kind whose protocol it speaks
- * @param endpoints its members, one of which is used at a time
- * @param prefix what the keys of its entries begin with
+ * @param kind the protocol of the registry
+ * @param endpoints the addresses of its members, one of which is used at a time
+ * @param prefix the prefix of the keys of its entries
  * @param fronts the names of the fronts whose hosts it lists
- * @param user the user's name; null for none
- * @param secret the user's password, or Consul's token; null for none
- * @param tls the files of its TLS connections; null for plain ones
- * @param snapshot the file that keeps the last view; null for none
- * @param snapshotEveryMicros how often a view that changes is kept
+ * @param user the user name; null for none
+ * @param secret the user's password (etcd) or the token (Consul); null for none
+ * @param tls the files for TLS connections; null for unencrypted connections
+ * @param snapshot the file to which the latest view is written; null for none
+ * @param snapshotEveryMicros the interval at which a changed view is written, in microseconds
  */
 public record RegistryConfig(
         Kind kind,
@@ -61,29 +61,34 @@
     }
 
     /**
-     * PEM files: the authorities that the servers are trusted by, and this client's certificate and key, or null for
-     * both.
+     * The PEM files for TLS connections.
+     *
+     * @param ca the certificates of the trusted authorities
+     * @param certificate the certificate of this client; null for none
+     * @param key the private key of this client; null if it has no certificate
      */
     public record Tls(Path ca, Path certificate, Path key) {}
 
     static RegistryConfig read(JsonObject json) {
         json.requireKnownKeys(KEYS, "registry: ");
         Kind kind = kind(json);
-        List<InetSocketAddress> endpoints = texts(json, "endpoints", List.of()).stream()
+        List<InetSocketAddress> endpoints = strings(json, "endpoints", List.of()).stream()
                 .map(NodeConfig::parseAddress)
                 .toList();
         String prefix = prefix(json);
-        List<String> fronts = texts(json, "fronts", List.of(POSTGRESQL));
+        List<String> fronts = strings(json, "fronts", List.of(POSTGRESQL));
         if (endpoints.isEmpty()
                 || fronts.isEmpty()
                 || !Set.of(POSTGRESQL, MONGODB).containsAll(fronts)) {
             throw json.error(
-                    "endpoints", "registry needs endpoints, and fronts among " + POSTGRESQL + " and " + MONGODB);
+                    "endpoints",
+                    "registry: endpoints and fronts must not be empty, and fronts may contain only " + POSTGRESQL
+                            + " and " + MONGODB);
         }
         String secretKey = kind == Kind.ETCD ? "password_file" : "token_file";
         String user = json.textOrNull("user");
         if (user != null && !json.has(secretKey)) {
-            throw json.error("user", "registry: user needs password_file");
+            throw json.error("user", "registry: user requires password_file");
         }
         long snapshotEveryMicros = snapshotEveryMicros(json);
         return new RegistryConfig(
@@ -102,14 +107,17 @@
         return switch (json.text("kind")) {
             case "etcd" -> Kind.ETCD;
             case "consul" -> Kind.CONSUL;
-            default -> throw json.error("kind", "registry: kind is etcd or consul");
+            default -> throw json.error("kind", "registry: kind must be etcd or consul");
         };
     }
 
     private static String prefix(JsonObject json) {
         String prefix = json.text("prefix");
         if (!PREFIX.matcher(prefix).matches() || prefix.length() > MAX_PREFIX_CHARACTERS) {
-            throw json.error("prefix", "registry: prefix must be of printable ASCII and end with /");
+            throw json.error(
+                    "prefix",
+                    "registry: prefix must be printable ASCII, end with / and have at most " + MAX_PREFIX_CHARACTERS
+                            + " characters");
         }
         return prefix;
     }
@@ -134,7 +142,7 @@
         return new Tls(ca, Path.of(tls.text("certificate")), Path.of(tls.text("key")));
     }
 
-    /** Secrets are named by their file alone, which may be readable to fewer than the configuration. */
+    /** Reads a secret from the file that the configuration names, because that file's permissions may be stricter. */
     private static String secret(JsonObject json, String key) {
         Path file = pathOrNull(json, key);
         if (file == null) {
@@ -152,13 +160,13 @@
         return text == null ? null : Path.of(text);
     }
 
-    private static List<String> texts(JsonObject json, String key, List<String> defaultValue) {
+    private static List<String> strings(JsonObject json, String key, List<String> defaultValue) {
         if (!json.has(key)) {
             return defaultValue;
         }
         List<?> list = json.list(key);
         if (!(json.get(key) instanceof List<?>) || !list.stream().allMatch(String.class::isInstance)) {
-            throw json.error(key, "registry: " + key + " must be a list of texts");
+            throw json.error(key, "registry: " + key + " must be a list of strings");
         }
         return list.stream().map(Object::toString).toList();
     }
--- a/src/main/java/mintstair/config/SettingsValidator.java
+++ b/src/main/java/mintstair/config/SettingsValidator.java
@@ -3,23 +3,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** Checks the platform's object {@code settings} before it is used. */
+/** Validates the platform's object {@code settings} before it is used. */
 final class SettingsValidator {
     private SettingsValidator() {}
 
-    /** Fails on settings by which no request could be served. */
+    /** Throws an error for settings with which no request could be served. */
     static void requireUsable(JsonObject settings) {
         List<?> classes = classes(settings);
         for (Object element : classes) {
             if (!(element instanceof Map<?, ?> requestClass)) {
-                throw settings.error("classes", "a class must be an object");
+                throw settings.error("classes", "each element of classes must be an object");
             }
             requireRequestClass(new JsonObject(requestClass, settings.path() + "classes."));
         }
         requirePositive(settings.object("limits"), "maxAttempts");
         Object consistency = settings.object("familyInfo").get("consistency");
-        if (!(consistency instanceof List<?> words) || words.size() != classes.size()) {
-            throw settings.error("familyInfo.consistency", "familyInfo.consistency must say what each class needs");
+        if (!(consistency instanceof List<?> names) || names.size() != classes.size()) {
+            throw settings.error(
+                    "familyInfo.consistency", "familyInfo.consistency must have one element for each class");
         }
     }
 
@@ -36,8 +37,8 @@
     }
 
     /**
-     * Fails where a configuration that was read anew lacks what the one before had: a file that is being written may
-     * be valid JSON already. Only the list of known hosts may be missing.
+     * Throws an error if a reloaded configuration lacks a key that the previous one had: a file that is still being
+     * written may already be valid JSON. Only the list of initial endpoints may be missing.
      */
     static void requireComplete(Map<?, ?> before, Map<?, ?> after) {
         requireKeys(before, JsonObject.root(after));
@@ -50,7 +51,7 @@
     private static void requireKeys(Map<?, ?> before, JsonObject after) {
         before.forEach((name, value) -> {
             String key = name.toString();
-            if (key.equals(NodeConfig.INITIAL_ENDPOINTS)) {
+            if (key.equals(NodeConfig.INITIAL_ENDPOINTS_KEY)) {
                 return;
             }
             if (!after.values().containsKey(key)) {
@@ -65,12 +66,13 @@
         });
     }
 
-    /** A class needs each key that all classes had. */
+    /** Requires a class to have each key that all classes of the previous configuration had. */
     private static void requireKeysOfAll(List<?> classesBefore, Map<?, ?> requestClass) {
         for (Object key : ((Map<?, ?>) classesBefore.get(0)).keySet()) {
-            boolean needed = classesBefore.stream().allMatch(before -> ((Map<?, ?>) before).containsKey(key));
-            if (needed && !requestClass.containsKey(key)) {
-                throw ConfigException.at("settings.classes." + key, "a class without " + key);
+            boolean required = classesBefore.stream().allMatch(before -> ((Map<?, ?>) before).containsKey(key));
+            if (required && !requestClass.containsKey(key)) {
+                throw ConfigException.at(
+                        "settings.classes." + key, "a class lacks " + key + ", which all classes had before");
             }
         }
     }
@@ -78,7 +80,7 @@
     private static List<?> classes(JsonObject settings) {
         List<?> classes = settings.list("classes");
         if (classes.isEmpty()) {
-            throw settings.error("classes", "classes are missing");
+            throw settings.error("classes", "classes is missing or empty");
         }
         return classes;
     }
--- a/src/main/java/mintstair/control/ControlCommands.java
+++ b/src/main/java/mintstair/control/ControlCommands.java
@@ -3,7 +3,7 @@
 import java.util.function.Supplier;
 import mintstair.stats.MetricsSnapshot;
 
-/** The commands of the control address and their responses. Safe for use by several threads. */
+/** Responds to the commands of the control address. Thread-safe. */
 public final class ControlCommands {
     private static final String FAIL = "fail\n";
     private static final String OK = "ok\n";
@@ -13,22 +13,22 @@
     private volatile boolean ready;
     private volatile Supplier<String> members;
 
-    /** {@code metrics} gives the latest snapshot without waiting for the event loop. */
+    /** Creates the commands; {@code metrics} returns the latest snapshot without waiting for the event loop. */
     public ControlCommands(Supplier<MetricsSnapshot> metrics) {
         this.metrics = metrics;
     }
 
-    /** Sets the readiness: true from the time the fronts listen until the process is to end. */
+    /** Sets the readiness: true from when the fronts listen until shutdown begins. */
     public void setReady(boolean ready) {
         this.ready = ready;
     }
 
-    /** Sets what gives the members of the fleet, a line each; without it the command {@code members} fails. */
+    /** Sets the source of the fleet members, one per line; without it the command {@code members} fails. */
     public void setMembers(Supplier<String> lines) {
         members = lines;
     }
 
-    /** The whole response to the line of a command; {@code fail} to an unknown one. */
+    /** Returns the complete response to a command line; {@code fail} if the command is unknown. */
     String respond(String line) {
         return switch (line.strip()) {
             case "readyz" -> ready ? OK : FAIL;
--- a/src/main/java/mintstair/control/ControlServer.java
+++ b/src/main/java/mintstair/control/ControlServer.java
@@ -25,12 +25,12 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransportBuilder;
 
 /**
- * Serves the control address: a connection sends one command line, receives the response, and is closed. All
- * connections are handled by one thread of the server's own transport, so that it responds however busy the fronts
- * and the event loop are.
+ * Serves the control address: a client sends one command line, receives the response, and the connection is closed.
+ * One thread of a separate transport handles all connections, so that the server responds however busy the fronts and
+ * the event loop are.
  */
 public final class ControlServer implements AutoCloseable {
-    /** Connections that may be open without a whole command; their descriptors are reserved. */
+    /** The maximum number of connections without a complete command; their file descriptors are reserved. */
     public static final int MAX_INCOMPLETE = 16;
 
     private static final int BACKLOG = 64;
@@ -38,10 +38,10 @@
     private final ControlCommands commands;
     private final TCPNIOTransport transport;
 
-    /** Connections that have not sent a whole command yet, the oldest first. Guarded by {@code incomplete}. */
+    /** Connections that have not sent a complete command yet, oldest first. Guarded by itself. */
     private final Set<CommandConnection> incomplete = new LinkedHashSet<>();
 
-    /** Answers with these commands; listens only once it is told to. */
+    /** Creates a server for the commands that does not listen before {@link #listen}. */
     public ControlServer(ControlCommands commands) {
         this.commands = commands;
         transport = TCPNIOTransportBuilder.newInstance()
@@ -54,7 +54,7 @@
                 .build();
     }
 
-    /** Listens on the address, or on any free port of it for port 0; returns the port. */
+    /** Listens on the address, or on any free port if its port is 0; returns the port. */
     public int listen(InetSocketAddress address) throws IOException {
         if (transport.isStopped()) {
             transport.start();
@@ -68,14 +68,14 @@
         return ((InetSocketAddress) listener.getLocalAddress()).getPort();
     }
 
-    /** Connections that send no whole command must not keep others out: the oldest is closed for a new one. */
+    /** Closes the oldest incomplete connection if there are too many, so that idle clients cannot block new ones. */
     private CommandConnection accept(Connection<?> connection) {
         CommandConnection accepted = new CommandConnection(connection);
         add(accepted).ifPresent(evicted -> evicted.connection.terminateSilently());
         return accepted;
     }
 
-    /** Returns the connection that is over the limit. */
+    /** Adds a connection and returns the oldest one, now removed, if the limit is exceeded. */
     private Optional<CommandConnection> add(CommandConnection accepted) {
         synchronized (incomplete) {
             incomplete.add(accepted);
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Returns false where the connection was closed, or had its command, before. */
+    /** Returns false if the connection was already closed, evicted or sent its command. */
     private boolean remove(CommandConnection completed) {
         synchronized (incomplete) {
             return incomplete.remove(completed);
@@ -101,11 +101,11 @@
         try {
             transport.shutdownNow();
         } catch (IOException e) {
-            System.err.println("control: " + e.getMessage());
+            System.err.println("control: cannot stop the listener: " + e.getMessage());
         }
     }
 
-    /** One connection: reads are on the transport's thread, the close is on any. */
+    /** One connection; {@link #read} runs on the transport's thread, {@link #closed} on any thread. */
     private final class CommandConnection implements MessageFilter.Listener {
         private final Connection<?> connection;
         private final Framer framer = new LineFramer();
@@ -119,13 +119,13 @@
             String line;
             try {
                 framer.feed(bytes);
-                byte[] whole = framer.next();
-                if (whole == null) {
+                byte[] frame = framer.next();
+                if (frame == null) {
                     return;
                 }
-                line = new String(whole, StandardCharsets.ISO_8859_1);
+                line = new String(frame, StandardCharsets.ISO_8859_1);
             } catch (ProtocolException e) {
-                // Too long a line is no command, and is responded to as one that is unknown.
+                // A line over the length limit is answered like an unknown command.
                 line = "";
             }
             if (remove(this)) {
@@ -133,7 +133,7 @@
             }
         }
 
-        /** The connection's type parameter is its address type, which its writer wants as a raw one. */
+        /** Uses a raw type because the writer's type does not match the connection's address type parameter. */
         @SuppressWarnings({"unchecked", "rawtypes"})
         private void write(byte[] response) {
             ((Connection) connection)
--- a/src/main/java/mintstair/control/package-info.java
+++ b/src/main/java/mintstair/control/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The control address: one command a connection, for the platform and the engineers on call, and the {@code members}
- * command that calls it. It has a listener and a thread of its own, so that it responds whatever state the event loop
- * is in.
+ * The control address, on which the platform and operators send one command per connection, and the {@code members}
+ * command, its client. It has its own listener and thread, so that it responds regardless of the state of the event
+ * loop.
  */
 package mintstair.control;
--- a/src/main/java/mintstair/log/GuardedTask.java
+++ b/src/main/java/mintstair/log/GuardedTask.java
@@ -1,14 +1,14 @@
 package mintstair.log;
 
 /**
- * A task of a schedule. An executor drops a periodic task for good, without a word, when one run of it throws: whatever
- * this one throws is reported on standard error, and the schedule goes on.
+ * A task that prints everything it throws to standard error. An executor silently cancels a periodic task when one of
+ * its runs throws; with this wrapper the schedule continues.
  */
 public final class GuardedTask implements Runnable {
     private final String part;
     private final Runnable task;
 
-    /** Guards the task; {@code part} of the program begins the line of a report. */
+    /** Wraps the task; {@code part} names the part of the program at the start of the error line. */
     public GuardedTask(String part, Runnable task) {
         this.part = part;
         this.task = task;
--- a/src/main/java/mintstair/log/NonBlockingOutput.java
+++ b/src/main/java/mintstair/log/NonBlockingOutput.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A bounded buffer before a stream that may block, emptied by a thread of its own: a log that nobody reads blocks no
- * thread of the program. Writes beyond the bound are dropped, and the log says how many as soon as it is read again.
- * Safe for use by several threads.
+ * An output stream with a bounded buffer that a dedicated thread writes to a target stream, so that a log whose reader
+ * has stopped blocks no other thread of the program. Writes that exceed the buffer are dropped, and a line reports
+ * their number once the target accepts data again. Thread-safe.
  */
 public final class NonBlockingOutput extends OutputStream {
-    /** More than a minute of lines of a proxy in trouble, and little beside the heap. */
+    /** Holds more than a minute of lines of a proxy that logs many errors, and is small compared with the heap. */
     private static final int MAX_BYTES = 256 * 1024;
 
-    /** Standard output and standard error, once they are replaced. */
+    /** The replacements of standard output and standard error; empty until {@link #install}. */
     private static volatile List<NonBlockingOutput> installed = List.of();
 
     private final OutputStream target;
@@ -28,19 +28,19 @@
     /** Guarded by this object. */
     private int bufferedBytes;
 
-    /** Whether the thread is writing what it has taken from the buffer. Guarded by this object. */
+    /** Whether the thread is writing bytes that it has removed from the buffer. Guarded by this object. */
     private boolean writing;
 
     /** Guarded by this object. */
     private boolean targetFailed;
 
-    /** Writes dropped since the log last said how many. Guarded by this object. */
+    /** The number of writes dropped since the last report. Guarded by this object. */
     private long unreportedDrops;
 
     /** Guarded by this object. */
     private long drops;
 
-    /** Starts a daemon thread of this name, which writes to the target. */
+    /** Starts a daemon thread with this name that writes to the target. */
     public NonBlockingOutput(OutputStream target, String threadName) {
         this.target = target;
         Thread thread = new Thread(this::writeToTarget, threadName);
@@ -48,7 +48,7 @@
         thread.start();
     }
 
-    /** Replaces standard output and standard error; {@link #drainStandardStreams} is due before the process ends. */
+    /** Replaces standard output and standard error; call {@link #drainStandardStreams} before the process exits. */
     public static void install() {
         NonBlockingOutput out = new NonBlockingOutput(System.out, "standard output");
         NonBlockingOutput err = new NonBlockingOutput(System.err, "standard error");
@@ -57,14 +57,14 @@
         installed = List.of(out, err);
     }
 
-    /** Waits until standard output and standard error are written, for so many milliseconds at most for each. */
+    /** Waits until standard output and standard error are written, at most the timeout for each of them. */
     public static void drainStandardStreams(long timeoutMillis) {
         System.out.flush();
         System.err.flush();
         installed.forEach(output -> output.drain(timeoutMillis));
     }
 
-    /** How many writes to standard output and standard error were dropped. */
+    /** Returns the number of dropped writes to standard output and standard error. */
     public static long droppedByStandardStreams() {
         return installed.stream().mapToLong(NonBlockingOutput::droppedWrites).sum();
     }
@@ -87,13 +87,13 @@
         notifyAll();
     }
 
-    /** Called under the lock. */
+    /** Requires the lock of this object. */
     private void add(byte[] bytes) {
         buffer.add(bytes);
         bufferedBytes += bytes.length;
     }
 
-    /** Waits until all is written, for so many milliseconds at most; returns whether it is. */
+    /** Waits until all buffered bytes are written, at most the timeout; returns whether they are. */
     public synchronized boolean drain(long timeoutMillis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         long remainingMillis = timeoutMillis;
@@ -108,23 +108,23 @@
         return isDrained();
     }
 
-    /** Called under the lock. */
+    /** Requires the lock of this object. */
     private boolean isDrained() {
         return !writing && buffer.isEmpty();
     }
 
-    /** How many writes were dropped. */
+    /** Returns the number of dropped writes. */
     public synchronized long droppedWrites() {
         return drops;
     }
 
-    /** The thread's task. */
+    /** Runs on the dedicated thread until the target fails. */
     private void writeToTarget() {
         try {
             while (true) {
                 target.write(takeNext());
                 target.flush();
-                written();
+                onWritten();
             }
         } catch (IOException e) {
             fail();
@@ -141,19 +141,19 @@
         byte[] next = buffer.poll();
         bufferedBytes -= next.length;
         if (buffer.isEmpty() && unreportedDrops > 0) {
-            String report = "log: " + unreportedDrops + " lines were dropped, as nobody read them\n";
+            String report = "log: " + unreportedDrops + " lines were dropped because the output was not read\n";
             unreportedDrops = 0;
             add(report.getBytes(StandardCharsets.UTF_8));
         }
         return next;
     }
 
-    private synchronized void written() {
+    private synchronized void onWritten() {
         writing = false;
         notifyAll();
     }
 
-    /** The reader is gone: there is nowhere left to report this, and what is written from now on is dropped. */
+    /** Discards the buffer and all later writes: the target has failed, so the failure cannot be reported there. */
     private synchronized void fail() {
         targetFailed = true;
         writing = false;
--- a/src/main/java/mintstair/log/package-info.java
+++ b/src/main/java/mintstair/log/package-info.java
@@ -1,2 +1,2 @@
-/** The program's output streams, which never block the thread that writes a line. */
+/** Output streams that never block the writing thread, and the error reporting of scheduled tasks. */
 package mintstair.log;
--- a/src/main/java/mintstair/package-info.java
+++ b/src/main/java/mintstair/package-info.java
@@ -1,2 +1,2 @@
-/** The program: its entry point and the commands that need no package of their own. */
+/** The entry point of the program, and the commands that do not have their own package. */
 package mintstair;
--- a/src/test/java/mintstair/config/EndpointListReaderTest.java
+++ b/src/test/java/mintstair/config/EndpointListReaderTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void entryIsReadWhole() throws IOException {
+    void readReturnsAllFieldsOfAnEntry() throws IOException {
         EndpointList list = read(ENTRY);
 
         assertEquals(7, list.revision());
@@ -31,26 +31,26 @@
         assertEquals(expected, list.entries().get(0));
     }
 
-    /** The words are the platform's, whatever the code calls the states. */
+    /** The names of the states are defined by the platform and do not follow renames in the code. */
     @ParameterizedTest
     @CsvSource({"SERVING, SERVING", "DRAINING, DRAINING", "DELETED, REMOVED"})
-    void wordsOfThePlatformAreTurnedIntoStates(String word, EndpointList.State state) throws IOException {
-        EndpointList list = read(ENTRY.replace("SERVING", word));
+    void platformStateNamesAreTranslated(String name, EndpointList.State state) throws IOException {
+        EndpointList list = read(ENTRY.replace("SERVING", name));
 
         assertEquals(state, list.entries().get(0).state());
     }
 
     @Test
-    void unknownStateIsNamed() {
+    void unknownStateIsReported() {
         EndpointListException error =
                 assertThrows(EndpointListException.class, () -> read(ENTRY.replace("SERVING", "REMOVED")));
 
-        assertEquals("unknown state of a host: REMOVED", error.getMessage());
+        assertEquals("unknown host state: REMOVED", error.getMessage());
     }
 
-    /** The other entries of its list count all the same. */
+    /** An entry with an invalid port must not invalidate the other entries of its list. */
     @Test
-    void hostWithAnImpossiblePortIsRemoved() throws IOException {
+    void hostWithPortOutOfRangeIsRemoved() throws IOException {
         EndpointList list = read(ENTRY.replace("5432", "99999"));
 
         assertEquals(EndpointList.State.REMOVED, list.entries().get(0).state());
@@ -58,11 +58,11 @@
 
     @ParameterizedTest
     @CsvSource({"uid", "endpoint", "az"})
-    void entryWithoutARequiredKeyIsRejected(String key) {
+    void entryWithoutRequiredKeyIsRejected(String key) {
         String entry = ENTRY.replace("\"" + key + "\"", "\"other\"");
 
         EndpointListException error = assertThrows(EndpointListException.class, () -> read(entry));
 
-        assertEquals("a host needs its " + key, error.getMessage());
+        assertEquals("host entry has no " + key, error.getMessage());
     }
 }
--- a/src/test/java/mintstair/config/InstanceSettingsTest.java
+++ b/src/test/java/mintstair/config/InstanceSettingsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The platform's keys and words, and what they are in the code. */
+/** Tests the translation of the platform's keys and values into the terms of the code. */
 class InstanceSettingsTest {
     private static final String CLASSES = "{\"classes\":["
             + "{\"name\":\"read\",\"repeat\":\"idempotent\",\"sloS\":0.6,\"deadlineS\":2.5,\"worth\":2},"
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void classesAreReadWithTheirConsistencyAndStalenessByTheirIndex() throws IOException {
+    void classesHaveConsistencyAndStalenessOfTheirIndex() throws IOException {
         InstanceSettings settings = settings(CLASSES);
 
         RequestClass read = new RequestClass(
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void missingKeysHaveTheirDefaults() throws IOException {
+    void missingKeysHaveDefaults() throws IOException {
         InstanceSettings settings = settings("{}");
 
         assertEquals(1, settings.fleetSize);
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void keysAreReadInTheUnitsOfTheCode() throws IOException {
+    void valuesAreReadAndTimesConvertedToMicroseconds() throws IOException {
         InstanceSettings settings = settings("{\"balancers\":14,\"discovery\":\"automatic\","
                 + "\"tenants\":[{\"name\":\"t\",\"quotaRps\":10}],\"familyInfo\":{\"positionZeroS\":2},"
                 + "\"report\":{\"fields\":[\"x0\",\"x1\"]},\"invariants\":{\"drainGraceS\":1.5},"
@@ -94,8 +94,8 @@
         "cell, rack, unknown group rack",
         "bounded, old, unknown consistency old"
     })
-    void unknownWordIsNamed(String word, String unknown, String message) {
-        String json = CLASSES.replace("\"" + word + "\"", "\"" + unknown + "\"");
+    void unknownValueIsReported(String value, String unknown, String message) {
+        String json = CLASSES.replace("\"" + value + "\"", "\"" + unknown + "\"");
 
         ConfigException error = assertThrows(ConfigException.class, () -> settings(json));
 
--- a/src/test/java/mintstair/config/MembershipConfigTest.java
+++ b/src/test/java/mintstair/config/MembershipConfigTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void exampleIsComplete() {
+    void exampleFileIsRead() {
         MembershipConfig example =
                 OperatorConfig.read(Path.of("deploy/membership.json")).membership();
 
@@ -35,11 +35,11 @@
     }
 
     @Test
-    void membershipIsOffWithoutAnOperatorsFile() {
+    void membershipIsDisabledWithoutOperatorFile() {
         assertNull(OperatorConfig.NONE.membership());
     }
 
-    /** The error is one line, which names what is wrong. */
+    /** The message is one line that names the faulty key. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -47,14 +47,15 @@
             value = {
                 "{\"seeds\":[],\"listen\":\"127.0.0.1:1\"} | membership.fleet | fleet is missing",
                 "{\"fleet\":\"f\",\"seeds\":[]} | membership.listen | listen is missing",
-                "{\"fleet\":\"f\",\"listen\":\"127.0.0.1:1\"} | membership.seeds | seeds is a list",
-                "{\"fleet\":\"f\",\"seeds\":[],\"listen\":\"0.0.0.0:1\"} | membership.advertise | advertise is needed",
+                "{\"fleet\":\"f\",\"listen\":\"127.0.0.1:1\"} | membership.seeds | seeds must be a list",
+                "{\"fleet\":\"f\",\"seeds\":[],\"listen\":\"0.0.0.0:1\"} | membership.advertise"
+                        + " | advertise is required",
                 "{\"fleet\":\"f\",\"period_s\":0,\"seeds\":[],\"listen\":\"127.0.0.1:1\"} | membership.period_s"
                         + " | period_s must be from 0.05 to 60",
                 "{\"fleet\":\"f\",\"period\":1,\"seeds\":[],\"listen\":\"127.0.0.1:1\"} | membership.period"
                         + " | unknown setting period"
             })
-    void unusableSettingIsNamed(String membership, String jsonPath, String message) {
+    void invalidSettingIsReportedWithItsPath(String membership, String jsonPath, String message) {
         ConfigException error = assertThrows(ConfigException.class, () -> read(membership));
 
         assertTrue(error.getMessage().contains(message), error.getMessage());
@@ -64,12 +65,12 @@
     }
 
     @Test
-    void seedThatIsNoAddressIsNamed() {
+    void seedThatIsNotAnAddressIsReported() {
         String membership = "{\"fleet\":\"f\",\"seeds\":[\"here\"],\"listen\":\"127.0.0.1:1\"}";
 
         ConfigException error = assertThrows(ConfigException.class, () -> read(membership));
 
-        assertTrue(error.getMessage().endsWith("no address and port: here"), error.getMessage());
+        assertTrue(error.getMessage().endsWith("expected HOST:PORT, found here"), error.getMessage());
         assertEquals(1, error.getMessage().lines().count());
     }
 }
--- a/src/test/java/mintstair/config/NodeConfigTest.java
+++ b/src/test/java/mintstair/config/NodeConfigTest.java
@@ -27,7 +27,7 @@
     private Path file;
 
     @BeforeEach
-    void nameFile() {
+    void resolveFile() {
         file = folder.resolve("node.json");
     }
 
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void fileIsReadWhole() throws IOException {
+    void readReturnsAllValuesOfTheFile() throws IOException {
         NodeConfig config = read(CONFIG);
 
         assertEquals("n1", config.name());
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void optionalPartsHaveDefaults() throws IOException {
+    void missingOptionalKeysHaveDefaults() throws IOException {
         NodeConfig config = read("{\"name\":\"n1\",\"listen\":\"127.0.0.1:5433\",\"discovery\":\"127.0.0.1:9\","
                 + "\"settings\":" + SETTINGS + "}");
 
@@ -62,22 +62,22 @@
         assertNull(config.initialEndpoints());
     }
 
-    /** The error is one line with the file; the path of the value is known beside. */
+    /** The message is one line that begins with the file; the exception has the path of the value as well. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             quoteCharacter = '\'',
             value = {
-                "\"name\":\"n1\" | \"other\":1 | name is missing | name",
-                "\"settings\" | \"other\" | settings are missing | settings",
+                "\"name\":\"n1\" | \"other\":1 | name is missing or not a string | name",
+                "\"settings\" | \"other\" | settings is missing or not an object | settings",
                 "\"deadlineS\":5 | \"deadlineS\":0 | deadlineS must be a number above 0 | settings.classes.deadlineS",
-                "\"name\":\"any\", | '' | name is missing | settings.classes.name",
+                "\"name\":\"any\", | '' | name is missing or not a string | settings.classes.name",
                 "\"maxAttempts\":3 | \"maxAttempts\":\"3\" | maxAttempts must be a number above 0"
                         + " | settings.limits.maxAttempts",
-                "[\"any\"] | [] | familyInfo.consistency must say what each class needs"
+                "[\"any\"] | [] | familyInfo.consistency must have one element for each class"
                         + " | settings.familyInfo.consistency"
             })
-    void unusableValueIsNamed(String text, String replacement, String message, String jsonPath) {
+    void invalidValueIsReportedWithItsPath(String text, String replacement, String message, String jsonPath) {
         ConfigException error = assertThrows(ConfigException.class, () -> read(CONFIG.replace(text, replacement)));
 
         assertEquals(file + ": " + message, error.getMessage());
@@ -86,18 +86,18 @@
     }
 
     @Test
-    void missingFileIsNamed() {
+    void missingFileIsReported() {
         ConfigException error = assertThrows(ConfigException.class, () -> NodeConfig.read(file));
 
         assertEquals(file + ": no such file", error.getMessage());
     }
 
     @Test
-    void listOfKnownHostsIsCheckedWithTheFile() {
+    void invalidListOfInitialEndpointsIsReported() {
         ConfigException error =
                 assertThrows(ConfigException.class, () -> read(CONFIG.replace("\"rev\":3", "\"rev\":\"3\"")));
 
-        assertEquals(file + ": a list of hosts needs rev and targets", error.getMessage());
+        assertEquals(file + ": endpoint list must have rev (a number) and targets (a list)", error.getMessage());
     }
 
     @ParameterizedTest
@@ -108,9 +108,10 @@
                 "\"control\":\"127.0.0.1:9901\", | '' | control is missing",
                 "\"limits\":{\"sockets\":256}, | \"limits\":1, | limits is not an object",
                 "\"maxAttempts\":3 | \"maxAttempts\":3,\"cancelling\":true | '' ",
-                ",\"sloS\":1 | '' | a class without sloS"
+                ",\"sloS\":1 | '' | a class lacks sloS, which all classes had before"
             })
-    void fileReadAnewNeedsAllThatTheOneBeforeHad(String text, String replacement, String message) throws IOException {
+    void reloadedFileMustHaveAllKeysOfThePreviousOne(String text, String replacement, String message)
+            throws IOException {
         NodeConfig before = read(CONFIG);
         Files.writeString(file, CONFIG.replace(text, replacement));
 
@@ -123,7 +124,7 @@
     }
 
     @Test
-    void knownHostsMayBeMissingFromAFileReadAnew() throws IOException {
+    void initialEndpointsMayBeMissingFromReloadedFile() throws IOException {
         NodeConfig before = read(CONFIG);
         Files.writeString(file, CONFIG.replace("\"known\":{\"rev\":3,\"targets\":[]},", ""));
 
@@ -131,7 +132,7 @@
     }
 
     @Test
-    void otherSettingsReplaceThePresentOnes() throws IOException {
+    void withSettingsReplacesTheCurrentSettings() throws IOException {
         NodeConfig changed = read(CONFIG).withSettings(bytes(SETTINGS.replace(":5,", ":7,")), "here");
 
         assertEquals(7_000_000, changed.settings().longestDeadlineMicros());
@@ -139,13 +140,13 @@
     }
 
     @Test
-    void unusableSettingsAreNamedWithTheirPlace() throws IOException {
+    void invalidSettingsAreReportedWithTheirSource() throws IOException {
         NodeConfig config = read(CONFIG);
 
         ConfigException error =
                 assertThrows(ConfigException.class, () -> config.withSettings(bytes("{}"), "revision 3"));
 
-        assertEquals("revision 3: classes are missing", error.getMessage());
+        assertEquals("revision 3: classes is missing or empty", error.getMessage());
         assertEquals("settings.classes", error.jsonPath().orElseThrow());
     }
 }
--- a/src/test/java/mintstair/control/ControlCommandsTest.java
+++ b/src/test/java/mintstair/control/ControlCommandsTest.java
@@ -10,7 +10,7 @@
             () -> new MetricsSnapshot.Builder().add("taken", 3).build());
 
     @Test
-    void readinessFollowsWhetherClientsAreTaken() {
+    void readyzReturnsTheReadinessThatWasSet() {
         assertEquals("fail\n", commands.respond("readyz"));
 
         commands.setReady(true);
@@ -21,12 +21,12 @@
     }
 
     @Test
-    void telemetryIsTheLatestSnapshot() {
+    void telemetryReturnsTheLatestSnapshot() {
         assertEquals("ok\nsvc.taken=3\neof\n", commands.respond("telemetry\r"));
     }
 
     @Test
-    void membersAreShownByAMemberOfAFleetOnly() {
+    void membersFailsUnlessMemberOfAFleet() {
         assertEquals("fail\n", commands.respond("members"));
 
         commands.setMembers(() -> "member a\n");
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void unknownCommandFails() {
+    void unknownCommandReturnsFail() {
         assertEquals("fail\n", commands.respond("shutdown"));
         assertEquals("fail\n", commands.respond(""));
     }
--- a/src/test/java/mintstair/control/ControlServerTest.java
+++ b/src/test/java/mintstair/control/ControlServerTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void oldestIncompleteConnectionIsEvictedForANewOne() throws IOException {
+    void oldestIncompleteConnectionIsClosedWhenLimitIsExceeded() throws IOException {
         Socket oldest = connect();
         for (int i = 0; i < ControlServer.MAX_INCOMPLETE; i++) {
             connect();
--- a/src/test/java/mintstair/log/NonBlockingOutputTest.java
+++ b/src/test/java/mintstair/log/NonBlockingOutputTest.java
@@ -11,12 +11,12 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** What nobody reads is dropped beyond a bound, counted and reported; what is read is complete and in order. */
+/** Tests that a blocked target drops, counts and reports writes beyond the bound, and never blocks the writer. */
 class NonBlockingOutputTest {
     private static final byte[] LINE =
             "a line of the log that is as long as most of them are, more or less\n".getBytes(StandardCharsets.UTF_8);
 
-    /** Blocks writers until it is opened. */
+    /** Blocks each write until {@code open} is counted down. */
     private static final class BlockedStream extends OutputStream {
         final CountDownLatch open = new CountDownLatch(1);
         final ByteArrayOutputStream written = new ByteArrayOutputStream();
@@ -52,11 +52,11 @@
         assertTrue(output.drain(20_000));
         String written = blocked.written.toString(StandardCharsets.UTF_8);
         assertEquals(lines - dropped + 1, written.lines().count());
-        assertTrue(written.endsWith("log: " + dropped + " lines were dropped, as nobody read them\n"));
+        assertTrue(written.endsWith("log: " + dropped + " lines were dropped because the output was not read\n"));
     }
 
     @Test
-    void failedTargetBlocksNobody() {
+    void failedTargetDoesNotBlockWriters() {
         NonBlockingOutput output = new NonBlockingOutput(
                 new OutputStream() {
                     @Override
