--- a/src/main/java/mintstair/StoreCommand.java
+++ b/src/main/java/mintstair/StoreCommand.java
@@ -15,7 +15,11 @@
 
     private StoreCommand() {}
 
-    /** Runs the command; {@code options} are the operator's file, {@code get} or {@code put}, the key, and its value. */
+    /**
+     * Runs the command.
+     *
+     * @param options the operator's file, {@code get} or {@code put}, the key, and for {@code put} the value
+     */
     static void run(List<String> options) throws IOException {
         Main.requireUsage(options.size() >= 3);
         String operatorFile = options.get(0);
