--- a/src/main/java/mintstair/front/ClientCloseReason.java
+++ b/src/main/java/mintstair/front/ClientCloseReason.java
@@ -1,21 +1,24 @@
 package mintstair.front;
 
-/** Why a client's connection ended; the first reason counts. The metrics {@code clients_ended} have these names. */
+/**
+ * The reason why a client connection ended; the first one set is kept. The metrics {@code clients_ended} use these
+ * names.
+ */
 public enum ClientCloseReason {
-    /** The client closed or reset it, or the network did. */
+    /** The client closed or reset the connection, or the network broke it. */
     LEFT,
-    /** The client said that it is done. */
+    /** The client ended the session with a message of its protocol. */
     QUIT,
-    /** What the client sent broke the protocol, or was not finished in time. */
+    /** The client violated the protocol, or did not complete a message in time. */
     PROTOCOL_ERROR,
-    /** The client read nothing of what it was sent. */
+    /** The client did not read its response within the write timeout. */
     NOT_READING,
-    /** There were too many clients. */
+    /** The client was rejected because there were too many clients. */
     NO_ROOM,
-    /** It was evicted while idle, as others needed its descriptor. */
+    /** The client was evicted while idle to free its file descriptor for others. */
     IDLED_OUT,
-    /** This process ends. */
+    /** The proxy is shutting down. */
     DRAINED,
-    /** A long response broke off in its middle. */
+    /** A response was aborted after a part of it had been forwarded. */
     ANSWER_BROKE_OFF
 }
--- a/src/main/java/mintstair/front/ClientSession.java
+++ b/src/main/java/mintstair/front/ClientSession.java
@@ -14,16 +14,17 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * One client connection. Commands run one at a time and are answered in order; the next one runs when the response to
- * the last is written out, so that a client that does not read its responses waits. {@link SessionState} has the
- * states and their transitions.
+ * One client connection. Commands run one at a time and are answered in order; the next one runs once the response to
+ * the previous one has been written, so that a client that does not read its responses is not served further.
+ * {@link SessionState} defines the states and their transitions.
  *
- * <p>Runs on the event loop, but for {@link #read} and {@link #closed}.
+ * <p>Runs on the event loop, except for {@link #read}, which runs on the network thread, and {@link #closed}, which
+ * runs on the thread that detects the end of the connection.
  */
 public abstract class ClientSession implements MessageFilter.Listener {
-    /** For the start-up, for the rest of a message that has begun, and for the response to a request when it ends. */
+    /** Bounds the start-up, the rest of an incomplete message, and the last response of a terminating session. */
     private static final long READ_TIMEOUT_MICROS = 2_500_000;
-    /** For so long at most the input of a client is discarded once its session is over. */
+    /** Maximum time for which the input of a client is discarded after the end of its session. */
     private static final long LINGER_TIMEOUT_MICROS = 250_000;
 
     private static final long NEVER = Long.MAX_VALUE;
@@ -34,21 +35,21 @@
     private final CommandQueue commands;
     private final ResponseWriter writer;
     private SessionState state = SessionState.OPEN;
-    /** Set by the thread that sees the end of the connection, as the event loop may be busy. */
+    /** Set by the thread that detects the end of the connection, as the event loop may be busy. */
     private volatile boolean disconnected;
-    /** Whether {@link Front} no longer counts it; a connection that is closed at once is counted until it is gone. */
-    private boolean leaving;
+    /** Whether {@link Front} no longer counts the session; one closed at once is counted until it is removed. */
+    private boolean closing;
 
     private boolean started;
     private boolean requestSubmitted;
-    /** What is wrong with the input behind the queued commands; null while nothing is. */
+    /** The error in the input after the queued commands; null if there is none. */
     private String inputError;
-    /** What is sent when the last response is written; null for nothing. */
+    /** The message that is sent after the last response has been written; null for none. */
     private byte[] finalMessage;
 
     private long endingSinceMicros;
     private long idleSinceMicros;
-    /** Since when the timeout of the current command runs. */
+    /** The start of the timeout of the current command. */
     private long commandSinceMicros;
 
     private Exchange exchange;
@@ -67,25 +68,25 @@
     /**
      * Runs one command.
      *
-     * @throws ProtocolException where the connection cannot go on after it
+     * @throws ProtocolException if the connection cannot be used any further
      */
-    protected abstract void command(byte[] message);
+    protected abstract void runCommand(byte[] message);
 
-    /** The message by which a connection ends that broke the protocol; null for none. */
+    /** Returns the last message on a connection that violated the protocol; null for none. */
     protected abstract byte[] protocolErrorMessage(String error);
 
-    /** The message to a client that is rejected as there are too many; null where its protocol has none. */
+    /** Returns the message that rejects a client when there are too many; null if the protocol has none. */
     protected abstract byte[] tooManyClientsMessage();
 
-    /** Begins to record the connection, where there is a recorder. */
-    final void accepted(Recorder recorder) {
+    /** Starts to record the connection, unless the recorder is null. */
+    final void startRecording(Recorder recorder) {
         if (recorder != null) {
             transcript = recorder.begin(
                     (InetSocketAddress) connection.getPeerAddress(), (InetSocketAddress) connection.getLocalAddress());
         }
     }
 
-    /** Ends a connection for which there is no room. */
+    /** Rejects the client because there are too many clients. */
     final void reject() {
         setCloseReason(ClientCloseReason.NO_ROOM);
         terminate(tooManyClientsMessage());
@@ -120,10 +121,10 @@
         }
     }
 
-    /** The commands before the error are whole, and are answered first. */
+    /** Stops reading input; the complete commands before the error are answered before it is reported. */
     private void inputFailed(ProtocolException error) {
         input.discard();
-        leaving = true;
+        closing = true;
         state = state.after(SessionState.Event.INPUT_ERROR);
         inputError = error.getMessage();
         runCommands();
@@ -133,7 +134,7 @@
     public final void closed() {
         disconnected = true;
         front.connectionClosed();
-        input.end();
+        input.release();
         front.loop.execute(this::release);
     }
 
@@ -153,14 +154,14 @@
         front.accountPipelined(commands.heldBytesChange());
     }
 
-    /** The first reason counts. */
+    /** Sets the reason unless one was set before. */
     private void setCloseReason(ClientCloseReason reason) {
         if (closeReason == ClientCloseReason.LEFT) {
             closeReason = reason;
         }
     }
 
-    /** Ends the session where one of its timeouts has passed. */
+    /** Ends the session if one of its timeouts has expired. */
     final void checkTimeouts(long nowMicros) {
         switch (state) {
             case OPEN, DRAINING, FAILING -> checkReadAndWriteTimeouts(nowMicros);
@@ -181,7 +182,7 @@
             abort(ClientCloseReason.NOT_READING);
         } else if (!started && nowMicros - idleSinceMicros > READ_TIMEOUT_MICROS) {
             failProtocol("the connection was not started in time");
-        } else if (commands.partialForMicros(nowMicros) > READ_TIMEOUT_MICROS) {
+        } else if (commands.partialMessageAgeMicros(nowMicros) > READ_TIMEOUT_MICROS) {
             failProtocol("a message was not finished in time");
         }
     }
@@ -194,15 +195,15 @@
             abort(ClientCloseReason.NOT_READING);
             return;
         }
-        // The client learns by the final message that its request gets no response.
+        // The final message tells the client that its request gets no response.
         Exchange abandoned = exchange;
         exchange = null;
         front.dispatcher.clientDisconnected(abandoned);
         endingSinceMicros = nowMicros;
-        endWhenWritten();
+        endIfWritten();
     }
 
-    /** What an eviction would take from the client. */
+    /** Returns the cost of evicting the client. */
     final EvictionClass evictionClass() {
         if (input.isSilent()) {
             return EvictionClass.SILENT;
@@ -210,12 +211,12 @@
         return requestSubmitted ? EvictionClass.ACTIVE : EvictionClass.UNAUTHENTICATED;
     }
 
-    /** Whether the connection ends by itself, so that it need not be evicted. */
-    final boolean isLeaving() {
-        return leaving;
+    /** Whether the connection is ending already, so that it need not be evicted. */
+    final boolean isClosing() {
+        return closing;
     }
 
-    /** Since when it has been open with nothing in flight, or {@link Long#MAX_VALUE} where that is not so. */
+    /** Returns since when nothing has been in flight, or {@link Long#MAX_VALUE} if the session is not open and idle. */
     final long idleSinceMicros() {
         return state == SessionState.OPEN && hasNothingInFlight() ? idleSinceMicros : NEVER;
     }
@@ -224,7 +225,7 @@
         return exchange == null && !writer.isWriting() && !commands.hasPartialMessage() && commands.isEmpty();
     }
 
-    /** Ends the session with its final message where it waits only for the rest of a message. */
+    /** Ends the session with a final message if it only waits for the rest of an incomplete message. */
     final void endUnfinished() {
         if (state != SessionState.CLOSED && exchange == null && commands.isEmpty() && commands.hasPartialMessage()) {
             setCloseReason(ClientCloseReason.DRAINED);
@@ -232,14 +233,14 @@
         }
     }
 
-    /** Closes the connection for this reason: at once where nothing is in flight, else after the response. */
+    /** Closes the connection for this reason: at once if nothing is in flight, otherwise after the response. */
     final void drain(ClientCloseReason reason) {
         setCloseReason(reason);
         drain();
     }
 
     private void drain() {
-        leaving = true;
+        closing = true;
         state = state.after(SessionState.Event.DRAIN);
         if (state == SessionState.CLOSED || !hasNothingInFlight()) {
             return;
@@ -260,7 +261,7 @@
         input.shutdownOutput(front::isFull);
     }
 
-    /** Closes the connection at once, as the client asked for it. */
+    /** Closes the connection at once, as its client has requested. */
     protected final void close() {
         setCloseReason(ClientCloseReason.QUIT);
         state = state.after(SessionState.Event.CLOSE);
@@ -268,7 +269,7 @@
         connection.closeSilently();
     }
 
-    /** Resets the connection, with which its unwritten responses are lost. */
+    /** Resets the connection; responses that have not been written are lost. */
     private void abort(ClientCloseReason reason) {
         setCloseReason(reason);
         state = state.after(SessionState.Event.CLOSE);
@@ -277,15 +278,15 @@
 
     private void runCommands() {
         try {
-            while (mayRunCommand()) {
+            while (canRunCommand()) {
                 CommandQueue.Command next = commands.poll();
-                // A command's own timeout does not include the time spent on those before it.
+                // The timeout of a command does not include the time spent on the commands before it.
                 commandSinceMicros = Math.max(next.readAtMicros(), writer.lastCompletedAtMicros());
-                command(next.message());
+                runCommand(next.message());
                 started = true;
                 idleSinceMicros = front.loop.now();
             }
-            // Also counts an error of the input again with each response that is written after it was reported.
+            // An input error is counted again for each response that is written after it was reported.
             if (inputError != null && state != SessionState.CLOSED && exchange == null && commands.isEmpty()) {
                 failProtocol(inputError);
             }
@@ -294,7 +295,7 @@
         }
     }
 
-    private boolean mayRunCommand() {
+    private boolean canRunCommand() {
         boolean answered = exchange == null && !writer.isWriting();
         return state.acceptsInput() && !disconnected && answered && !commands.isEmpty();
     }
@@ -305,33 +306,33 @@
         terminate(protocolErrorMessage(error));
     }
 
-    /** Takes nothing more from the client; a request in flight is still answered before the final message. */
+    /** Discards further input; a request in flight is still answered before the final message. */
     private void terminate(byte[] message) {
         if (!state.acceptsInput()) {
             return;
         }
         state = state.after(SessionState.Event.TERMINATE);
         input.discard();
-        leaving = true;
+        closing = true;
         endingSinceMicros = front.loop.now();
         finalMessage = message;
         discardCommands();
-        endWhenWritten();
+        endIfWritten();
     }
 
-    /** Sends the final message, or closes the connection, where its time has come. */
-    private void endWhenWritten() {
+    /** Sends the final message, or closes the connection, once all responses have been written. */
+    private void endIfWritten() {
         boolean answered = exchange == null && !writer.isWriting();
         if (state == SessionState.TERMINATING && finalMessage != null && answered) {
             byte[] message = finalMessage;
             finalMessage = null;
             write(message);
-        } else if (leaving) {
+        } else if (closing) {
             drain();
         }
     }
 
-    /** Submits a request, which must be the only one; {@code onResponse} runs once, unless the client is gone. */
+    /** Submits a request, the only one in flight; {@code onResponse} runs once, unless the client has disconnected. */
     protected final void submit(ProxyRequest request, Consumer<Response> onResponse) {
         requestSubmitted = true;
         long waitedMicros = Math.max(0, front.loop.now() - commandSinceMicros);
@@ -342,7 +343,7 @@
         }
     }
 
-    /** Takes the response to the one request in flight. */
+    /** Receives the response to the request in flight. */
     private final class PendingResponse implements ResponseListener {
         private final Consumer<Response> onResponse;
         private boolean answered;
@@ -372,7 +373,7 @@
         @Override
         public void onResponseAborted() {
             exchange = null;
-            // A reset in the middle of a message: no client takes what it has for the whole.
+            // A reset within a message ensures that the client does not take the partial response for a complete one.
             abort(ClientCloseReason.ANSWER_BROKE_OFF);
         }
     }
@@ -392,6 +393,6 @@
     private void written(long nowMicros) {
         idleSinceMicros = nowMicros;
         runCommands();
-        endWhenWritten();
+        endIfWritten();
     }
 }
--- a/src/main/java/mintstair/front/CommandQueue.java
+++ b/src/main/java/mintstair/front/CommandQueue.java
@@ -7,16 +7,16 @@
 import mintstair.wire.ProtocolException;
 
 /**
- * The commands that a client has sent ahead of its responses (pipelining), in order, and the start of the message that
- * is still incomplete. Runs on the event loop. It does not block or drop anything at its limits: the session ends a
- * client for which {@link #isOverLimit} is true.
+ * The commands that a client has pipelined, in order, and the received part of an incomplete message. Runs on the event
+ * loop. The queue neither blocks nor drops commands at its limits: the session ends a client for which
+ * {@link #isOverLimit} is true.
  */
 final class CommandQueue {
     private static final int MAX_BYTES = 512 * 1024;
     private static final int MAX_COMMANDS = 64;
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** One whole message, and when its last byte was read. */
+    /** One complete message, and the time at which its last byte was read. */
     record Command(byte[] message, long readAtMicros) {}
 
     private final Framer framer;
@@ -34,17 +34,17 @@
     /**
      * Parses the bytes and queues each message that they complete.
      *
-     * @throws ProtocolException where they cannot be parsed; the messages before the error are queued, the rest is
-     *     discarded
+     * @throws ProtocolException if the bytes cannot be parsed; the messages before the error are queued, and the rest
+     *     is discarded
      */
     void append(ByteBuffer bytes, long readAtMicros) {
-        boolean samePartial = hasPartialMessage();
+        boolean isContinuation = hasPartialMessage();
         framer.feed(bytes);
         try {
             for (byte[] message = framer.next(); message != null; message = framer.next()) {
                 commands.add(new Command(message, readAtMicros));
                 commandBytes += message.length;
-                samePartial = false;
+                isContinuation = false;
             }
         } catch (ProtocolException e) {
             discardPartialMessage();
@@ -52,12 +52,12 @@
         }
         if (!hasPartialMessage()) {
             partialSinceMicros = NEVER;
-        } else if (!samePartial) {
+        } else if (!isContinuation) {
             partialSinceMicros = clockMicros.getAsLong();
         }
     }
 
-    /** Removes and returns the first command, or null where there is none. */
+    /** Removes and returns the first command, or returns null if there is none. */
     Command poll() {
         Command next = commands.poll();
         if (next != null) {
@@ -66,34 +66,34 @@
         return next;
     }
 
-    /** Whether no whole command is queued. */
+    /** Whether no complete command is queued. */
     boolean isEmpty() {
         return commands.isEmpty();
     }
 
-    /** Whether the start of a message was read and its end was not. */
+    /** Whether an incomplete message has been received. */
     boolean hasPartialMessage() {
         return framer.pending() > 0;
     }
 
-    /** For how many microseconds the rest of a message has been missing; 0 where none is. */
-    long partialForMicros(long nowMicros) {
+    /** Returns how long the incomplete message has been waiting for its rest; 0 if there is none. */
+    long partialMessageAgeMicros(long nowMicros) {
         return nowMicros - Math.min(nowMicros, partialSinceMicros);
     }
 
-    /** By how many bytes the memory held by this queue has changed since the last call. */
+    /** Returns the change of the bytes held by this queue since the last call of this method. */
     int heldBytesChange() {
         int change = framer.pending() + commandBytes - accountedBytes;
         accountedBytes += change;
         return change;
     }
 
-    /** Whether the client has sent more ahead of its responses than one client may, as of {@link #heldBytesChange}. */
+    /** Whether the client exceeds the limits on pipelining; bytes count as of the last {@link #heldBytesChange}. */
     boolean isOverLimit() {
         return accountedBytes > MAX_BYTES || commands.size() > MAX_COMMANDS;
     }
 
-    /** Discards everything. */
+    /** Discards all commands and the incomplete message. */
     void clear() {
         discardPartialMessage();
         commands.clear();
--- a/src/main/java/mintstair/front/EvictionClass.java
+++ b/src/main/java/mintstair/front/EvictionClass.java
@@ -1,11 +1,11 @@
 package mintstair.front;
 
-/** How much an idle client would lose by its eviction; in the order in which clients are evicted. */
+/** The cost of evicting an idle client, in the order in which clients are evicted. */
 enum EvictionClass {
-    /** It has not sent a byte. */
+    /** The client has sent no byte. */
     SILENT,
-    /** It has sent something, such as a start-up message, but no request. */
+    /** The client has sent some input, such as a start-up message, but no request. */
     UNAUTHENTICATED,
-    /** It has sent a request, and keeps its connection for the next. */
+    /** The client has sent a request, and keeps its connection for the next one. */
     ACTIVE
 }
--- a/src/main/java/mintstair/front/EvictionPolicy.java
+++ b/src/main/java/mintstair/front/EvictionPolicy.java
@@ -1,18 +1,18 @@
 package mintstair.front;
 
-/** Chooses which idle client loses its connection where others need it; on the event loop. */
+/** Chooses the idle client to evict when connections run short. Runs on the event loop. */
 final class EvictionPolicy {
     private EvictionPolicy() {}
 
     /**
-     * The client that loses least: of the lowest {@link EvictionClass}, the one that has been idle for longest. Clients
-     * that send a request at once and keep their connection for the next must not be evicted for ones that connect and
+     * Returns the client that loses least by its eviction: the longest idle one of the lowest {@link EvictionClass}.
+     * Clients that send requests and reuse their connection must not be evicted in favor of clients that connect and
      * send nothing.
      *
-     * @param newest the client that came last, which is never chosen
-     * @param minIdleMicros only clients that have been idle for so long are chosen
+     * @param newest the most recent client, which is never chosen
+     * @param minIdleMicros the idle time from which on a client may be chosen
      * @param evictActive whether clients of {@link EvictionClass#ACTIVE} may be chosen
-     * @return the client, or null where none may be chosen
+     * @return the client, or null if none may be chosen
      */
     static ClientSession leastValuable(
             Iterable<ClientSession> sessions,
@@ -31,7 +31,7 @@
         return chosen;
     }
 
-    /** The active client that has been idle for longest, since before this time; null where there is none. */
+    /** Returns the longest idle active client among those idle since this time or earlier; null if there is none. */
     static ClientSession idlestActive(Iterable<ClientSession> sessions, long idleSinceBeforeMicros) {
         ClientSession idlest = null;
         for (ClientSession session : sessions) {
@@ -43,11 +43,11 @@
         return idlest;
     }
 
-    /** The first client that has not sent a byte and does not end by itself; {@code newest} where there is none. */
-    static ClientSession silentOr(Iterable<ClientSession> sessions, ClientSession newest) {
+    /** Returns the first other client that has sent no byte and is not closing, or {@code newest} if there is none. */
+    static ClientSession silentClientOr(Iterable<ClientSession> sessions, ClientSession newest) {
         for (ClientSession session : sessions) {
             boolean silent = session.evictionClass() == EvictionClass.SILENT;
-            if (session != newest && silent && !session.isLeaving()) {
+            if (session != newest && silent && !session.isClosing()) {
                 return session;
             }
         }
--- a/src/main/java/mintstair/front/Front.java
+++ b/src/main/java/mintstair/front/Front.java
@@ -21,19 +21,20 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * The listener of one protocol and the client connections that it has accepted. It bounds their number: past a share of
- * the limit idle clients are evicted, and past the limit a client is rejected unless another can be evicted for it.
+ * The listener of one protocol and the client connections that it has accepted. It bounds their number: above a share
+ * of the limit idle clients are evicted, and above the limit a new client is rejected unless an idle one can be evicted
+ * in its place.
  *
- * <p>Runs on the event loop, but for the methods that say otherwise.
+ * <p>Runs on the event loop, except for the methods that are documented otherwise.
  */
 public abstract class Front {
-    /** How much all clients together may send ahead of their responses; the heap is small. */
+    /** Limit on the input that all clients together may pipeline; bounds its share of a small heap. */
     private static final int MAX_PIPELINED_BYTES = 8 * 1024 * 1024;
-    /** A client that has been idle for less is expected to send a request. */
+    /** A client that has been idle for less time is expected to send another request and is not evicted. */
     private static final long MIN_IDLE_MICROS = 250_000;
-    /** The same where the limit on clients is reached. */
+    /** The same bound once the limit on clients is exceeded. */
     private static final long MIN_IDLE_WHEN_FULL_MICROS = 20_000;
-    /** From this share of the limit on, and from this number on, an idle client is evicted for each that comes. */
+    /** Above this share of the limit, and above the number below, each new client causes an idle one to be evicted. */
     private static final double EVICTION_THRESHOLD = 0.4;
 
     private static final int MIN_CLIENTS_BEFORE_EVICTION = 8;
@@ -44,7 +45,7 @@
     protected final Dispatcher dispatcher;
     protected final Counters counters;
     final TCPNIOTransport transport;
-    /** Bytes of all clients that were read and not processed yet. */
+    /** Bytes of all clients that have been read from the network and not yet processed by the event loop. */
     final AtomicLong unprocessedBytes = new AtomicLong();
 
     private final RequestRules rules;
@@ -66,25 +67,25 @@
         loop.every(TIMEOUT_CHECK_INTERVAL_MICROS, this::checkTimeouts);
     }
 
-    /** Makes the session of a connection that was accepted; on the network thread. */
-    protected abstract ClientSession session(Connection<?> connection);
+    /** Creates the session of an accepted connection; on the network thread. */
+    protected abstract ClientSession createSession(Connection<?> connection);
 
-    /** Sets how many clients may be connected from now on; on any thread. */
+    /** Sets the limit on connected clients, which applies to new connections; on any thread. */
     public void setMaxClients(int clients) {
         maxClients = clients;
     }
 
-    /** Has the connections that are accepted from now on written to a capture; null for none. */
+    /** Records the connections that are accepted from now on into a capture; null records none. */
     public void record(Recorder newRecorder) {
         recorder = newRecorder;
     }
 
     /**
-     * Listens on the address; on any thread, once.
+     * Binds the address and listens on it; may be called once, on any thread.
      *
-     * @param address with port 0 for any free port
-     * @return the port
-     * @throws IOException where the address cannot be bound
+     * @param address the address to bind; port 0 selects any free port
+     * @return the port that was bound
+     * @throws IOException if the address cannot be bound
      */
     public int listen(InetSocketAddress address) throws IOException {
         MessageFilter filter = new MessageFilter(this::accept);
@@ -98,16 +99,16 @@
         return ((InetSocketAddress) listener.getLocalAddress()).getPort();
     }
 
-    /** On the network thread; null for a connection that is closed at once. */
+    /** Accepts a connection on the network thread; returns null if it was closed at once. */
     private ClientSession accept(Connection<?> connection) {
-        // Past the limit a client is rejected with a message, by the loop; past the slack there is no time for one.
+        // Above the limit the event loop rejects a client with a message; above the slack it is closed without one.
         if (openConnections.incrementAndGet() > maxClients + slack(maxClients)) {
             openConnections.decrementAndGet();
             counters.clientConnectionsDropped.incrementAndGet();
             connection.terminateSilently();
             return null;
         }
-        ClientSession session = session(connection);
+        ClientSession session = createSession(connection);
         loop.execute(() -> add(session));
         return session;
     }
@@ -115,24 +116,24 @@
     private void add(ClientSession session) {
         counters.clientConnectionsOpened++;
         sessions.add(session);
-        session.accepted(recorder);
-        int staying = stayingClients();
-        if (staying > maxClients) {
-            makeRoom(session);
-        } else if (staying > Math.max(MIN_CLIENTS_BEFORE_EVICTION, maxClients * EVICTION_THRESHOLD)) {
-            // Early, as clients may have a limit of their own on the connections that they open.
+        session.startRecording(recorder);
+        int remaining = remainingClients();
+        if (remaining > maxClients) {
+            evictOrReject(session);
+        } else if (remaining > Math.max(MIN_CLIENTS_BEFORE_EVICTION, maxClients * EVICTION_THRESHOLD)) {
+            // Evicts before the limit is reached, as clients may limit the number of connections that they open.
             evictLeastValuable(session, MIN_IDLE_MICROS, false);
             evictIdlestActive();
         }
     }
 
-    /** Clients that leave have made room already: counted again, they would have others evicted. */
-    private int stayingClients() {
-        int staying = 0;
+    /** Counts the sessions that are not closing: a closing one frees its connection without a further eviction. */
+    private int remainingClients() {
+        int remaining = 0;
         for (ClientSession session : sessions) {
-            staying += session.isLeaving() ? 0 : 1;
+            remaining += session.isClosing() ? 0 : 1;
         }
-        return staying;
+        return remaining;
     }
 
     private boolean evictLeastValuable(ClientSession newest, long minIdleMicros, boolean evictActive) {
@@ -165,19 +166,22 @@
         session.reject();
     }
 
-    /** A client that comes brings a request, while one that is evicted idle loses nothing. */
-    private void makeRoom(ClientSession newest) {
+    /**
+     * Evicts an idle client in favor of a new one, which is expected to send a request, or rejects a client if none has
+     * been idle for long enough.
+     */
+    private void evictOrReject(ClientSession newest) {
         if (!evictLeastValuable(newest, MIN_IDLE_WHEN_FULL_MICROS, true)) {
-            reject(EvictionPolicy.silentOr(sessions, newest));
+            reject(EvictionPolicy.silentClientOr(sessions, newest));
         }
     }
 
-    /** Whether clients hold all connections that they may have; on any thread. */
+    /** Whether the clients hold more connections than the limit allows; on any thread. */
     boolean isFull() {
         return openConnections.get() > maxClients;
     }
 
-    /** How many connections beyond {@code maxClients} may be open while their clients are rejected with a message. */
+    /** Returns how many connections above {@code maxClients} may be open while clients are rejected with a message. */
     public static int slack(int maxClients) {
         return Math.max(8, maxClients / 8);
     }
@@ -187,7 +191,7 @@
         List.copyOf(sessions).forEach(session -> session.checkTimeouts(nowMicros));
     }
 
-    /** Notes that a connection was closed; on any thread. */
+    /** Records that a connection was closed; on any thread. */
     void connectionClosed() {
         openConnections.decrementAndGet();
     }
@@ -197,22 +201,22 @@
         sessions.remove(session);
     }
 
-    /** The counters since the start, on one line of names and values. */
+    /** Returns the counters since the start as one line of names and values. */
     public String counters() {
         return counters.toString();
     }
 
-    /** Counts a message that breaks the protocol, or a request that cannot be accepted. */
+    /** Counts a message that violates the protocol, or a request that cannot be accepted. */
     public final void countMalformed() {
         counters.malformedMessages++;
     }
 
-    /** The rules for requests of any protocol. */
+    /** Returns the rules that requests of every protocol must satisfy. */
     public final RequestRules rules() {
         return rules;
     }
 
-    /** Notes how many bytes more, or less, clients have sent ahead of their responses; false past the limit. */
+    /** Adds a change to the pipelined bytes of all clients; returns false if their sum exceeds the limit. */
     boolean accountPipelined(int changeBytes) {
         pipelinedBytes += changeBytes;
         return pipelinedBytes <= MAX_PIPELINED_BYTES;
@@ -221,31 +225,31 @@
     /**
      * Closes the listener; on any thread.
      *
-     * @return complete, on the event loop, when each connection that the kernel has accepted is a session or was
-     *     rejected
+     * @return a future that completes on the event loop once each connection that the kernel has accepted has a
+     *     session or was rejected
      */
     public CompletableFuture<Void> stopListening() {
         return new ListenerShutdown(listener, loop, BACKLOG).start();
     }
 
-    /** Closes the connection of each client that has no request in flight; the others close after their response. */
+    /** Closes each connection that has no request in flight at once, and the others after their response. */
     public void drain() {
         for (ClientSession session : List.copyOf(sessions)) {
             session.drain(ClientCloseReason.DRAINED);
         }
     }
 
-    /** Ends the connections of clients that are in the middle of a message, as there is no time for the rest of it. */
+    /** Ends the connections whose clients have sent an incomplete message, as a shutdown cannot wait for the rest. */
     public void endUnfinished() {
         List.copyOf(sessions).forEach(ClientSession::endUnfinished);
     }
 
-    /** How many sessions there are. */
+    /** Returns the number of sessions. */
     public int clients() {
         return sessions.size();
     }
 
-    /** How many client connections are open, with those that are no session yet; on any thread. */
+    /** Returns the number of open client connections, including those without a session yet; on any thread. */
     public int connections() {
         return openConnections.get();
     }
--- a/src/main/java/mintstair/front/ListenerShutdown.java
+++ b/src/main/java/mintstair/front/ListenerShutdown.java
@@ -8,9 +8,9 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
 
 /**
- * Closes a listener without losing the connections that the kernel has accepted for it. A close resets them, even where
- * another process listens on the same address, so each is accepted first. The channel leaves its selector before, as
- * the selector would delay the close.
+ * Closes a listener without losing the connections in its accept backlog. The kernel resets them when the socket is
+ * closed, even if another process listens on the same address, so each of them is accepted first. The channel is
+ * deregistered from its selector before the close, as the selector would delay it.
  */
 final class ListenerShutdown {
     private static final long DEREGISTRATION_POLL_MICROS = 500;
@@ -28,7 +28,7 @@
         this.backlog = backlog;
     }
 
-    /** Begins; the result is complete, on the loop, when each accepted connection is a session or was rejected. */
+    /** Starts the close; the future completes on the event loop once each connection has a session or was rejected. */
     CompletableFuture<Void> start() {
         listener.executeInEventThread(IOEvent.SERVER_ACCEPT, () -> {
             listener.getSelectionKey().cancel();
@@ -45,21 +45,21 @@
         try {
             acceptBacklog();
         } catch (IOException e) {
-            // File descriptors may have run out for a moment.
+            // File descriptors may be exhausted temporarily.
             if (retriesLeft > 0) {
                 loop.at(loop.now() + ACCEPT_RETRY_MICROS, () -> acceptAndClose(retriesLeft - 1));
                 return;
             }
-            System.err.println("front: clients that wait are reset: " + e.getMessage());
+            System.err.println("front: accept failed; connections in the backlog are reset: " + e.getMessage());
         }
         close(listener.getChannel());
-        // Not on the network thread: a listener registered there right after was not noticed for 10 s.
+        // Not on the network thread: the selector ignored a listener registered right after such a close for 10 s.
         listener.closeSilently();
-        // The sessions accepted just now are on their way to the loop, ahead of this.
+        // Runs after the tasks that add the sessions of the connections accepted above.
         loop.execute(() -> done.complete(null));
     }
 
-    /** A call accepts one connection, or returns at once where there is none. */
+    /** Each call of {@code onAccept} accepts one connection, or returns at once if there is none. */
     private void acceptBacklog() throws IOException {
         for (int i = 0; i < backlog; i++) {
             listener.onAccept();
@@ -70,7 +70,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            System.err.println("front: " + e.getMessage());
+            System.err.println("front: closing the listener failed: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/mintstair/front/RequestRules.java
+++ b/src/main/java/mintstair/front/RequestRules.java
@@ -9,7 +9,7 @@
 import mintstair.request.Statement;
 import mintstair.wire.ProtocolException;
 
-/** What a request must satisfy to be accepted, whatever its protocol. Runs on the event loop. */
+/** The rules that a request of any protocol must satisfy to be accepted. Runs on the event loop. */
 public final class RequestRules {
     private static final int MAX_ID_LENGTH = 128;
     private static final int MICROS_PER_MILLI = 1000;
@@ -17,15 +17,15 @@
 
     private final Dispatcher dispatcher;
 
-    /** {@code dispatcher} knows the classes and replica sets that requests may name. */
+    /** Creates the rules; {@code dispatcher} provides the request classes and replica sets that requests may name. */
     public RequestRules(Dispatcher dispatcher) {
         this.dispatcher = dispatcher;
     }
 
     /**
-     * Parses the names and values of a comment: {@code id=9b1f,c=basket,cluster=2}.
+     * Parses the names and values of a comment, such as {@code id=9b1f,c=basket,cluster=2}.
      *
-     * @throws ProtocolException where a part is no name and value, or a name comes twice
+     * @throws ProtocolException if a part is not a name and a value, or a name is given twice
      */
     public static Map<String, String> parseComment(String text) {
         Map<String, String> values = new HashMap<>();
@@ -43,14 +43,15 @@
     }
 
     /**
-     * Makes the request that the values of a comment describe.
+     * Creates the request that the values of a comment describe.
      *
-     * @param timeoutMillis how long the client waits, as it wrote it; null for the deadline of its class
-     * @param writes whether the statement changes data, which a class for reads might send twice
-     * @param session the key of the session; null for none
-     * @throws ProtocolException where the values describe no request that can be accepted
+     * @param timeoutMillis the client's timeout in milliseconds, as received; null for the deadline of the class
+     * @param writes whether the statement changes data; it is then rejected in a class for reads, whose requests may be
+     *     sent twice
+     * @param session the session key; null for none
+     * @throws ProtocolException if the values do not describe a request that can be accepted
      */
-    public ProxyRequest request(
+    public ProxyRequest createRequest(
             Map<String, String> values, String timeoutMillis, boolean writes, String session, Statement statement) {
         String id = values.getOrDefault("id", "");
         String requestClass = values.getOrDefault("c", "");
@@ -59,8 +60,8 @@
         }
         checkId(id);
         checkClass(requestClass, writes);
-        int cluster = cluster(values);
-        long timeoutMicros = timeoutMicros(requestClass, timeoutMillis);
+        int cluster = parseCluster(values);
+        long timeoutMicros = parseTimeoutMicros(requestClass, timeoutMillis);
         String after = values.get("after");
         return new ProxyRequest(
                 id,
@@ -69,7 +70,7 @@
                 session,
                 "1".equals(values.get("r")),
                 dispatcher.effectiveTimeoutMicros(timeoutMicros),
-                after == null ? HostReport.UNKNOWN_POSITION : number("after", after) * MICROS_PER_MILLI,
+                after == null ? HostReport.UNKNOWN_POSITION : parseNumber("after", after) * MICROS_PER_MILLI,
                 statement,
                 null);
     }
@@ -79,7 +80,7 @@
             throw new ProtocolException("the id is too long");
         }
         if (dispatcher.hasOpenRequest(id)) {
-            // Hosts identify a request by its id, and could not tell the two apart.
+            // Hosts identify a request by its id, and could not distinguish two open requests with the same id.
             throw new ProtocolException("request " + id + " is open already");
         }
     }
@@ -93,31 +94,31 @@
         }
     }
 
-    private int cluster(Map<String, String> values) {
-        long cluster = number("cluster", values.get("cluster"));
+    private int parseCluster(Map<String, String> values) {
+        long cluster = parseNumber("cluster", values.get("cluster"));
         if (cluster > Integer.MAX_VALUE || !dispatcher.isClusterKnown((int) cluster)) {
             throw new ProtocolException("unknown cluster " + cluster);
         }
         return (int) cluster;
     }
 
-    /** The deadline of the class is a limit that no client can raise. */
-    private long timeoutMicros(String requestClass, String timeoutMillis) {
+    /** Returns the timeout of a request: the client's own, bounded by the deadline of its class. */
+    private long parseTimeoutMicros(String requestClass, String timeoutMillis) {
         long limitMicros = dispatcher.classes().deadlineMicros(requestClass);
         if (timeoutMillis == null) {
-            return checkTimeout(limitMicros);
+            return checkTimeoutMicros(limitMicros);
         }
-        return checkTimeout(Math.min(limitMicros, number("the deadline", timeoutMillis) * MICROS_PER_MILLI));
+        return checkTimeoutMicros(Math.min(limitMicros, parseNumber("the deadline", timeoutMillis) * MICROS_PER_MILLI));
     }
 
-    private static long checkTimeout(long micros) {
+    private static long checkTimeoutMicros(long micros) {
         if (micros < 1) {
             throw new ProtocolException("the deadline must be 1 ms or more");
         }
         return micros;
     }
 
-    private static long number(String name, String value) {
+    private static long parseNumber(String name, String value) {
         if (value == null || !NUMBER.matcher(value).matches()) {
             throw new ProtocolException("a number is needed for " + name);
         }
--- a/src/main/java/mintstair/front/ResponseWriter.java
+++ b/src/main/java/mintstair/front/ResponseWriter.java
@@ -8,14 +8,14 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 
 /**
- * The write side of a client connection: sends responses asynchronously and knows whether the client reads them. Runs
- * on the event loop; the completion of a write arrives on the network thread and is passed on to the loop.
+ * The write side of a client connection: sends responses asynchronously and detects a client that does not read them.
+ * Runs on the event loop; the completion of a write is received on the network thread and passed to the event loop.
  */
 final class ResponseWriter {
-    /** A client that reads nothing of its response for so long is considered gone. */
+    /** A client that reads nothing of its response for this long is disconnected. */
     private static final long WRITE_TIMEOUT_MICROS = 5_000_000;
 
-    /** Is notified, on the event loop, of each write that is complete. */
+    /** Is notified of each completed write, on the event loop. */
     interface Listener {
         void written(long nowMicros);
     }
@@ -35,7 +35,7 @@
         this.listener = listener;
     }
 
-    /** Begins to write; {@code onWritten} runs on the event loop when the last byte was handed to the kernel. */
+    /** Starts a write; {@code onWritten} runs on the event loop after the last byte was passed to the kernel. */
     @SuppressWarnings({"unchecked", "rawtypes"})
     void write(byte[] bytes, Runnable onWritten) {
         pendingWrites++;
@@ -43,7 +43,7 @@
         ((Connection) connection).write(Buffers.wrap(memoryManager, bytes), new EmptyCompletionHandler<WriteResult>() {
             @Override
             public void completed(WriteResult result) {
-                // The loop may be busy, and the timeout of the next command begins here.
+                // The timeout of the next command starts here, even if the event loop is busy.
                 long completedAtMicros = loop.now();
                 loop.execute(() -> {
                     onWritten.run();
@@ -66,17 +66,17 @@
         listener.written(progressAtMicros);
     }
 
-    /** Whether some bytes are not written yet. */
+    /** Whether a write is pending. */
     boolean isWriting() {
         return pendingWrites > 0;
     }
 
-    /** Whether the client has read nothing for the write timeout although there is something to read. */
+    /** Whether a pending write has made no progress within the write timeout. */
     boolean isStalled(long nowMicros) {
         return isWriting() && nowMicros - progressAtMicros > WRITE_TIMEOUT_MICROS;
     }
 
-    /** When the network thread completed the last write, or 0 before the first. */
+    /** Returns when the network thread completed the last write; 0 before the first one. */
     long lastCompletedAtMicros() {
         return lastCompletedAtMicros;
     }
--- a/src/main/java/mintstair/front/SessionInput.java
+++ b/src/main/java/mintstair/front/SessionInput.java
@@ -12,19 +12,19 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * The read side of a client connection: passes what the network thread reads on to the event loop, with a bound on
- * what waits in between, and closes the connection without losing a request that was just sent.
+ * The read side of a client connection: passes bytes from the network thread to the event loop, with a bound on the
+ * bytes queued in between, and closes the connection without losing a request that has just been sent.
  *
- * <p>Fields are written by the thread that their comment names; the volatile ones are read by the other as well.
+ * <p>Each field is written by the thread that its comment names; the volatile ones are also read by other threads.
  */
 final class SessionInput {
-    /** How many bytes may be read and not processed yet; past it the rest waits in the kernel's socket buffer. */
+    /** Limit on the bytes read and not yet processed; above it, input stays in the socket buffer of the kernel. */
     private static final int MAX_UNPROCESSED_BYTES = 64 * 1024;
 
     private static final int FINAL_READ_BYTES = 4 * 1024;
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
-    /** Takes what was read, on the event loop. */
+    /** Receives the bytes that were read, on the event loop. */
     interface Handler {
         void received(ByteBuffer bytes, long readAtMicros);
     }
@@ -33,13 +33,13 @@
     private final EventLoop loop;
     private final ReadThrottle throttle;
     private final Handler handler;
-    /** Written by both threads; never reset. */
+    /** Written by both threads; never reset to false. */
     private volatile boolean discarding;
     /** Written by the network thread. */
     private volatile int reads;
     /** Written by the network thread. */
     private volatile int discardedBytes;
-    /** Of {@link #reads}, those that the event loop has processed; only there. */
+    /** The number of {@link #reads} that the event loop has processed; used by the event loop only. */
     private int processedReads;
 
     SessionInput(Connection<?> connection, Front front, Handler handler) {
@@ -50,8 +50,8 @@
                 connection, MAX_UNPROCESSED_BYTES, MAX_UNPROCESSED_BYTES, front.unprocessedBytes, Long.MAX_VALUE);
     }
 
-    /** Passes the bytes on to the event loop, or discards them; on the network thread. */
-    // Only the network thread writes these counts, so that a plain increment of a volatile one loses none.
+    /** Passes the bytes to the event loop, or discards them; on the network thread. */
+    // Only the network thread writes these counters, so incrementing a volatile field loses no update.
     @SuppressWarnings("NonAtomicVolatileUpdate")
     void read(ByteBuffer bytes) {
         int length = bytes.remaining();
@@ -60,7 +60,7 @@
             return;
         }
         reads++;
-        // The loop may be busy, and the client's timeout begins now.
+        // The timeout of the request starts when it is read, even if the event loop is busy.
         long readAtMicros = loop.now();
         throttle.read(length);
         loop.execute(() -> {
@@ -70,12 +70,12 @@
         });
     }
 
-    /** Discards all that is read from now on; on any thread. */
+    /** Discards all bytes that are read from now on; on any thread. */
     void discard() {
         discarding = true;
     }
 
-    /** Whether what is read is discarded; on any thread. */
+    /** Whether bytes that are read are discarded; on any thread. */
     boolean isDiscarding() {
         return discarding;
     }
@@ -85,23 +85,23 @@
         return reads == 0;
     }
 
-    /** Whether the client has sent more after the end of its session than is read; on any thread. */
+    /** Whether the client has sent more bytes than may be discarded after the end of its session; on any thread. */
     boolean isDiscardLimitExceeded() {
         return discardedBytes > MAX_DISCARDED_BYTES;
     }
 
-    /** Frees the memory that is accounted for this connection, which is over; on any thread. */
-    void end() {
+    /** Releases the bytes accounted to this connection, which is closed; on any thread. */
+    void release() {
         throttle.end();
     }
 
     /**
-     * Closes the connection unless the client has sent something by then; on the event loop. A close over unread bytes
-     * would reset the connection and cut off their request, so what is found is processed instead. The close is tried
-     * again after the response.
+     * Closes the connection unless the client has sent bytes that are not processed yet; on the event loop. Closing a
+     * socket with unread bytes resets the connection, and the request in them would be lost, so they are processed
+     * instead. The close is attempted again after the response.
      */
     void closeIfNothingToRead() {
-        // A read on its way from the network thread to the loop has been seen there, but not here.
+        // The network thread may have counted a read that the event loop has not processed yet.
         int processed = processedReads;
         connection.executeInEventThread(IOEvent.READ, () -> closeUnlessReadSince(processed));
     }
@@ -117,17 +117,19 @@
                 return;
             }
         } catch (IOException e) {
-            // The connection is broken, which its close below reports as any other end.
+            // The connection is broken; the close below reports its end.
         }
         discarding = true;
         connection.closeSilently();
     }
 
     /**
-     * Shuts down the sending side, so that the client sees the end, while what it sends is read and discarded: a close
-     * over unread bytes would reset the connection, and the client might lose the last response. On the event loop.
+     * Shuts down the sending side, so that the client sees the end of the stream, while its input is still read and
+     * discarded: closing a socket with unread bytes would reset the connection, and the client might lose the last
+     * response. On the event loop.
      *
-     * @param closeNow asked on the network thread; true closes after one more read, as descriptors have run out
+     * @param closeNow evaluated on the network thread; true closes the connection after discarding the bytes that can
+     *     be read at once, as the limit on connections is exceeded
      */
     void shutdownOutput(BooleanSupplier closeNow) {
         connection.executeInEventThread(IOEvent.READ, () -> {
@@ -138,7 +140,7 @@
                 }
                 discardReadable();
             } catch (IOException e) {
-                // The connection is broken, which its close below reports as any other end.
+                // The connection is broken; the close below reports its end.
             }
             connection.closeSilently();
         });
--- a/src/main/java/mintstair/front/SessionState.java
+++ b/src/main/java/mintstair/front/SessionState.java
@@ -1,7 +1,7 @@
 package mintstair.front;
 
 /**
- * The states of a client connection, as the event loop sees it. {@link #after} is the whole of the transitions:
+ * The states of a client connection on the event loop. {@link #after} implements all transitions:
  *
  * <pre>
  * state        DRAIN     INPUT_ERROR  TERMINATE    LINGER     CLOSE
@@ -14,12 +14,12 @@
  * CLOSED       -         -            -            -          -
  * </pre>
  *
- * A dash leaves the state as it is. The states differ in what still happens on the connection:
+ * A dash means that the event does not change the state. The states differ in what the connection still does:
  *
  * <pre>
  * state        takes input  runs queued commands  sends responses  ends when
  * -----------  -----------  --------------------  ---------------  ------------------------------------------------
- * OPEN         yes          yes                   yes              an event says so
+ * OPEN         yes          yes                   yes              an event changes its state
  * DRAINING     yes          yes                   yes              nothing is in flight and nothing is left to read
  * FAILING      in flight    yes                   yes              the last queued command is answered
  * TERMINATING  no           no                    yes              its final message is written
@@ -27,37 +27,37 @@
  * CLOSED       no           no                    no               -
  * </pre>
  *
- * "In flight" is input that was read before the error and that the loop has not processed yet.
+ * "In flight" is input that was read before the error and has not yet been processed by the event loop.
  */
 enum SessionState {
     /** Commands are read and answered. */
     OPEN,
     /** As {@link #OPEN}, but the connection is closed as soon as it is idle. */
     DRAINING,
-    /** The input broke the protocol; the whole commands before the error are answered before it is reported. */
+    /** The input violates the protocol; the complete commands before the error are answered before it is reported. */
     FAILING,
     /** A request in flight is still answered, then the final message is sent, if there is one. */
     TERMINATING,
-    /** The sending side is shut down, and what the client still sends is discarded for a while. */
+    /** The sending side is shut down, and further input is discarded up to a limit of time and bytes. */
     LINGERING,
-    /** The connection is closed, or a close is under way. */
+    /** The connection is closed, or is being closed. */
     CLOSED;
 
-    /** What changes the state of a connection. */
+    /** An event that may change the state of a connection. */
     enum Event {
-        /** It is to end once it is idle. */
+        /** The connection is to be closed once it is idle. */
         DRAIN,
-        /** Its input cannot be parsed any further. */
+        /** The input cannot be parsed any further. */
         INPUT_ERROR,
-        /** Its input is of no interest any more. */
+        /** Further input is to be discarded, and the session ended. */
         TERMINATE,
-        /** All was sent; only the client's end is waited for. */
+        /** Everything has been sent; only the client's close is awaited. */
         LINGER,
-        /** It was closed by either side. */
+        /** Either side has closed the connection. */
         CLOSE
     }
 
-    /** The state after the event; the same one where the event changes nothing. */
+    /** Returns the state after the event, which may be the same state. */
     SessionState after(Event event) {
         return switch (event) {
             case DRAIN -> this == OPEN ? DRAINING : this;
@@ -68,7 +68,7 @@
         };
     }
 
-    /** Whether input that reaches the loop is parsed, and queued commands are run. */
+    /** Whether input is parsed and queued commands are run. */
     boolean acceptsInput() {
         return this == OPEN || this == DRAINING || this == FAILING;
     }
--- a/src/main/java/mintstair/front/mongo/CounterDocument.java
+++ b/src/main/java/mintstair/front/mongo/CounterDocument.java
@@ -5,13 +5,13 @@
 import org.bson.BsonDocument;
 import org.bson.BsonInt64;
 
-/** Turns the line of counters into a document: numbers as such, and counts by reason as documents of numbers. */
+/** Converts the line of counters into a document: counts as numbers, and counts by reason as nested documents. */
 final class CounterDocument {
     private static final Pattern COUNTER = Pattern.compile("(\\w+)=(?:(-?\\d+)|\\{([^}]*)\\})");
 
     private CounterDocument() {}
 
-    /** The counters of a line such as {@code served=3 clients_ended={left=1, quit=2}}. */
+    /** Parses the counters of a line such as {@code served=3 clients_ended={left=1, quit=2}}. */
     static BsonDocument parse(String line) {
         BsonDocument counters = new BsonDocument();
         Matcher counter = COUNTER.matcher(line);
--- a/src/main/java/mintstair/front/mongo/Cursors.java
+++ b/src/main/java/mintstair/front/mongo/Cursors.java
@@ -8,8 +8,8 @@
 import mintstair.request.ProxyRequest;
 
 /**
- * The cursors that hosts hold for clients. Each exists on one host and can be continued only there; clients know it by
- * an id of this proxy. Runs on the event loop.
+ * The cursors that hosts hold open for clients. Each exists on one host and can be continued only there; clients
+ * identify it by an id that the proxy assigns. Runs on the event loop.
  */
 final class Cursors {
     /** The idle timeout of cursors on the hosts. */
@@ -20,9 +20,9 @@
     /**
      * One cursor.
      *
-     * @param id by which clients know it
-     * @param hostId its id on the host
-     * @param opened the request that opened it
+     * @param id the id that clients use
+     * @param hostId the id of the cursor on its host
+     * @param openingRequest the request that opened the cursor
      */
     record Cursor(
             long id,
@@ -30,31 +30,32 @@
             long hostId,
             String database,
             String collection,
-            ProxyRequest opened,
-            long usedAtMicros) {
-        private Cursor usedAt(long nowMicros) {
-            return new Cursor(id, host, hostId, database, collection, opened, nowMicros);
+            ProxyRequest openingRequest,
+            long lastUsedAtMicros) {
+        private Cursor withLastUse(long nowMicros) {
+            return new Cursor(id, host, hostId, database, collection, openingRequest, nowMicros);
         }
     }
 
-    /** In the order of their last use. */
+    /** Ordered by last use, the least recently used first. */
     private final Map<Long, Cursor> byId = new LinkedHashMap<>();
 
     private final Consumer<Cursor> onEvicted;
 
     /**
-     * Makes an empty table.
+     * Creates an empty table.
      *
-     * @param onEvicted takes each cursor that is dropped here while its host still holds it
+     * @param onEvicted receives each cursor that is removed here while its host still holds it
      */
     Cursors(Consumer<Cursor> onEvicted) {
         this.onEvicted = onEvicted;
     }
 
-    /** Registers a cursor that a host has opened; evicts cursors that are too old or too many. */
-    Cursor open(String host, long hostId, String database, String collection, ProxyRequest opened, long nowMicros) {
+    /** Registers a cursor that a host has opened; evicts idle cursors, and the oldest ones above the limit. */
+    Cursor register(
+            String host, long hostId, String database, String collection, ProxyRequest openingRequest, long nowMicros) {
         evict(nowMicros);
-        Cursor cursor = new Cursor(newId(), host, hostId, database, collection, opened, nowMicros);
+        Cursor cursor = new Cursor(newId(), host, hostId, database, collection, openingRequest, nowMicros);
         byId.put(cursor.id, cursor);
         return cursor;
     }
@@ -62,7 +63,7 @@
     private void evict(long nowMicros) {
         for (Iterator<Cursor> iterator = byId.values().iterator(); iterator.hasNext(); ) {
             Cursor oldest = iterator.next();
-            if (byId.size() < MAX_CURSORS && nowMicros - oldest.usedAtMicros < IDLE_TIMEOUT_MICROS) {
+            if (byId.size() < MAX_CURSORS && nowMicros - oldest.lastUsedAtMicros < IDLE_TIMEOUT_MICROS) {
                 return;
             }
             iterator.remove();
@@ -78,22 +79,22 @@
         return id;
     }
 
-    /** Takes a cursor out while it is continued: two getMores at once would both move it. */
-    void take(long id) {
+    /** Removes a cursor while it is continued, as two concurrent getMore commands would both advance it. */
+    void checkOut(long id) {
         byId.remove(id);
     }
 
-    /** The cursor, or null where there is none of this id. */
+    /** Returns the cursor, or null if the id is unknown. */
     Cursor find(long id) {
         return byId.get(id);
     }
 
-    /** Puts back a cursor that was removed by {@link #take} and can be continued again. */
-    void putBack(Cursor cursor, long nowMicros) {
-        byId.put(cursor.id, cursor.usedAt(nowMicros));
+    /** Adds a cursor again that was removed by {@link #checkOut} and can be continued. */
+    void checkIn(Cursor cursor, long nowMicros) {
+        byId.put(cursor.id, cursor.withLastUse(nowMicros));
     }
 
-    /** Drops a cursor, also on its host; false where there is none of this id. */
+    /** Removes a cursor and kills it on its host; returns false if the id is unknown. */
     boolean kill(long id) {
         Cursor cursor = byId.remove(id);
         if (cursor == null) {
--- a/src/main/java/mintstair/front/mongo/MongoError.java
+++ b/src/main/java/mintstair/front/mongo/MongoError.java
@@ -5,7 +5,7 @@
 import org.bson.BsonInt32;
 import org.bson.BsonString;
 
-/** The errors that clients get, with their codes and code names from MongoDB's list of errors. */
+/** The errors that are sent to clients, with the codes and code names that MongoDB defines for them. */
 enum MongoError {
     HOST_UNREACHABLE(6, "HostUnreachable"),
     BAD_VALUE(2, "BadValue"),
@@ -23,7 +23,7 @@
         this.codeName = codeName;
     }
 
-    /** The reply that reports this error. */
+    /** Returns the reply that reports this error. */
     BsonDocument reply(String text) {
         return new BsonDocument("ok", new BsonDouble(0))
                 .append("errmsg", new BsonString(text))
--- a/src/main/java/mintstair/front/mongo/MongoFront.java
+++ b/src/main/java/mintstair/front/mongo/MongoFront.java
@@ -13,13 +13,13 @@
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
-/** The front for clients that speak MongoDB's wire protocol; docs/mongodb.md describes what a request must hold. */
+/** The front for clients that use the MongoDB wire protocol; docs/mongodb.md specifies the fields of a request. */
 public final class MongoFront extends Front {
     private final Cursors cursors;
-    /** Only on the network thread. */
-    private int connections;
+    /** The number of connections so far; used on the network thread only. */
+    private int connectionCount;
 
-    /** {@code maxClients} bounds the connections of clients. */
+    /** Creates the front; {@code maxClients} limits the client connections. */
     public MongoFront(
             EventLoop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters, int maxClients) {
         super(loop, dispatcher, transport, counters, maxClients);
@@ -27,8 +27,8 @@
     }
 
     @Override
-    protected ClientSession session(Connection<?> connection) {
-        return new MongoSession(this, connection, ++connections);
+    protected ClientSession createSession(Connection<?> connection) {
+        return new MongoSession(this, connection, ++connectionCount);
     }
 
     Cursors cursors() {
@@ -39,7 +39,7 @@
         return loop.now();
     }
 
-    /** Has the host free a cursor; nobody waits for its reply. */
+    /** Kills a cursor on its host, without waiting for the reply. */
     void killOnHost(Cursors.Cursor cursor) {
         BsonDocument command = new BsonDocument("killCursors", new BsonString(cursor.collection()))
                 .append("cursors", new BsonArray(List.of(new BsonInt64(cursor.hostId()))))
--- a/src/main/java/mintstair/front/mongo/MongoSession.java
+++ b/src/main/java/mintstair/front/mongo/MongoSession.java
@@ -19,9 +19,9 @@
 import org.bson.BsonValue;
 import org.glassfish.grizzly.Connection;
 
-/** One client that speaks MongoDB's wire protocol. */
+/** The session of one client that uses the MongoDB wire protocol. */
 final class MongoSession extends ClientSession {
-    /** The fields of a host's reply that describe the host, and that no client is to act on. */
+    /** The fields of a reply that describe the host; they are removed, as clients must not act on them. */
     private static final String[] HOST_REPORT_FIELDS = {
         "isWritablePrimary", "lastWrite", "localTime", "operationTime", "$clusterTime"
     };
@@ -29,7 +29,7 @@
     private static final String SERVER_VERSION = "7.0.0";
     private static final int MAX_WRITE_BATCH = 1000;
     private static final int MAX_WIRE_VERSION = 21;
-    /** What a message may hold beside its document. */
+    /** Bytes that a message may contain besides its document. */
     private static final int MESSAGE_OVERHEAD = 16 * 1024;
 
     private static final int MAX_DOCUMENT_LENGTH = MongoFramer.MAX_MESSAGE_LENGTH - MESSAGE_OVERHEAD;
@@ -55,7 +55,7 @@
     }
 
     @Override
-    protected void command(byte[] bytes) {
+    protected void runCommand(byte[] bytes) {
         MongoMessage message = MongoMessage.parse(bytes);
         String name = message.body().getFirstKey();
         boolean handshake = name.equalsIgnoreCase("isMaster") || name.equals("hello");
@@ -63,16 +63,16 @@
             throw new ProtocolException("OP_QUERY is served for hello alone");
         }
         try {
-            run(message, name);
+            dispatch(message, name);
         } catch (ProtocolException e) {
             front.countMalformed();
             reply(message, MongoError.BAD_VALUE.reply(e.getMessage()));
         }
     }
 
-    private void run(MongoMessage message, String name) {
+    private void dispatch(MongoMessage message, String name) {
         switch (name) {
-            // Answered whatever the flags of the message: it is the handshake.
+            // The handshake is answered regardless of the flags of the message.
             case "hello", "isMaster", "ismaster" -> write(encode(message, hello(name)));
             case "ping", "endSessions" -> reply(message, ok());
             case "buildInfo", "buildinfo" -> reply(message, buildInfo());
@@ -125,7 +125,7 @@
 
     private void submitWrite(MongoMessage message, String name) {
         RequestFields.checkSingleCommand(message.body(), name);
-        ProxyRequest request = request(message.body(), true);
+        ProxyRequest request = createRequest(message.body(), true);
         submit(request, response -> {
             if (response instanceof Response.Served served) {
                 reply(message, servedBody(served));
@@ -141,7 +141,7 @@
         if (command.containsKey("tailable")) {
             throw new ProtocolException("tailable cursors are not served");
         }
-        ProxyRequest request = request(command, false);
+        ProxyRequest request = createRequest(command, false);
         submit(request, response -> {
             if (response instanceof Response.Served served) {
                 reply(message, firstBatch(command, request, served));
@@ -151,7 +151,7 @@
         });
     }
 
-    /** The reply to a find; a cursor in it gets an id of this proxy. */
+    /** Returns the reply to a find; the id of its cursor is replaced by one that the proxy assigns. */
     private BsonDocument firstBatch(BsonDocument command, ProxyRequest request, Response.Served served) {
         BsonDocument body = servedBody(served);
         long hostId = cursorId(body);
@@ -159,13 +159,13 @@
             String database = command.getString("$db").getValue();
             String collection = command.getString("find").getValue();
             Cursors.Cursor cursor =
-                    front.cursors().open(served.host(), hostId, database, collection, request, front.nowMicros());
+                    front.cursors().register(served.host(), hostId, database, collection, request, front.nowMicros());
             setCursorId(body, cursor.id());
         }
         return body;
     }
 
-    /** Continues a cursor on its host, which must still be recent enough for the class of its find. */
+    /** Continues a cursor on its host, which must still satisfy the consistency of the class of its find. */
     private void getMore(MongoMessage message) {
         BsonDocument command = message.body();
         if (!command.isNumber("getMore")) {
@@ -178,13 +178,13 @@
             return;
         }
         ProxyRequest request = getMoreRequest(cursor, command);
-        front.cursors().take(id);
+        front.cursors().checkOut(id);
         submit(request, response -> {
             if (response instanceof Response.Served served) {
                 reply(message, nextBatch(cursor, served));
                 return;
             }
-            // The host is stale or gone, or may have moved the cursor: no next batch can be read from it.
+            // The host is stale or unreachable, or may have advanced the cursor: no next batch can be read from it.
             front.killOnHost(cursor);
             String error = "cursor id " + id + " is no longer recent enough or in reach";
             reply(message, MongoError.CURSOR_NOT_FOUND.reply(error));
@@ -194,24 +194,25 @@
     private BsonDocument nextBatch(Cursors.Cursor cursor, Response.Served served) {
         BsonDocument body = servedBody(served);
         if (cursorId(body) != 0) {
-            front.cursors().putBack(cursor, front.nowMicros());
+            front.cursors().checkIn(cursor, front.nowMicros());
             setCursorId(body, cursor.id());
         }
         return body;
     }
 
-    /** A getMore has the class of its find, and reads from at least the position that its find had to see. */
+    /** Returns the request of a getMore, with the class and at least the minimum replication position of its find. */
     private ProxyRequest getMoreRequest(Cursors.Cursor cursor, BsonDocument command) {
-        BsonDocument onHost = command.clone();
-        onHost.put("getMore", new BsonInt64(cursor.hostId()));
-        MongoStatement statement = new MongoStatement(onHost);
-        ProxyRequest opened = cursor.opened();
+        BsonDocument hostCommand = command.clone();
+        hostCommand.put("getMore", new BsonInt64(cursor.hostId()));
+        MongoStatement statement = new MongoStatement(hostCommand);
+        ProxyRequest openingRequest = cursor.openingRequest();
         Map<String, String> values = command.containsKey("comment") ? RequestFields.comment(command) : new HashMap<>();
-        values.putIfAbsent("id", opened.id());
-        values.put("c", opened.requestClass());
-        values.put("cluster", Integer.toString(opened.cluster()));
-        ProxyRequest request =
-                front.rules().request(values, RequestFields.maxTimeMillis(command), false, opened.session(), statement);
+        values.putIfAbsent("id", openingRequest.id());
+        values.put("c", openingRequest.requestClass());
+        values.put("cluster", Integer.toString(openingRequest.cluster()));
+        ProxyRequest request = front.rules()
+                .createRequest(
+                        values, RequestFields.maxTimeMillis(command), false, openingRequest.session(), statement);
         return new ProxyRequest(
                 request.id(),
                 request.requestClass(),
@@ -219,7 +220,7 @@
                 request.session(),
                 request.isClientRetry(),
                 request.timeoutMicros(),
-                Math.max(request.minimumPositionMicros(), opened.minimumPositionMicros()),
+                Math.max(request.minimumPositionMicros(), openingRequest.minimumPositionMicros()),
                 statement,
                 cursor.host());
     }
@@ -232,8 +233,9 @@
         BsonArray killed = new BsonArray();
         BsonArray notFound = new BsonArray();
         for (BsonValue id : command.getArray("cursors")) {
-            boolean known = id.isNumber() && front.cursors().kill(id.asNumber().longValue());
-            (known ? killed : notFound).add(id);
+            boolean isKilled =
+                    id.isNumber() && front.cursors().kill(id.asNumber().longValue());
+            (isKilled ? killed : notFound).add(id);
         }
         BsonDocument reply = new BsonDocument("cursorsKilled", killed)
                 .append("cursorsNotFound", notFound)
@@ -243,13 +245,14 @@
         reply(message, reply);
     }
 
-    private ProxyRequest request(BsonDocument command, boolean writes) {
+    private ProxyRequest createRequest(BsonDocument command, boolean writes) {
         if (!command.containsKey("comment")) {
             throw new ProtocolException("the comment with id, c and cluster is missing");
         }
         Map<String, String> values = RequestFields.comment(command);
         String maxTimeMillis = RequestFields.maxTimeMillis(command);
-        return front.rules().request(values, maxTimeMillis, writes, values.get("session"), new MongoStatement(command));
+        return front.rules()
+                .createRequest(values, maxTimeMillis, writes, values.get("session"), new MongoStatement(command));
     }
 
     private static BsonDocument servedBody(Response.Served served) {
@@ -270,7 +273,7 @@
         body.getDocument("cursor").put("id", new BsonInt64(id));
     }
 
-    /** A rejection has the labels by which drivers know that a retry is harmless; a failure has none. */
+    /** Returns the error reply; a rejection has the labels that tell drivers to retry safely, a failure has none. */
     private static BsonDocument errorBody(Response response, ProxyRequest request, boolean write) {
         if (response instanceof Response.Rejected rejected) {
             BsonDocument body =
--- a/src/main/java/mintstair/front/mongo/MongoStatement.java
+++ b/src/main/java/mintstair/front/mongo/MongoStatement.java
@@ -6,7 +6,7 @@
 import org.bson.BsonInt64;
 import org.bson.BsonString;
 
-/** One command for a host: as the client gave it, without what concerns only the client's own connection. */
+/** One command for a host: the command of the client without the fields that apply only to the client's connection. */
 record MongoStatement(BsonDocument command) implements Statement {
     private static final String[] CONNECTION_FIELDS = {"lsid", "$clusterTime", "$readPreference", "maxTimeMS"};
 
@@ -15,7 +15,7 @@
         for (String field : CONNECTION_FIELDS) {
             this.command.remove(field);
         }
-        // The proxy, not the host, decides which host may serve a read.
+        // The proxy decides which host may serve a read, so hosts must accept it in any role.
         if (command.containsKey("find") || command.containsKey("getMore")) {
             this.command.put("$readPreference", new BsonDocument("mode", new BsonString("secondaryPreferred")));
         }
@@ -24,7 +24,7 @@
     @Override
     public byte[] encode(long timeoutMillis) {
         BsonDocument body = command.clone();
-        // Hosts reject a time limit on getMore where its find had none.
+        // Hosts reject a time limit on getMore if its find had none.
         if (!body.containsKey("getMore") && !body.containsKey("killCursors")) {
             body.put("maxTimeMS", new BsonInt64(timeoutMillis));
         }
--- a/src/main/java/mintstair/front/mongo/RequestFields.java
+++ b/src/main/java/mintstair/front/mongo/RequestFields.java
@@ -7,11 +7,11 @@
 import org.bson.BsonDocument;
 import org.bson.BsonValue;
 
-/** Reads from a command what makes it a request: its comment and its time limit. */
+/** Reads the fields of a command that describe its request: the comment and the time limit. */
 final class RequestFields {
     private RequestFields() {}
 
-    /** A comment is a text as in SQL, or a document of the same names. */
+    /** Returns the values of the comment, which is a string as in SQL or a document with the same names. */
     static Map<String, String> comment(BsonDocument command) {
         if (command.isString("comment")) {
             return RequestRules.parseComment(command.getString("comment").getValue());
@@ -20,11 +20,11 @@
             throw new ProtocolException("the comment must be a text or a document");
         }
         Map<String, String> values = new HashMap<>();
-        command.getDocument("comment").forEach((name, value) -> values.put(name, text(value)));
+        command.getDocument("comment").forEach((name, value) -> values.put(name, toText(value)));
         return values;
     }
 
-    private static String text(BsonValue value) {
+    private static String toText(BsonValue value) {
         if (value.isString()) {
             return value.asString().getValue();
         }
@@ -40,7 +40,7 @@
         return "";
     }
 
-    /** How many milliseconds the client waits; null where it does not say. */
+    /** Returns the time limit of the command in milliseconds; null if it has none. */
     static String maxTimeMillis(BsonDocument command) {
         if (!command.isNumber("maxTimeMS") || command.getNumber("maxTimeMS").longValue() == 0) {
             return null;
@@ -48,7 +48,10 @@
         return Long.toString(command.getNumber("maxTimeMS").longValue());
     }
 
-    /** The proxy routes each command by itself, so it cannot keep what belongs to a transaction. */
+    /**
+     * Checks that a command names its collection and database and belongs to no transaction: each command is routed
+     * independently, so that the commands of a transaction might be sent to different hosts.
+     */
     static void checkSingleCommand(BsonDocument command, String name) {
         if (!command.isString(name) || !command.isString("$db")) {
             throw new ProtocolException(name + " needs its collection and $db");
--- a/src/main/java/mintstair/front/mongo/package-info.java
+++ b/src/main/java/mintstair/front/mongo/package-info.java
@@ -1,2 +1,2 @@
-/** MongoDB clients: commands by OP_MSG, the handshake of old drivers by OP_QUERY, and cursors. */
+/** The front for MongoDB clients: commands in OP_MSG, the handshake of old drivers in OP_QUERY, and cursors. */
 package mintstair.front.mongo;
--- a/src/main/java/mintstair/front/pg/PgFront.java
+++ b/src/main/java/mintstair/front/pg/PgFront.java
@@ -8,16 +8,16 @@
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
-/** The front for clients that speak PostgreSQL's protocol, version 3, with simple queries. */
+/** The front for clients that use version 3 of the PostgreSQL protocol with simple queries. */
 public final class PgFront extends Front {
-    /** {@code maxClients} bounds the connections of clients. */
+    /** Creates the front; {@code maxClients} limits the client connections. */
     public PgFront(
             EventLoop loop, Dispatcher dispatcher, TCPNIOTransport transport, Counters counters, int maxClients) {
         super(loop, dispatcher, transport, counters, maxClients);
     }
 
     @Override
-    protected ClientSession session(Connection<?> connection) {
+    protected ClientSession createSession(Connection<?> connection) {
         return new PgSession(this, connection);
     }
 }
--- a/src/main/java/mintstair/front/pg/PgSession.java
+++ b/src/main/java/mintstair/front/pg/PgSession.java
@@ -11,9 +11,9 @@
 import mintstair.wire.ProtocolException;
 import org.glassfish.grizzly.Connection;
 
-/** One client that speaks PostgreSQL's protocol. */
+/** The session of one client that uses the PostgreSQL protocol. */
 final class PgSession extends ClientSession {
-    /** The codes of a start-up packet; the upper half of a protocol version is its major number. */
+    /** The protocol version in a start-up packet; its upper 16 bits are the major version. */
     private static final int PROTOCOL_3 = 196608;
 
     private static final int CANCEL_REQUEST = 80877102;
@@ -21,11 +21,11 @@
     private static final int GSS_ENCRYPTION_REQUEST = 80877104;
     private static final int STARTUP_CODE_OFFSET = 4;
 
-    private static final String[] ACCEPTED_AND_IGNORED = {"SET", "RESET", "DISCARD"};
+    private static final String[] NO_OP_COMMANDS = {"SET", "RESET", "DISCARD"};
 
     private final PgFront front;
     private boolean startupDone;
-    /** After an error in the extended protocol all messages up to the next Sync are ignored. */
+    /** Whether messages up to the next Sync are ignored, after an error in the extended query protocol. */
     private boolean ignoringUntilSync;
 
     PgSession(PgFront front, Connection<?> connection) {
@@ -46,7 +46,7 @@
     }
 
     @Override
-    protected void command(byte[] message) {
+    protected void runCommand(byte[] message) {
         if (!startupDone) {
             startup(message);
             return;
@@ -96,7 +96,7 @@
         if (message.length < 6 || message[message.length - 1] != 0) {
             throw new ProtocolException("a query without its end");
         }
-        String text = PgStatement.text(message);
+        String text = PgStatement.queryText(message);
         String upperCase = text.strip().toUpperCase(Locale.ROOT);
         if (upperCase.isEmpty()) {
             write(new PgWriter().message('I').ready().bytes());
@@ -106,9 +106,9 @@
             showCounters();
             return;
         }
-        String ignored = ignoredCommand(upperCase);
-        if (ignored != null) {
-            write(new PgWriter().message('C', ignored).ready().bytes());
+        String noOp = noOpCommand(upperCase);
+        if (noOp != null) {
+            write(new PgWriter().message('C', noOp).ready().bytes());
             return;
         }
         submitStatement(text);
@@ -124,9 +124,9 @@
                 .bytes());
     }
 
-    /** The command of a query for which drivers need a success and the proxy has nothing to do; null for any other. */
-    private static String ignoredCommand(String upperCase) {
-        for (String command : ACCEPTED_AND_IGNORED) {
+    /** Returns the command of a query that is acknowledged without effect for drivers; null for any other query. */
+    private static String noOpCommand(String upperCase) {
+        for (String command : NO_OP_COMMANDS) {
             if (upperCase.startsWith(command + " ")) {
                 return command;
             }
--- a/src/main/java/mintstair/front/pg/PgStatement.java
+++ b/src/main/java/mintstair/front/pg/PgStatement.java
@@ -10,14 +10,14 @@
 import mintstair.wire.ProtocolException;
 
 /**
- * One SQL statement. It is forwarded byte for byte, but for the value of {@code d} in its comment, which becomes the
- * time that the proxy waits.
+ * One SQL statement. It is forwarded byte for byte, except for the value of {@code d} in its comment, which is replaced
+ * by the timeout of the proxy in milliseconds.
  */
 public final class PgStatement implements Statement {
     private static final Pattern DEADLINE = Pattern.compile("(?:^|,)\\s*d\\s*=\\s*(\\d{1,15})\\s*(?=,|$)");
     private static final String COMMENT_START = "/*";
     private static final String COMMENT_END = "*/";
-    /** The type and the length of a query message. */
+    /** Bytes of the type and the length of a query message. */
     private static final int HEADER_LENGTH = 5;
 
     private final byte[] beforeDeadline;
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Parses a query as a request.
+     * Parses a query into a request.
      *
-     * @throws ProtocolException where it is none that can be forwarded
+     * @throws ProtocolException if the query cannot be forwarded
      */
     public static ProxyRequest parse(String query, RequestRules rules) {
         checkCharacters(query);
@@ -58,16 +58,20 @@
             throw new ProtocolException("the comment needs a number for d");
         }
         String sql = query.substring(0, commentStart);
-        boolean writes = beginsWith(sql, "INSERT ");
-        if (!writes && !beginsWith(sql, "SELECT ")) {
+        boolean writes = startsWith(sql, "INSERT ");
+        if (!writes && !startsWith(sql, "SELECT ")) {
             throw new ProtocolException("only SELECT and INSERT are served");
         }
         PgStatement statement = new PgStatement(
                 query.substring(0, valuesStart + deadline.start(1)), query.substring(valuesStart + deadline.end(1)));
-        return rules.request(RequestRules.parseComment(comment), deadline.group(1), writes, sessionKey(sql), statement);
+        return rules.createRequest(
+                RequestRules.parseComment(comment), deadline.group(1), writes, sessionKey(sql), statement);
     }
 
-    /** A host closes the connection on what it cannot read, and with it the requests of other clients would fail. */
+    /**
+     * Rejects control and non-ASCII characters. A host closes the connection on a statement that it cannot parse, which
+     * would also fail the requests of other clients.
+     */
     private static void checkCharacters(String query) {
         for (int i = 0; i < query.length(); i++) {
             char character = query.charAt(i);
@@ -77,11 +81,11 @@
         }
     }
 
-    private static boolean beginsWith(String sql, String keyword) {
+    private static boolean startsWith(String sql, String keyword) {
         return sql.stripLeading().regionMatches(true, 0, keyword, 0, keyword.length());
     }
 
-    /** The first quoted text of the statement; also checks that there is no semicolon outside quotes. */
+    /** Returns the first quoted text of the statement; rejects a semicolon outside quotes. */
     private static String sessionKey(String sql) {
         String key = null;
         int quoteStart = -1;
@@ -103,8 +107,8 @@
         return key;
     }
 
-    /** The text of a query message, each byte as one character, so that the bytes can be restored from it. */
-    static String text(byte[] message) {
+    /** Returns the text of a query message, decoded as one character per byte so that the bytes can be restored. */
+    static String queryText(byte[] message) {
         int length = Math.max(0, message.length - HEADER_LENGTH - 1);
         return new String(message, HEADER_LENGTH, length, StandardCharsets.ISO_8859_1);
     }
--- a/src/main/java/mintstair/front/pg/package-info.java
+++ b/src/main/java/mintstair/front/pg/package-info.java
@@ -1,2 +1,2 @@
-/** PostgreSQL clients: the start-up, simple queries and their errors, in version 3 of the protocol. */
+/** The front for PostgreSQL clients: start-up, simple queries and errors in version 3 of the protocol. */
 package mintstair.front.pg;
--- a/src/test/java/mintstair/front/ClientSessionTest.java
+++ b/src/test/java/mintstair/front/ClientSessionTest.java
@@ -11,7 +11,7 @@
 import mintstair.wire.PgWriter;
 import org.junit.jupiter.api.Test;
 
-/** The states of a session as its client sees them; {@link SessionStateTest} has each transition. */
+/** Tests the states of a session as observed by its client; {@link SessionStateTest} covers each transition. */
 class ClientSessionTest extends FrontFixture {
     private static final byte[] EMPTY_QUERY = Client.Pg.query("");
     private static final byte[] UNKNOWN_TYPE = {'?', 0, 0, 0, 4};
@@ -25,16 +25,16 @@
         return joined.toByteArray();
     }
 
-    private static byte[] write(String id) {
+    private static byte[] writeQuery(String id) {
         return Client.Pg.query(Client.Pg.words(true, "id=" + id + ",c=write,cluster=1", 5_000));
     }
 
     private void awaitClosed(String reason) {
-        Program.await(() -> onLoop(() -> front.clients()) == 0, "the session to end");
-        assertEquals(1, closed(reason), reason);
+        Program.await(() -> onLoop(() -> front.clients()) == 0, "the session to be removed");
+        assertEquals(1, closedSessions(reason), reason);
     }
 
-    private long closed(String reason) {
+    private long closedSessions(String reason) {
         return onLoop(() -> {
             MetricsSnapshot.Builder metrics = new MetricsSnapshot.Builder();
             counters.addTo(metrics);
@@ -45,7 +45,7 @@
     @Test
     void openSessionAnswersCommandsInOrder() throws IOException {
         try (Client.Pg client = new Client.Pg(port)) {
-            client.raw(join(EMPTY_QUERY, write("w"), EMPTY_QUERY));
+            client.raw(join(EMPTY_QUERY, writeQuery("w"), EMPTY_QUERY));
 
             assertEquals("empty", client.answer());
             awaitAttempts(1);
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void drainedSessionIsClosedAtOnceWhereItIsIdle() throws IOException {
+    void idleSessionIsClosedAtOnceWhenDrained() throws IOException {
         try (Client.Pg client = new Client.Pg(port)) {
             loop.execute(front::drain);
 
@@ -67,9 +67,9 @@
     }
 
     @Test
-    void drainedSessionIsClosedAfterTheResponseInFlight() throws IOException {
+    void busySessionIsClosedAfterItsResponseWhenDrained() throws IOException {
         try (Client.Pg client = new Client.Pg(port)) {
-            client.raw(write("w"));
+            client.raw(writeQuery("w"));
             awaitAttempts(1);
 
             loop.execute(front::drain);
@@ -82,9 +82,9 @@
     }
 
     @Test
-    void failingSessionAnswersTheCommandsBeforeTheErrorAndThenReportsIt() throws IOException {
+    void failingSessionAnswersCommandsBeforeReportingTheError() throws IOException {
         try (Client.Pg client = new Client.Pg(port)) {
-            client.raw(join(write("w"), UNKNOWN_TYPE));
+            client.raw(join(writeQuery("w"), UNKNOWN_TYPE));
             awaitAttempts(1);
             replyToLastAttempt("w");
 
@@ -97,9 +97,9 @@
     }
 
     @Test
-    void failingSessionStaysSoWhenItIsDrained() throws IOException {
+    void failingSessionStillReportsTheErrorWhenDrained() throws IOException {
         try (Client.Pg client = new Client.Pg(port)) {
-            client.raw(join(write("w"), UNKNOWN_TYPE));
+            client.raw(join(writeQuery("w"), UNKNOWN_TYPE));
             awaitAttempts(1);
             loop.execute(front::drain);
             replyToLastAttempt("w");
@@ -114,7 +114,7 @@
     @Test
     void drainedSessionReportsAnErrorInItsInput() throws IOException {
         try (Client.Pg client = new Client.Pg(port)) {
-            client.raw(write("w"));
+            client.raw(writeQuery("w"));
             awaitAttempts(1);
             loop.execute(front::drain);
             client.raw(UNKNOWN_TYPE);
@@ -129,13 +129,13 @@
     }
 
     @Test
-    void terminatingSessionAnswersTheRequestInFlightButNotTheQueuedOnes() throws IOException {
+    void terminatingSessionAnswersTheRequestInFlightButNotQueuedOnes() throws IOException {
         try (Client.Pg client = new Client.Pg(port)) {
             byte[] unfinished = new PgWriter().message('Q', "SELECT 1").bytes();
-            client.raw(join(write("w"), EMPTY_QUERY, new byte[] {unfinished[0], 0, 0}));
+            client.raw(join(writeQuery("w"), EMPTY_QUERY, new byte[] {unfinished[0], 0, 0}));
             awaitAttempts(1);
 
-            // The rest of the last message does not come in time.
+            // The rest of the last message is not received within the read timeout.
             Program.await(() -> onLoop(() -> counters.malformedMessages) == 1, "the session to terminate");
             replyToLastAttempt("w");
 
@@ -148,10 +148,10 @@
     }
 
     @Test
-    void unfinishedMessageEndsTheSessionWhenTheProxyEnds() throws IOException {
+    void sessionWithIncompleteMessageIsEndedWhenTheProxyShutsDown() throws IOException {
         try (Client.Pg client = new Client.Pg(port)) {
-            // What came with a command that was answered is known to the session; no bytes may be under way yet
-            // otherwise.
+            // The response to the first command proves that the session has also processed the incomplete message
+            // that was sent with it.
             client.raw(join(EMPTY_QUERY, new byte[] {'Q', 0, 0}));
             assertEquals("empty", client.answer());
 
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void lingeringSessionIsClosedThoughItsClientGoesOnSending() throws IOException {
+    void lingeringSessionIsClosedIfItsClientDoesNotClose() throws IOException {
         try (Client.Pg client = new Client.Pg(port)) {
             client.raw(UNKNOWN_TYPE);
             assertEquals("failed", client.answer());
@@ -172,11 +172,11 @@
 
             Program.await(() -> onLoop(() -> front.clients()) == 0, "the end of lingering");
         }
-        assertEquals(1, closed("protocol_error"));
+        assertEquals(1, closedSessions("protocol_error"));
     }
 
     @Test
-    void clientThatSaysGoodbyeIsClosedWithoutDraining() throws IOException {
+    void sessionIsClosedAtOnceWhenItsClientSendsTerminate() throws IOException {
         try (Client.Pg client = new Client.Pg(port)) {
             client.raw(new PgWriter().message('X').bytes());
 
@@ -186,9 +186,9 @@
     }
 
     @Test
-    void clientThatLeavesAbandonsItsRequest() throws IOException {
+    void requestIsAbandonedWhenItsClientDisconnects() throws IOException {
         try (Client.Pg client = new Client.Pg(port)) {
-            client.raw(write("w"));
+            client.raw(writeQuery("w"));
             awaitAttempts(1);
         }
         awaitClosed("left");
--- a/src/test/java/mintstair/front/CommandQueueTest.java
+++ b/src/test/java/mintstair/front/CommandQueueTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void commandsComeInOrderWithTheTimeOfTheirLastByte() {
+    void commandsAreReturnedInOrderWithTheTimeOfTheirLastByte() {
         append("first\nsec");
         nowMicros = 2_000;
         append("ond\nthird\n");
@@ -51,19 +51,19 @@
         append("w");
 
         assertTrue(queue.hasPartialMessage());
-        assertEquals(4_000, queue.partialForMicros(nowMicros));
+        assertEquals(4_000, queue.partialMessageAgeMicros(nowMicros));
     }
 
     @Test
-    void nextPartialMessageIsTimedAnew() {
+    void timeOfPartialMessageRestartsWithTheNextMessage() {
         append("on");
         nowMicros = 5_000;
         append("e\ntw");
-        assertEquals(0, queue.partialForMicros(nowMicros));
+        assertEquals(0, queue.partialMessageAgeMicros(nowMicros));
 
         append("o\n");
         nowMicros = 9_000;
-        assertEquals(0, queue.partialForMicros(nowMicros));
+        assertEquals(0, queue.partialMessageAgeMicros(nowMicros));
         assertFalse(queue.hasPartialMessage());
     }
 
@@ -74,7 +74,7 @@
         assertThrows(ProtocolException.class, () -> append("good\n" + endless));
 
         assertFalse(queue.hasPartialMessage());
-        assertEquals(0, queue.partialForMicros(nowMicros + 1_000_000));
+        assertEquals(0, queue.partialMessageAgeMicros(nowMicros + 1_000_000));
         assertNext("good\n", 1_000);
     }
 
@@ -89,7 +89,7 @@
         assertEquals(-2, queue.heldBytesChange());
     }
 
-    /** Guards the small heap against a client that does not read its responses. */
+    /** Guards against heap exhaustion by a client that sends commands without reading its responses. */
     @Test
     void moreThan64CommandsOr512KibibytesAreOverTheLimit() {
         append("x\n".repeat(64));
--- a/src/test/java/mintstair/front/DrainTest.java
+++ b/src/test/java/mintstair/front/DrainTest.java
@@ -8,20 +8,21 @@
 import mintstair.standin.Client;
 import org.junit.jupiter.api.Test;
 
-/** A front that closes the connections of its clients. */
+/** Tests a front that drains the connections of its clients. */
 class DrainTest extends FrontFixture {
     /**
-     * Guards against a write that runs twice: a request that was read, and is on its way to the loop when its
-     * connection is drained, would be sent to a host and cut off without a response, and its client sends it again.
+     * Guards against a write that is executed twice: a request that the network thread has read when its connection is
+     * drained, and that the event loop has not processed yet, must not be sent to a host and then lose its connection,
+     * as its client would send it again.
      */
     @Test
-    void requestOnItsWayToTheLoopIsNotCutOff() throws Exception {
+    void requestReadBeforeDrainIsAnswered() throws Exception {
         for (int i = 0; i < 20; i++) {
-            drainWithRequestOnItsWay("w" + i);
+            drainWithUnprocessedRequest("w" + i);
         }
     }
 
-    private void drainWithRequestOnItsWay(String id) throws Exception {
+    private void drainWithUnprocessedRequest(String id) throws Exception {
         try (Client.Pg client = new Client.Pg(port)) {
             client.raw(Client.Pg.query(""));
             assertEquals("empty", client.answer());
@@ -29,16 +30,16 @@
             CountDownLatch blocked = blockLoop();
             loop.execute(front::drain);
             client.send(true, "id=" + id + ",c=write,cluster=1", 300);
-            Program.await(() -> front.unprocessedBytes.get() > 0, "the network thread to have read it");
+            Program.await(() -> front.unprocessedBytes.get() > 0, "the network thread to read the request");
             long accepted = counters.requestsAccepted();
 
             blocked.countDown();
 
             String answer = client.answer();
             boolean answered = counters.requestsAccepted() > accepted && !answer.equals("nothing");
-            assertEquals(true, answered, "accepted and cut off without a response");
+            assertEquals(true, answered, "request was not accepted, or its connection was closed without a response");
         } catch (IOException e) {
-            throw new AssertionError("cut off", e);
+            throw new AssertionError("connection was closed without a response", e);
         }
     }
 }
--- a/src/test/java/mintstair/front/FrontFixture.java
+++ b/src/test/java/mintstair/front/FrontFixture.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A front of PostgreSQL's protocol before one primary, which replies only when a test says so. */
+/** A PostgreSQL front with one primary, which replies only when a test requests it. */
 abstract class FrontFixture {
     static final int MAX_CLIENTS = 10;
 
@@ -42,12 +42,13 @@
     Front front;
     int port;
 
-    /** Hosts that accept every attempt; the listeners are kept for the test, on the loop. */
+    /** Accepts every attempt and stores its listener for the test; used on the event loop. */
     static final class SilentBackend implements Backend {
         final List<AttemptListener> attempts = new ArrayList<>();
 
         @Override
-        public Attempt send(String host, Statement statement, long writeBy, long until, AttemptListener listener) {
+        public Attempt send(
+                String host, Statement statement, long writeByMicros, long abandonAtMicros, AttemptListener listener) {
             attempts.add(listener);
             return () -> {};
         }
@@ -82,19 +83,19 @@
         transport.shutdownNow();
     }
 
-    /** The value on the loop, where all that the front holds may be read. */
+    /** Returns a value that is computed on the event loop, where the state of the front may be read. */
     <T> T onLoop(Supplier<T> value) {
         CompletableFuture<T> result = new CompletableFuture<>();
         loop.execute(() -> result.complete(value.get()));
         return result.join();
     }
 
-    /** Waits until the primary has got so many attempts since the start. */
+    /** Waits until the primary has received this many attempts since the start. */
     void awaitAttempts(int count) {
         Program.await(() -> onLoop(backend.attempts::size) == count, count + " attempts");
     }
 
-    /** Has the primary reply to its last attempt with this value. */
+    /** Makes the primary reply to its last attempt with this value. */
     void replyToLastAttempt(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
         byte[] body = new PgWriter()
@@ -106,7 +107,7 @@
         loop.execute(() -> backend.attempts.get(backend.attempts.size() - 1).onEnd(reply));
     }
 
-    /** Keeps the loop busy until the latch is released. */
+    /** Blocks the event loop until the latch is released. */
     CountDownLatch blockLoop() {
         CountDownLatch blocked = new CountDownLatch(1);
         loop.execute(() -> {
--- a/src/test/java/mintstair/front/SessionStateTest.java
+++ b/src/test/java/mintstair/front/SessionStateTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The table of {@link SessionState}, row by row. */
+/** Tests the transitions that the documentation of {@link SessionState} specifies. */
 class SessionStateTest {
     @ParameterizedTest
     @CsvSource({
@@ -41,7 +41,7 @@
         "CLOSED,      LINGER,      CLOSED",
         "CLOSED,      CLOSE,       CLOSED",
     })
-    void eachEventLeadsToTheStateOfTheTable(SessionState from, SessionState.Event event, SessionState to) {
+    void eventLeadsToTheDocumentedState(SessionState from, SessionState.Event event, SessionState to) {
         assertEquals(to, from.after(event));
     }
 
@@ -60,7 +60,7 @@
 
     @ParameterizedTest
     @EnumSource(SessionState.class)
-    void noEventReopensASession(SessionState state) {
+    void noEventReturnsToAnEarlierState(SessionState state) {
         for (SessionState.Event event : SessionState.Event.values()) {
             assertEquals(true, state.after(event).ordinal() >= state.ordinal(), state + " after " + event);
         }
