--- a/src/main/java/mintstair/backend/ConnectionPools.java
+++ b/src/main/java/mintstair/backend/ConnectionPools.java
@@ -16,11 +16,14 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * The connection pools of all hosts of one protocol, with a common limit on open connections. Runs on the event loop;
- * times are on its clock.
+ * The connection pools of all hosts that speak one protocol, with a common limit on open connections. All methods run
+ * on the event loop, and all times are on its clock.
  */
 public final class ConnectionPools implements Backend {
-    /** Connections are evicted at this share of the hosts' idle timeout: an attempt that meets the close is lost. */
+    /**
+     * The share of the hosts' idle timeout after which idle connections are evicted. The margin keeps an attempt from
+     * being lost on a connection that its host is about to close.
+     */
     private static final double IDLE_LIMIT_SHARE = 0.8;
 
     private static final long EVICTION_INTERVAL_MICROS = 1_000_000;
@@ -33,16 +36,17 @@
     private final Counters counters;
     private final int maxOpen;
     private final Map<String, HostConnectionPool> pools = new HashMap<>();
-    private int open;
+    private int openConnections;
     private long maxIdleMicros;
     private int minIdlePerHost;
     private boolean clientsAccepted;
 
     /**
-     * Makes pools for no host yet.
+     * Creates the pools without any host; hosts are added by {@link #endpointsUpdated}.
      *
-     * @param idleTimeoutMicros after which hosts close an idle connection
-     * @param maxOpen how many connections may be open to all hosts
+     * @param connectTimeoutMicros the time in which a new connection must become ready for its first attempt
+     * @param idleTimeoutMicros the time after which hosts close an idle connection
+     * @param maxOpen the maximum number of open connections to all hosts together
      */
     public ConnectionPools(
             EventLoop loop,
@@ -60,47 +64,54 @@
         this.counters = counters;
         connector = new HostConnector(loop, protocol, transport, counters);
         setTimeouts(connectTimeoutMicros, idleTimeoutMicros);
-        loop.every(EVICTION_INTERVAL_MICROS, this::evictAndRefill);
+        loop.every(EVICTION_INTERVAL_MICROS, this::evictAndDispatch);
     }
 
-    /** Sets, from now on, how long a connection may take to be ready, and after how long hosts close an idle one. */
+    /**
+     * Sets the time in which a new connection must become ready, and the time after which hosts close an idle
+     * connection. Both take effect immediately.
+     */
     public void setTimeouts(long connectTimeoutMicros, long idleTimeoutMicros) {
         connector.setConnectTimeoutMicros(connectTimeoutMicros);
         maxIdleMicros = (long) (idleTimeoutMicros * IDLE_LIMIT_SHARE);
     }
 
-    /** Has connections that are made from now on recorded. */
+    /** Sets the recorder of the connections that are opened from now on. */
     public void setRecorder(Recorder recorder) {
         connector.setRecorder(recorder);
     }
 
     /**
-     * Notes that clients are accepted from now on, so that connections may be opened ahead of need to all hosts.
-     * Before, that is so only where hosts are few: while the process starts it is too slow for the handshakes of many.
+     * Records that clients are accepted from now on, which enables preconnected connections to any number of hosts.
+     * Until then they are opened only to small numbers of hosts: a process that is still starting is too slow for the
+     * handshakes with many.
      */
     public void clientsAccepted() {
         clientsAccepted = true;
         pools.values().forEach(HostConnectionPool::delayPreconnect);
     }
 
-    private void evictAndRefill() {
-        // Hosts come and go under new names.
+    private void evictAndDispatch() {
+        // Replaced hosts are listed under new names, so pools of removed hosts would accumulate.
         pools.values().removeIf(pool -> pool.isDisposable(loop.now()));
         for (HostConnectionPool pool : pools.values()) {
             pool.evictIdle(idleLimitMicros());
-            pool.serve();
+            pool.dispatchWaiting();
         }
     }
 
-    /** A connection that has been idle since before this time is not used any more. */
+    /** Returns the time before which a connection must not have become idle in order to be reused. */
     long idleLimitMicros() {
         return loop.now() - Math.min(maxIdleMicros, idleReuse.maxIdleMicros());
     }
 
-    /** How many idle connections each host is to have; none where idle connections are not reused for long. */
+    /**
+     * Returns the number of idle connections to keep open to each host. It is 0 if idle connections may be reused only
+     * for a time shorter than the eviction interval.
+     */
     int minIdlePerHost() {
-        boolean permitted = clientsAccepted || minIdlePerHost == PreconnectPolicy.MAX_PER_HOST;
-        return permitted && idleReuse.maxIdleMicros() >= EVICTION_INTERVAL_MICROS ? minIdlePerHost : 0;
+        boolean isPreconnectEnabled = clientsAccepted || minIdlePerHost == PreconnectPolicy.MAX_PER_HOST;
+        return isPreconnectEnabled && idleReuse.maxIdleMicros() >= EVICTION_INTERVAL_MICROS ? minIdlePerHost : 0;
     }
 
     @Override
@@ -112,7 +123,7 @@
         }
         minIdlePerHost = PreconnectPolicy.perHost(servingHosts(), maxOpen);
         if (list.isSnapshot()) {
-            removeAllBut(listedHosts);
+            markUnlistedRemoved(listedHosts);
         }
     }
 
@@ -128,7 +139,7 @@
         return serving;
     }
 
-    private void removeAllBut(Set<String> listedHosts) {
+    private void markUnlistedRemoved(Set<String> listedHosts) {
         pools.forEach((host, pool) -> {
             if (!listedHosts.contains(host)) {
                 pool.markRemoved();
@@ -144,19 +155,19 @@
     @Override
     public Attempt send(
             String host, Statement statement, long writeByMicros, long timeoutAtMicros, AttemptListener listener) {
-        return start(host, new PendingAttempt(statement::encode, writeByMicros, timeoutAtMicros, false, listener));
+        return enqueue(host, new PendingAttempt(statement::encode, writeByMicros, timeoutAtMicros, false, listener));
     }
 
     @Override
     public void sendHealthCheck(String host, AttemptListener listener) {
         long timeoutAtMicros = loop.now() + connector.connectTimeoutMicros();
-        start(
+        enqueue(
                 host,
                 new PendingAttempt(
                         timeoutMillis -> protocol.healthCheck(), timeoutAtMicros, timeoutAtMicros, true, listener));
     }
 
-    private Attempt start(String host, PendingAttempt attempt) {
+    private Attempt enqueue(String host, PendingAttempt attempt) {
         HostConnectionPool pool = pools.get(host);
         if (pool == null) {
             attempt.end(HostReply.of(ConnectionEnd.NEVER_SENT));
@@ -167,18 +178,20 @@
     }
 
     /**
-     * Counts one more open connection, where the limit permits.
+     * Counts one more open connection if the limit on open connections permits it.
      *
-     * @param forAttempt whether an attempt waits for it, so that another host's idle connection may be evicted
+     * @param forAttempt whether an attempt is waiting for the connection, in which case the longest idle connection of
+     *     any host is evicted to make room
+     * @return whether the caller may open the connection
      */
-    boolean mayOpen(boolean forAttempt) {
-        if (open >= maxOpen && forAttempt) {
+    boolean tryReserveConnection(boolean forAttempt) {
+        if (openConnections >= maxOpen && forAttempt) {
             evictLongestIdle();
         }
-        if (open >= maxOpen) {
+        if (openConnections >= maxOpen) {
             return false;
         }
-        open++;
+        openConnections++;
         counters.hostConnectionsOpened++;
         return true;
     }
@@ -197,8 +210,8 @@
         }
     }
 
-    /** Notes that one connection less is open. */
+    /** Records that a connection counted by {@link #tryReserveConnection} was closed. */
     void connectionClosed() {
-        open--;
+        openConnections--;
     }
 }
--- a/src/main/java/mintstair/backend/HostConnection.java
+++ b/src/main/java/mintstair/backend/HostConnection.java
@@ -18,15 +18,15 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * One pooled connection to a host. It sends its greeting, and carries one attempt at a time once that is answered. Its
- * pool is notified of each change.
+ * One pooled connection to a host. It sends the protocol's greeting and, once that is answered, carries one attempt at
+ * a time. It notifies its pool when it is opened, fails to open, becomes idle and is closed.
  *
- * <p>Runs on the event loop, but for {@link #read} and {@link #closed}.
+ * <p>All methods run on the event loop, except for {@link #readStarting}, {@link #read} and {@link #closed}.
  */
 final class HostConnection implements MessageFilter.Listener {
     /**
-     * A connection is made (CONNECTING) and then alternates between IDLE, ACTIVE with an attempt, and SETTLING after
-     * it. Any state may be followed by CLOSED.
+     * The state of a connection. After CONNECTING it is IDLE, then ACTIVE during an attempt, SETTLING after its reply,
+     * and IDLE again. Any state may be followed by CLOSED.
      */
     private enum State {
         CONNECTING,
@@ -36,9 +36,12 @@
         CLOSED
     }
 
-    /** How long a connection is not reused after a reply: bytes behind the reply must not meet the next attempt. */
+    /**
+     * The time after a reply during which the connection is not reused, so that bytes that trail the reply are not read
+     * as the reply to the next attempt.
+     */
     private static final long SETTLE_MICROS = 5_000;
-    /** A host that sends nothing of a long reply for so long has stalled. */
+    /** The time without progress of a long reply after which its host counts as stalled. */
     private static final long STALL_TIMEOUT_MICROS = 5_000_000;
 
     private final HostConnectionPool pool;
@@ -53,21 +56,21 @@
     private GrizzlyFuture<Connection> connecting;
     private Connection<?> connection;
     private Recorder.Conversation transcript = Recorder.Conversation.NONE;
-    /** Set once by the network thread, before its first read. */
+    /** Set once by the network thread, before the first read. */
     private volatile ReadThrottle throttle;
-    /** Whether the network thread is between the begin of a read and its count; written by that thread. */
+    /** Whether the network thread has started a read that is not yet counted; written by that thread. */
     private volatile boolean reading;
-    /** Written by the network thread. */
-    private volatile int reads;
-    /** Of {@link #reads}, those that the event loop has processed; only there. */
-    private int processedReads;
+    /** The number of reads that returned bytes; written by the network thread. */
+    private volatile int readCount;
+    /** The number of reads that the event loop has processed; accessed only on the event loop. */
+    private int processedReadCount;
 
     private PendingAttempt attempt;
     /** Whether the last byte of the request was written; set by the network thread. */
     private volatile boolean written;
 
     private long idleSinceMicros;
-    /** How long it had been idle before the current attempt. */
+    /** How long the connection had been idle before the current attempt. */
     private long idleBeforeAttemptMicros;
 
     private long progressAtMicros;
@@ -83,15 +86,15 @@
         parser = connector.protocol().newParser();
     }
 
-    /** Begins to connect; the pool is notified when it is ready, or has failed. */
+    /** Starts to connect. The pool is notified when the connection is ready for an attempt, or has failed. */
     void open() {
         connecting = connector.connect(address);
         connecting.addCompletionHandler(new EmptyCompletionHandler<Connection>() {
             @Override
-            public void completed(Connection made) {
-                throttle = connector.throttle(made);
-                connector.listen(made, HostConnection.this);
-                loop.execute(() -> connected(made));
+            public void completed(Connection established) {
+                throttle = connector.throttle(established);
+                connector.listen(established, HostConnection.this);
+                loop.execute(() -> connected(established));
             }
 
             @Override
@@ -99,7 +102,7 @@
                 loop.execute(HostConnection.this::disconnected);
             }
         });
-        // A machine that does not respond leaves a connection that neither comes up nor fails.
+        // A machine that does not respond leaves a connection that neither becomes ready nor fails.
         loop.at(loop.now() + connector.connectTimeoutMicros(), this::connectTimedOut);
     }
 
@@ -109,45 +112,46 @@
         }
     }
 
-    private void connected(Connection<?> made) {
-        connection = made;
+    private void connected(Connection<?> established) {
+        connection = established;
         if (state == State.CLOSED) {
-            made.closeSilently();
+            established.closeSilently();
             return;
         }
-        transcript = connector.record(made);
+        transcript = connector.startRecording(established);
         write(connector.protocol().greeting(), false);
     }
 
-    /** Whether it leads to this address, at which its host is listed. */
-    boolean leadsTo(InetSocketAddress listed) {
+    /** Returns whether the connection was opened to this address. */
+    boolean isConnectedTo(InetSocketAddress listed) {
         return address.equals(listed);
     }
 
-    /** Since when it has been idle. */
+    /** Returns the time at which the connection last became idle. */
     long idleSinceMicros() {
         return idleSinceMicros;
     }
 
     /**
-     * Whether neither bytes nor the end have arrived since the last reply: they would be read as the next one. The
-     * socket itself is asked, as the network thread may not have read it yet; and only then whether that thread has read
-     * or is reading, as it may have emptied the socket a moment before.
+     * Returns whether neither bytes nor the end of the stream have arrived since the last reply; they would be taken
+     * for the next reply. The socket is checked first, as the network thread may not have read it yet. The counters of
+     * reads must be checked after it, as that thread may have emptied the socket just before the check, without having
+     * counted its read.
      */
     boolean isClean() {
-        return isSocketEmpty() && !reading && reads == processedReads;
+        return isSocketEmpty() && !reading && readCount == processedReadCount;
     }
 
     private boolean isSocketEmpty() {
         try {
             return ((SocketChannel) ((NIOConnection) connection).getChannel()).read(ByteBuffer.allocate(1)) == 0;
         } catch (IOException e) {
-            // Broken, and as unusable as a closed one.
+            // A broken connection is as unusable as a closed one.
             return false;
         }
     }
 
-    /** Sends an attempt, which has the connection to itself until its end. */
+    /** Sends an attempt, which has exclusive use of the connection until it ends. */
     void send(PendingAttempt next, long nowMicros) {
         state = State.ACTIVE;
         idleBeforeAttemptMicros = nowMicros - idleSinceMicros;
@@ -162,12 +166,12 @@
         connector.write(connection, request, countsAsAttempt, this::requestWritten);
     }
 
-    /** The last byte of the request was written; on the network thread. */
+    /** Called on the network thread when the last byte of the request was written. */
     private void requestWritten() {
         written = true;
     }
 
-    /** Closes it without notice to its pool. */
+    /** Closes the connection without notifying the pool. */
     void close() {
         if (state != State.CLOSED) {
             transcript.ended();
@@ -176,12 +180,12 @@
         if (connection != null) {
             connection.closeSilently();
         } else {
-            // Otherwise the kernel would try for two minutes to connect, and hold a descriptor meanwhile.
+            // Otherwise the kernel would keep trying to connect, and hold a file descriptor, for two minutes.
             connecting.cancel(true);
         }
     }
 
-    /** Closes it as its attempt has ended from this side; the host is notified by the close. */
+    /** Closes the connection because its attempt was ended by the proxy. The host is notified by the close. */
     void abandon() {
         attempt = null;
         close();
@@ -189,14 +193,14 @@
     }
 
     @Override
-    public void readBegins() {
+    public void readStarting() {
         reading = true;
     }
 
     @Override
-    @SuppressWarnings("NonAtomicVolatileUpdate") // only the thread that reads this connection writes it
+    @SuppressWarnings("NonAtomicVolatileUpdate") // written only by the thread that reads this connection
     public void read(ByteBuffer bytes) {
-        reads++;
+        readCount++;
         reading = false;
         int length = bytes.remaining();
         throttle.bytesRead(length);
@@ -212,14 +216,14 @@
         loop.execute(this::disconnected);
     }
 
-    /** Whether a long reply goes on, or would if its client were faster. */
+    /** Returns whether a long reply is making progress, or is paused only because its client reads slowly. */
     boolean isStreaming(long nowMicros) {
         return throttle.isPaused() || nowMicros - progressAtMicros < STALL_TIMEOUT_MICROS;
     }
 
-    /** Takes in what was read; returns how many bytes of it were forwarded and wait for the client. */
+    /** Processes bytes that were read, and returns how many of them were forwarded and are pending at the client. */
     private int process(ByteBuffer bytes) {
-        processedReads++;
+        processedReadCount++;
         progressAtMicros = loop.now();
         transcript.record(false, bytes.array());
         return switch (state) {
@@ -244,38 +248,38 @@
                 message = reply == null ? framer.next() : null;
             }
             if (reply != null) {
-                replied(reply, framer.pending() > 0);
+                replyReceived(reply, framer.pending() > 0);
             }
         } catch (ProtocolException e) {
-            // Counted by its end; what a host sent goes into no log.
+            // The end is counted. Data from hosts is not logged.
             fail(ConnectionEnd.GARBLED);
         }
         return forwarded;
     }
 
-    /** Forwards a part of a long reply; no more is read than its client takes. */
+    /** Forwards a part of a long reply. The read throttle counts it as pending until the client has received it. */
     private int forward(byte[] part) {
         if (part == null || attempt == null) {
             return 0;
         }
-        attempt.part(part, () -> {
+        attempt.forwardPart(part, () -> {
             progressAtMicros = loop.now();
             throttle.bytesConsumed(part.length);
         });
         return part.length;
     }
 
-    private void replied(HostReply reply, boolean moreFollows) {
+    private void replyReceived(HostReply reply, boolean hasTrailingBytes) {
         if (state == State.CONNECTING) {
-            greeted(reply, moreFollows);
+            greetingAnswered(reply, hasTrailingBytes);
             return;
         }
         PendingAttempt answered = removeAttempt();
         HostReply decoded = answered != null && answered.isHealthCheck() ? decodeReport(reply) : reply;
         idleSinceMicros = loop.now();
-        idleReuse.record(idleSinceMicros, idleBeforeAttemptMicros, false);
-        if (moreFollows || decoded.end() == ConnectionEnd.REPORT_UNREADABLE) {
-            // The reply is valid, but what follows must not be read as the reply to the next attempt.
+        idleReuse.recordOutcome(idleSinceMicros, idleBeforeAttemptMicros, false);
+        if (hasTrailingBytes || decoded.end() == ConnectionEnd.REPORT_UNREADABLE) {
+            // The reply is valid, but trailing bytes must not be read as the reply to the next attempt.
             close();
             pool.closed(this);
         } else {
@@ -283,20 +287,20 @@
             loop.at(idleSinceMicros + SETTLE_MICROS, this::settled);
         }
         if (answered != null) {
-            answered.end(moreFollows ? markedAsFollowed(decoded) : decoded);
+            answered.end(hasTrailingBytes ? withTrailingBytes(decoded) : decoded);
         }
     }
 
-    private static HostReply markedAsFollowed(HostReply reply) {
+    private static HostReply withTrailingBytes(HostReply reply) {
         return reply.end() == ConnectionEnd.SERVED
                 ? new HostReply(ConnectionEnd.SERVED_AND_MORE, reply.body(), reply.report())
                 : reply;
     }
 
-    private void greeted(HostReply reply, boolean moreFollows) {
+    private void greetingAnswered(HostReply reply, boolean hasTrailingBytes) {
         if (reply.end() == ConnectionEnd.TURNED_AWAY) {
             openFailed(ConnectionEnd.TURNED_AWAY);
-        } else if (moreFollows || reply.end() != ConnectionEnd.SERVED) {
+        } else if (hasTrailingBytes || reply.end() != ConnectionEnd.SERVED) {
             openFailed(ConnectionEnd.CONNECT_FAILED);
         } else {
             idleSinceMicros = loop.now();
@@ -317,9 +321,9 @@
             return reply;
         }
         try {
-            return new HostReply(reply.end(), null, connector.protocol().report(reply.body()));
+            return new HostReply(reply.end(), null, connector.protocol().decodeReport(reply.body()));
         } catch (ProtocolException e) {
-            // Counted by its end; what a host sent goes into no log.
+            // The end is counted. Data from hosts is not logged.
             return HostReply.of(ConnectionEnd.REPORT_UNREADABLE);
         }
     }
@@ -328,9 +332,9 @@
         switch (state) {
             case CONNECTING -> openFailed(ConnectionEnd.CONNECT_FAILED);
             case ACTIVE -> disconnectedDuringAttempt();
-            case SETTLING, IDLE -> endWith(null);
+            case SETTLING, IDLE -> closeAndEnd(null);
             default -> {
-                // It was closed from this side, and its pool knows.
+                // The connection was closed by the proxy, and the pool was notified.
             }
         }
     }
@@ -338,18 +342,18 @@
     private void disconnectedDuringAttempt() {
         HostReply reply = parser.replyAtClose();
         if (reply == null) {
-            idleReuse.record(loop.now(), idleBeforeAttemptMicros, true);
+            idleReuse.recordOutcome(loop.now(), idleBeforeAttemptMicros, true);
             reply = HostReply.of(written ? ConnectionEnd.BROKEN_AFTER_WRITTEN : ConnectionEnd.BROKEN_BEFORE_WRITTEN);
         }
-        endWith(reply);
+        closeAndEnd(reply);
     }
 
-    /** Ends the connection, and the attempt on it, where the host has broken the protocol. */
+    /** Closes the connection, and ends the attempt on it, after the host has violated the protocol. */
     private void fail(ConnectionEnd end) {
         if (state == State.CONNECTING) {
             openFailed(ConnectionEnd.CONNECT_FAILED);
         } else {
-            endWith(HostReply.of(end));
+            closeAndEnd(HostReply.of(end));
         }
     }
 
@@ -358,8 +362,8 @@
         pool.openFailed(this, end);
     }
 
-    /** Closes the connection; where there is an attempt on it, that ends with the reply. */
-    private void endWith(HostReply reply) {
+    /** Closes the connection, and ends the attempt on it, if there is one, with the reply. */
+    private void closeAndEnd(HostReply reply) {
         PendingAttempt ended = removeAttempt();
         close();
         pool.closed(this);
--- a/src/main/java/mintstair/backend/HostConnectionPool.java
+++ b/src/main/java/mintstair/backend/HostConnectionPool.java
@@ -16,16 +16,20 @@
 
 /**
  * The connection pool of one host, and the queue of attempts that wait for a connection. Idle connections are reused
- * last in, first out, so that those that are not needed reach their idle limit. Runs on the event loop.
+ * last in, first out, so that surplus connections reach the idle limit and are evicted. All methods run on the event
+ * loop.
  */
 final class HostConnectionPool {
-    /** A host works on far fewer requests at a time. */
+    /** The limit on connections to one host; a host processes far fewer requests concurrently. */
     private static final int MAX_CONNECTIONS = 80;
-    /** Connections ahead of need begin after a random part of this, as many proxies see a new host together. */
+    /**
+     * The maximum of the random delay before connections are preconnected to a host. It spreads the handshakes of many
+     * proxies that learn of a new host at the same time.
+     */
     private static final long PRECONNECT_DELAY_MICROS = 1_000_000;
 
     private static final long MAX_PRECONNECT_BACKOFF_MICROS = 8_000_000;
-    /** How long a removed host is remembered: where removal is advisory, it may still be sent to. */
+    /** How long the pool of a removed host is kept; if removals are advisory, attempts may still be sent to it. */
     private static final long REMOVED_RETENTION_MICROS = 60_000_000;
 
     private static final long STREAM_CHECK_INTERVAL_MICROS = 1_000_000;
@@ -37,7 +41,7 @@
     private final Counters counters;
     private final Random random;
     private final Backoff preconnectBackoff;
-    /** The one that became idle last is the first. */
+    /** The idle connections; the one that became idle last is the first. */
     private final ArrayDeque<HostConnection> idle = new ArrayDeque<>();
 
     private final Set<HostConnection> connections = new HashSet<>();
@@ -64,12 +68,12 @@
         delayPreconnect();
     }
 
-    /** Delays connections ahead of need by a random part of a second. */
+    /** Delays preconnected connections by a random time of up to one second. */
     void delayPreconnect() {
         preconnectFromMicros = loop.now() + (long) (random.nextDouble() * PRECONNECT_DELAY_MICROS);
     }
 
-    /** Takes over what the endpoint list says of this host. */
+    /** Applies the entry of this host in the endpoint list. */
     void update(EndpointList.Entry entry) {
         if (entry.state() == EndpointList.State.REMOVED) {
             markRemoved();
@@ -82,7 +86,7 @@
             evictAllIdle();
         }
         address = listed;
-        serve();
+        dispatchWaiting();
     }
 
     private static InetSocketAddress parseAddress(String endpoint) {
@@ -90,7 +94,7 @@
         return new InetSocketAddress(endpoint.substring(0, colon), Integer.parseInt(endpoint.substring(colon + 1)));
     }
 
-    /** Notes that the host is not listed any more. */
+    /** Records that the host is no longer listed, and closes its idle connections. */
     void markRemoved() {
         if (serving) {
             removedAtMicros = loop.now();
@@ -99,30 +103,30 @@
         evictAllIdle();
     }
 
-    /** Whether the host is listed as one that serves. */
+    /** Returns whether the host is listed as serving. */
     boolean isServing() {
         return serving;
     }
 
-    /** Whether nothing is left of a host that was removed long ago. */
+    /** Returns whether the host was removed longer ago than the retention time, and the pool is empty. */
     boolean isDisposable(long nowMicros) {
         boolean empty = connections.isEmpty() && waiting.isEmpty();
         return !serving && empty && nowMicros - removedAtMicros > REMOVED_RETENTION_MICROS;
     }
 
-    /** Queues an attempt for the next connection. */
+    /** Queues an attempt until a connection is available. */
     void acquire(PendingAttempt attempt) {
         long nowMicros = loop.now();
-        attempt.queuedIn(this);
+        attempt.setPool(this);
         long latestBeginMicros = Math.min(attempt.writeByMicros(), attempt.timeoutAtMicros());
         long connectByMicros = Math.min(latestBeginMicros, nowMicros + connector.connectTimeoutMicros());
         attempt.setTimer(loop.at(connectByMicros, () -> checkTimeout(attempt)));
         evictIdle(pools.idleLimitMicros());
         waiting.add(attempt);
-        serve();
+        dispatchWaiting();
     }
 
-    /** Removes an attempt that ends while it waits. */
+    /** Removes an attempt from the queue, if it is still waiting. */
     void cancelAcquire(PendingAttempt attempt) {
         waiting.remove(attempt);
     }
@@ -132,26 +136,26 @@
         if (attempt.connection() == null) {
             boolean tooLateToWrite = nowMicros >= attempt.writeByMicros() && nowMicros < attempt.timeoutAtMicros();
             boolean connectTimedOut = connecting > 0 && !tooLateToWrite;
-            attempt.stop(connectTimedOut ? ConnectionEnd.CONNECT_TIMEOUT : ConnectionEnd.NEVER_SENT);
+            attempt.abort(connectTimedOut ? ConnectionEnd.CONNECT_TIMEOUT : ConnectionEnd.NEVER_SENT);
         } else if (attempt.isStreaming() && attempt.connection().isStreaming(nowMicros)) {
             attempt.setTimer(loop.at(nowMicros + STREAM_CHECK_INTERVAL_MICROS, () -> checkTimeout(attempt)));
         } else if (nowMicros < attempt.timeoutAtMicros()) {
             attempt.setTimer(loop.at(attempt.timeoutAtMicros(), () -> checkTimeout(attempt)));
         } else {
-            attempt.stop(ConnectionEnd.TIMED_OUT);
+            attempt.abort(ConnectionEnd.TIMED_OUT);
         }
     }
 
     /** See {@link mintstair.proxy.Backend#failQueuedForUnavailableHosts}. */
     void failQueuedIfUnavailable() {
         if (!serving) {
-            // A copy, as an attempt that fails may be followed by one that is sent here on purpose.
-            List.copyOf(waiting).forEach(attempt -> attempt.stop(ConnectionEnd.NEVER_SENT));
+            // A copy, as the listener of a failed attempt may deliberately send another one to this host.
+            List.copyOf(waiting).forEach(attempt -> attempt.abort(ConnectionEnd.NEVER_SENT));
         }
     }
 
-    /** Gives waiting attempts their connections, and opens those that are missing. */
-    void serve() {
+    /** Assigns idle connections to waiting attempts, and opens the connections that are missing. */
+    void dispatchWaiting() {
         while (!waiting.isEmpty() && !idle.isEmpty()) {
             HostConnection connection = idle.pollFirst();
             if (connection.isClean()) {
@@ -172,16 +176,19 @@
             return;
         }
         counters.attemptHeldBack(verdict);
-        next.stop(ConnectionEnd.NEVER_SENT);
+        next.abort(ConnectionEnd.NEVER_SENT);
         idle.addFirst(connection);
     }
 
-    /** For an attempt another host's idle connection may be evicted; ahead of need they would evict each other. */
+    /**
+     * Opens a connection for each waiting attempt and each missing preconnected connection. Only waiting attempts may
+     * evict other hosts' idle connections; preconnected connections would evict each other.
+     */
     private void openMissing() {
-        int wanted = waiting.size() + missingAheadOfNeed();
+        int wanted = waiting.size() + missingPreconnects();
         while (connecting < wanted
                 && connections.size() < MAX_CONNECTIONS
-                && pools.mayOpen(connecting < waiting.size())) {
+                && pools.tryReserveConnection(connecting < waiting.size())) {
             counters.hostConnectionsPreconnected += connecting < waiting.size() ? 0 : 1;
             connecting++;
             HostConnection connection = new HostConnection(this, connector, idleReuse, address);
@@ -190,31 +197,31 @@
         }
     }
 
-    private int missingAheadOfNeed() {
+    private int missingPreconnects() {
         if (!serving || loop.now() < preconnectFromMicros) {
             return 0;
         }
         return Math.max(0, pools.minIdlePerHost() - idle.size());
     }
 
-    /** Takes in a connection that is ready for its first attempt. */
+    /** Adds a connection that has become ready for its first attempt. */
     void opened(HostConnection connection) {
         connecting--;
         preconnectBackoff.reset();
         release(connection);
     }
 
-    /** Takes a connection back that is idle; the next attempt gets it. */
+    /** Returns an idle connection to the pool, or closes it if the host was removed or has a new address. */
     void release(HostConnection connection) {
-        if (connection.leadsTo(address) && (serving || !waiting.isEmpty())) {
+        if (connection.isConnectedTo(address) && (serving || !waiting.isEmpty())) {
             idle.addFirst(connection);
         } else {
             discard(connection);
         }
-        serve();
+        dispatchWaiting();
     }
 
-    /** Notes that a connection did not become ready; it ends one attempt, as there was one connection for each. */
+    /** Removes a connection that failed to open, and ends one waiting attempt, as one connection is opened for each. */
     void openFailed(HostConnection connection, ConnectionEnd end) {
         connecting--;
         counters.hostConnectionsFailed++;
@@ -226,16 +233,16 @@
         }
     }
 
-    /** Removes a connection that is closed, which leaves room for another. */
+    /** Removes a closed connection, which makes room for another. */
     void closed(HostConnection connection) {
         idle.remove(connection);
         if (connections.remove(connection)) {
             pools.connectionClosed();
-            serve();
+            dispatchWaiting();
         }
     }
 
-    /** Closes the connections that have been idle since before this time. */
+    /** Closes the connections that became idle before this time. */
     void evictIdle(long idleSinceBeforeMicros) {
         while (!idle.isEmpty() && idle.peekLast().idleSinceMicros() < idleSinceBeforeMicros) {
             discard(idle.pollLast());
@@ -246,12 +253,12 @@
         evictIdle(Long.MAX_VALUE);
     }
 
-    /** Since when its longest idle connection has been idle; {@link Long#MAX_VALUE} where none is. */
+    /** Returns when the longest idle connection became idle, or {@link Long#MAX_VALUE} if no connection is idle. */
     long longestIdleSinceMicros() {
         return idle.isEmpty() ? Long.MAX_VALUE : idle.peekLast().idleSinceMicros();
     }
 
-    /** Closes its longest idle connection; there must be one. */
+    /** Closes the longest idle connection. At least one connection must be idle. */
     void evictLongestIdle() {
         discard(idle.pollLast());
     }
--- a/src/main/java/mintstair/backend/HostConnector.java
+++ b/src/main/java/mintstair/backend/HostConnector.java
@@ -5,7 +5,7 @@
 import mintstair.proxy.EventLoop;
 import mintstair.stats.Counters;
 import mintstair.wire.MessageFilter;
-import mintstair.wire.ReadBeginFilter;
+import mintstair.wire.ReadStartFilter;
 import mintstair.wire.ReadThrottle;
 import mintstair.wire.Recorder;
 import org.glassfish.grizzly.Connection;
@@ -18,11 +18,14 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
-/** Makes the network connections to hosts, writes to them, and keeps what bounds and records all of them. */
+/**
+ * Opens network connections to hosts and writes to them. It holds what the connections of one protocol share: the
+ * connect timeout, the limit on buffered bytes and the recorder.
+ */
 final class HostConnector {
-    /** How much of a long reply may wait for its client, on one connection. */
+    /** How many bytes of a long reply may be pending for its client, on one connection. */
     private static final int MAX_BUFFERED_BYTES = 64 * 1024;
-    /** The same while the bytes that wait on all connections are over their limit; the heap is small. */
+    /** The same limit while the pending bytes of all connections exceed their limit, as the heap is small. */
     private static final int MAX_BUFFERED_BYTES_WHEN_FULL = 16 * 1024;
 
     private static final long MAX_TOTAL_BUFFERED_BYTES = 6 * 1024 * 1024;
@@ -44,7 +47,7 @@
         this.counters = counters;
         handler = TCPNIOConnectorHandler.builder(transport)
                 .processor(FilterChainBuilder.stateless()
-                        .add(new ReadBeginFilter(filter))
+                        .add(new ReadStartFilter(filter))
                         .add(new TransportFilter())
                         .add(filter)
                         .build())
@@ -59,7 +62,7 @@
         return protocol;
     }
 
-    /** How long a connection may take until it is ready for its first attempt. */
+    /** Returns the time in which a new connection must become ready for its first attempt. */
     long connectTimeoutMicros() {
         return connectTimeoutMicros;
     }
@@ -72,17 +75,17 @@
         recorder = newRecorder;
     }
 
-    /** Begins to connect. */
+    /** Starts to connect to this address. */
     GrizzlyFuture<Connection> connect(InetSocketAddress address) {
         return handler.connect(address);
     }
 
-    /** Has the reads and the end of a connection passed to the listener; on the network thread. */
+    /** Sets the listener that is notified, on the network thread, of the reads and the end of a connection. */
     void listen(Connection<?> connection, MessageFilter.Listener listener) {
         filter.listen(connection, listener);
     }
 
-    /** Makes the read throttle of a connection; on any thread. */
+    /** Creates the read throttle of a connection. May be called on any thread. */
     ReadThrottle throttle(Connection<?> connection) {
         return new ReadThrottle(
                 connection,
@@ -92,8 +95,8 @@
                 MAX_TOTAL_BUFFERED_BYTES);
     }
 
-    /** Begins to record a connection, where there is a recorder. */
-    Recorder.Conversation record(Connection<?> connection) {
+    /** Starts to record a connection, if there is a recorder. */
+    Recorder.Conversation startRecording(Connection<?> connection) {
         if (recorder == Recorder.NONE) {
             return Recorder.Conversation.NONE;
         }
@@ -102,10 +105,10 @@
     }
 
     /**
-     * Begins to write.
+     * Starts to write to a connection, and returns immediately.
      *
      * @param countsAsAttempt whether the write is counted as an attempt when it is complete
-     * @param onWritten runs on the network thread when the last byte was handed to the kernel
+     * @param onWritten runs on the network thread when the last byte was passed to the kernel
      */
     @SuppressWarnings({"unchecked", "rawtypes"})
     void write(Connection<?> connection, byte[] bytes, boolean countsAsAttempt, Runnable onWritten) {
--- a/src/main/java/mintstair/backend/IdleReusePolicy.java
+++ b/src/main/java/mintstair/backend/IdleReusePolicy.java
@@ -1,35 +1,41 @@
 package mintstair.backend;
 
 /**
- * For how long a connection may have been idle and still be used. Hosts, and middleboxes on the way, drop idle
- * connections before the configured limit and without notice; a request sent on one is lost, and a write may not be
- * sent again. So the outcomes of attempts are counted by how long their connections had been idle, and where
- * connections idle for longer break far more often than the others, they are not used. Runs on the event loop.
+ * Limits how long a connection may have been idle and still be reused. Hosts, and middleboxes on the path, drop idle
+ * connections before the configured timeout and without notice. A request sent on such a connection is lost, and a
+ * write may not be retried. The outcomes of attempts are therefore counted by how long their connections had been idle;
+ * idle times after which connections break far more often than after shorter ones are avoided. All methods run on the
+ * event loop.
  */
 final class IdleReusePolicy {
-    /** Idle times are counted in buckets: up to this, up to twice this, up to four times this and so on. */
+    /** The upper bound of the first bucket of idle times. Each further bucket has twice the bound of the one before. */
     private static final long FIRST_BUCKET_MICROS = 12_500;
 
     private static final int BUCKETS = 12;
-    /** Lower buckets are always used: without any reuse each attempt would need a handshake. */
+    /** The first bucket that may be avoided. Without any reuse, each attempt would need a handshake. */
     private static final int FIRST_AVOIDABLE_BUCKET = 3;
 
     private static final double MIN_BROKEN = 3;
     private static final double MIN_RATIO = 2;
     private static final double MIN_EXCESS = 0.1;
-    /** Counts decay, so that a bucket that was avoided is tried again. */
+    /** The half-life of all counts, which decay so that an avoided bucket is tried again. */
     private static final double HALF_LIFE_MICROS = 15_000_000;
 
     private final double[] used = new double[BUCKETS];
     private final double[] broken = new double[BUCKETS];
     private long decayedAtMicros;
 
-    /** Counts the end of an attempt on a connection that had been idle for so long before it. */
-    void record(long nowMicros, long idleMicros, boolean broke) {
+    /**
+     * Counts the outcome of an attempt.
+     *
+     * @param idleMicros how long the connection had been idle before the attempt
+     * @param isBroken whether the connection broke without a reply
+     */
+    void recordOutcome(long nowMicros, long idleMicros, boolean isBroken) {
         decay(nowMicros);
         int bucket = bucket(idleMicros);
         used[bucket]++;
-        broken[bucket] += broke ? 1 : 0;
+        broken[bucket] += isBroken ? 1 : 0;
     }
 
     private void decay(long nowMicros) {
@@ -49,7 +55,7 @@
         return bucket;
     }
 
-    /** Connections that have been idle for longer are not to be used; {@link Long#MAX_VALUE} for no limit. */
+    /** Returns the longest idle time of a connection that may be reused, or {@link Long#MAX_VALUE} for no limit. */
     long maxIdleMicros() {
         double usedBefore = 1;
         double brokenBefore = 0;
@@ -63,6 +69,12 @@
         return Long.MAX_VALUE;
     }
 
+    /**
+     * Returns whether connections in a bucket break far more often than those in the lower buckets. Both a factor and a
+     * margin are required, so that low rates, and few broken connections, have no effect.
+     *
+     * @param rateBefore the share of broken connections in the lower buckets
+     */
     private boolean breaksMoreOften(int bucket, double rateBefore) {
         double rate = broken[bucket] / Math.max(1, used[bucket]);
         return broken[bucket] >= MIN_BROKEN && rate > MIN_RATIO * rateBefore + MIN_EXCESS;
--- a/src/main/java/mintstair/backend/PendingAttempt.java
+++ b/src/main/java/mintstair/backend/PendingAttempt.java
@@ -8,8 +8,8 @@
 import mintstair.request.HostReply;
 
 /**
- * One attempt, or one health check: it waits in a pool for a connection, is written, and ends exactly once. Runs on the
- * event loop; times are on its clock.
+ * One attempt, or one health check. It waits in a pool for a connection, is written, and ends exactly once. All methods
+ * run on the event loop, and all times are on its clock.
  */
 final class PendingAttempt implements Backend.Attempt {
     private static final long MICROS_PER_MILLI = 1_000;
@@ -26,10 +26,11 @@
     private boolean streaming;
 
     /**
-     * Makes an attempt that does not wait yet.
+     * Creates an attempt that is not queued yet.
      *
-     * @param encoder makes the request from the milliseconds that are left until {@code timeoutAtMicros}
-     * @param writeByMicros by when it is written, or not at all
+     * @param encoder encodes the request, given the milliseconds that remain until {@code timeoutAtMicros}
+     * @param writeByMicros the time by which the attempt must be written; later it is not sent
+     * @param timeoutAtMicros the time at which the attempt ends without a reply
      */
     PendingAttempt(
             LongFunction<byte[]> encoder,
@@ -56,32 +57,32 @@
         return healthCheck;
     }
 
-    /** Notes that it waits in this pool. */
-    void queuedIn(HostConnectionPool owner) {
+    /** Sets the pool in which the attempt waits for a connection. */
+    void setPool(HostConnectionPool owner) {
         pool = owner;
     }
 
-    /** Notes the timer that runs for it, which its end cancels. */
+    /** Sets the timer that is cancelled when the attempt ends. */
     void setTimer(Future<?> newTimer) {
         timer = newTimer;
     }
 
-    /** The connection that it is written on; null while it waits for one. */
+    /** Returns the connection on which the attempt is written, or null while it waits for one. */
     HostConnection connection() {
         return connection;
     }
 
-    /** Whether a part of a long reply was forwarded, so that no other attempt can take its place. */
+    /** Returns whether a part of a long reply was forwarded, after which no other attempt can replace this one. */
     boolean isStreaming() {
         return streaming;
     }
 
-    /** Whether it may begin now; asked right before it is written. */
+    /** Returns the listener's verdict whether the attempt may begin. Called immediately before it is written. */
     AttemptVerdict mayBegin(long nowMicros) {
         return listener.mayBegin(nowMicros);
     }
 
-    /** Notes that it is written next, on this connection, and returns its request. */
+    /** Records that the attempt is about to be written on this connection, and returns the encoded request. */
     byte[] begin(HostConnection on, long nowMicros) {
         connection = on;
         long timeoutMillis = Math.max(1, (timeoutAtMicros - nowMicros) / MICROS_PER_MILLI);
@@ -89,13 +90,13 @@
         return encoder.apply(timeoutMillis);
     }
 
-    /** Forwards a part of a long reply; {@code onForwarded} runs when the client has got it. */
-    void part(byte[] bytes, Runnable onForwarded) {
+    /** Forwards a part of a long reply. {@code onForwarded} runs when the client has received it. */
+    void forwardPart(byte[] bytes, Runnable onForwarded) {
         streaming = true;
         listener.onReplyPart(bytes, onForwarded);
     }
 
-    /** Ends it with its reply, unless it has ended. */
+    /** Ends the attempt with its reply, unless it has already ended. */
     void end(HostReply reply) {
         if (ended) {
             return;
@@ -109,11 +110,11 @@
 
     @Override
     public void cancel() {
-        stop(connection == null ? ConnectionEnd.NEVER_SENT : ConnectionEnd.CALLED_OFF);
+        abort(connection == null ? ConnectionEnd.NEVER_SENT : ConnectionEnd.CALLED_OFF);
     }
 
-    /** Ends it from this side, unless it has ended, and closes the connection that it holds. */
-    void stop(ConnectionEnd end) {
+    /** Ends the attempt before its reply, unless it has already ended, and closes its connection, if it has one. */
+    void abort(ConnectionEnd end) {
         if (ended) {
             return;
         }
--- a/src/main/java/mintstair/backend/Protocol.java
+++ b/src/main/java/mintstair/backend/Protocol.java
@@ -5,46 +5,46 @@
 import mintstair.wire.Framer;
 import mintstair.wire.ProtocolException;
 
-/** What a pool needs to know of the protocol that its hosts speak. */
+/** The wire protocol that the hosts of a pool speak. */
 public interface Protocol {
-    /** The first message on a new connection; nothing else is sent before its reply. */
+    /** Returns the first message on a new connection. Nothing else is sent until it is answered. */
     byte[] greeting();
 
-    /** The request for a host's report. */
+    /** Returns the request for a host's report. */
     byte[] healthCheck();
 
     /**
      * Decodes the report in a reply to a health check.
      *
-     * @throws ProtocolException where it is none
+     * @throws ProtocolException if the body is not a valid report
      */
-    HostReport report(byte[] body);
+    HostReport decodeReport(byte[] body);
 
-    /** Makes the framer of one connection's replies. */
+    /** Creates the framer for the messages that a host sends on one connection. */
     Framer newFramer();
 
-    /** Makes the parser of one connection's replies. */
+    /** Creates the parser for the replies on one connection. */
     Parser newParser();
 
-    /** Assembles the replies on one connection from messages. Not thread-safe. */
+    /** Assembles the replies on one connection from the messages of the host. Not thread-safe. */
     interface Parser {
-        /** Notes that this request is sent; the messages from here on must be the reply to it. */
+        /** Records that this request is sent. The messages that follow must be the reply to it. */
         default void requestSent(byte[] request) {}
 
         /**
-         * Takes one message in.
+         * Parses the next message.
          *
-         * @return the reply that it completes, or null where more is to come
-         * @throws ProtocolException where it is not part of a valid reply
+         * @return the reply that the message completes, or null if the reply is incomplete
+         * @throws ProtocolException if the message is not part of a valid reply
          */
         HostReply parse(byte[] message);
 
-        /** Removes and returns what of a long reply may be forwarded before its end; null for nothing. */
+        /** Removes and returns the part of a long reply that can be forwarded now, or null if there is none. */
         default byte[] pollPart() {
             return null;
         }
 
-        /** The reply that is complete if the connection ends here; null where there is none. */
+        /** Returns the reply if it counts as complete when the connection is closed now, or null if it does not. */
         HostReply replyAtClose();
     }
 }
--- a/src/main/java/mintstair/backend/mongo/MongoProtocol.java
+++ b/src/main/java/mintstair/backend/mongo/MongoProtocol.java
@@ -16,21 +16,21 @@
 import org.bson.BsonValue;
 
 /**
- * Database hosts that speak MongoDB's wire protocol. They report their role and position by the fields of hello, in any
- * reply that has them: isWritablePrimary, lastWrite.lastWriteDate and localTime. Where these are missing, operationTime
- * is a position to the second.
+ * The protocol of MongoDB hosts. A host reports its role and position in the fields of hello, in any reply that
+ * contains them: isWritablePrimary, lastWrite.lastWriteDate and localTime. If these are missing, operationTime gives
+ * the position with a resolution of one second.
  */
 public final class MongoProtocol implements Protocol {
-    /** Errors of a host that is no primary, or in no state to read: nothing ran. */
-    private static final Set<Integer> NOTHING_RAN = Set.of(10107, 13435, 13436);
-    /** Errors by which a host rejects a command before it looks at it. */
-    private static final Set<Integer> REJECTED = Set.of(462);
+    /** Error codes of a host that is not the primary, or cannot serve reads now; the command was not executed. */
+    private static final Set<Integer> NOT_EXECUTED_CODES = Set.of(10107, 13435, 13436);
+    /** Error codes with which a host rejects a command before processing it. */
+    private static final Set<Integer> REJECTED_CODES = Set.of(462);
     /**
-     * Errors of a host in trouble, after which the command may have run: HostUnreachable, HostNotFound,
+     * Error codes of a failing host, after which the command may have been executed: HostUnreachable, HostNotFound,
      * MaxTimeMSExpired, NetworkTimeout, ShutdownInProgress, PrimarySteppedDown, ExceededTimeLimit, SocketException,
      * InterruptedAtShutdown, InterruptedDueToReplStateChange.
      */
-    private static final Set<Integer> MAY_HAVE_RUN = Set.of(6, 7, 50, 89, 91, 189, 262, 9001, 11600, 11602);
+    private static final Set<Integer> POSSIBLY_EXECUTED_CODES = Set.of(6, 7, 50, 89, 91, 189, 262, 9001, 11600, 11602);
 
     private static final long MICROS_PER_MILLI = 1000;
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -56,7 +56,7 @@
         return new ReplyParser();
     }
 
-    /** A reply is one message, which names the request that it answers. */
+    /** Parses replies, each of which is one message with the id of the request that it answers. */
     private static final class ReplyParser implements Parser {
         private int requestId;
 
@@ -69,10 +69,10 @@
         public HostReply parse(byte[] bytes) {
             MongoMessage message = MongoMessage.parse(bytes);
             if (!isExpected(message)) {
-                throw new ProtocolException("not the one reply that was asked for");
+                throw new ProtocolException("expected an OP_MSG reply to request " + requestId);
             }
             BsonDocument body = message.body();
-            return new HostReply(end(body), MongoMessage.encodeDocument(body), hostReport(body));
+            return new HostReply(connectionEnd(body), MongoMessage.encodeDocument(body), hostReport(body));
         }
 
         private boolean isExpected(MongoMessage message) {
@@ -89,27 +89,27 @@
     }
 
     @Override
-    public HostReport report(byte[] body) {
+    public HostReport decodeReport(byte[] body) {
         HostReport report = hostReport(MongoMessage.decodeDocument(body));
         if (report.role() == ReplicationRole.UNKNOWN) {
-            throw new ProtocolException("hello does not tell the role");
+            throw new ProtocolException("the reply to hello does not contain the replication role");
         }
         return report;
     }
 
-    /** An error that is the statement's own fault counts as served: any other host would reply the same. */
-    private static ConnectionEnd end(BsonDocument body) {
+    /** Classifies a reply. An error caused by the statement itself counts as served, as any host would return it. */
+    private static ConnectionEnd connectionEnd(BsonDocument body) {
         if (body.isNumber("ok") && body.getNumber("ok").doubleValue() == 1) {
             return ConnectionEnd.SERVED;
         }
         int code = body.isNumber("code") ? body.getNumber("code").intValue() : 0;
-        if (NOTHING_RAN.contains(code)) {
+        if (NOT_EXECUTED_CODES.contains(code)) {
             return ConnectionEnd.MISS;
         }
-        if (REJECTED.contains(code)) {
+        if (REJECTED_CODES.contains(code)) {
             return ConnectionEnd.TURNED_AWAY;
         }
-        return code == 0 || MAY_HAVE_RUN.contains(code) ? ConnectionEnd.HOST_ERROR : ConnectionEnd.SERVED;
+        return code == 0 || POSSIBLY_EXECUTED_CODES.contains(code) ? ConnectionEnd.HOST_ERROR : ConnectionEnd.SERVED;
     }
 
     private static HostReport hostReport(BsonDocument body) {
@@ -125,7 +125,7 @@
         return primary ? ReplicationRole.PRIMARY : ReplicationRole.REPLICA;
     }
 
-    /** A primary is at the present, whenever its last write was. */
+    /** Returns the position. That of a primary is its current time, no matter when it executed its last write. */
     private static long positionMicros(BsonDocument body, ReplicationRole role) {
         if (role == ReplicationRole.PRIMARY && body.isDateTime("localTime")) {
             return body.getDateTime("localTime").getValue() * MICROS_PER_MILLI;
--- a/src/main/java/mintstair/backend/mongo/package-info.java
+++ b/src/main/java/mintstair/backend/mongo/package-info.java
@@ -1,2 +1,2 @@
-/** Database hosts that speak MongoDB's wire protocol: how their replies are parsed, checked and understood. */
+/** Database hosts that speak MongoDB's wire protocol: parsing, validation and classification of their replies. */
 package mintstair.backend.mongo;
--- a/src/main/java/mintstair/backend/pg/PgProtocol.java
+++ b/src/main/java/mintstair/backend/pg/PgProtocol.java
@@ -12,7 +12,7 @@
 import mintstair.wire.PgWriter;
 import mintstair.wire.ProtocolException;
 
-/** Database hosts that speak PostgreSQL's protocol, version 3: simple queries, no password. */
+/** The protocol of PostgreSQL hosts: version 3, with simple queries and without a password. */
 public final class PgProtocol implements Protocol {
     private static final int PROTOCOL_3 = 196608;
     private static final byte[] STARTUP = new PgWriter()
@@ -20,11 +20,11 @@
             .bytes();
     private static final byte[] HEALTH_CHECK =
             new PgWriter().message('Q', "SHOW vitals").bytes();
-    private static final Pattern FIELD = Pattern.compile("(\\w{1,32})=(" + PgPosition.NUMBER + ")");
+    private static final Pattern FIELD = Pattern.compile("(\\w{1,32})=(" + PgPosition.NUMBER_PATTERN + ")");
     private static final String POSITION_FIELD = "x0";
     private static final String PRIMARY_FIELD = "x1";
     private static final double MILLIS_PER_SECOND = 1e3;
-    /** Of a row with one column: its type, its length and the number of columns, behind which its length follows. */
+    /** The offset of the column's length in a row with one column, after the type, the length and the column count. */
     private static final int COLUMN_LENGTH_OFFSET = 7;
 
     private static final int COLUMN_OFFSET = COLUMN_LENGTH_OFFSET + Integer.BYTES;
@@ -49,15 +49,15 @@
         return new PgReplyParser();
     }
 
-    /** A report is one column of names and values: {@code x0=...,x1=...}; the position in it is in seconds. */
+    /** Decodes a report, which is one column of names and values: {@code x0=...,x1=...}. Its position is in seconds. */
     @Override
-    public HostReport report(byte[] body) {
+    public HostReport decodeReport(byte[] body) {
         ReplicationRole role = ReplicationRole.UNKNOWN;
         long positionMicros = HostReport.UNKNOWN_POSITION;
-        for (String part : column(body).split(",", -1)) {
+        for (String part : columnText(body).split(",", -1)) {
             Matcher field = FIELD.matcher(part);
             if (!field.matches()) {
-                throw new ProtocolException("a report that cannot be read");
+                throw new ProtocolException("malformed field in the host report");
             }
             double value = Double.parseDouble(field.group(2));
             if (field.group(1).equals(POSITION_FIELD)) {
@@ -69,10 +69,13 @@
         return new HostReport(role, positionMicros);
     }
 
-    /** The one column in a reply that was checked by its parser: the description of its row comes first. */
-    private static String column(byte[] body) {
+    /**
+     * Returns the only column of a reply, which the parser has validated. The row description precedes the row, unless
+     * the row was so long that it was forwarded in parts.
+     */
+    private static String columnText(byte[] body) {
         if (body[0] != 'T') {
-            throw new ProtocolException("a row too long to be held");
+            throw new ProtocolException("host report exceeds the length of a row that is not forwarded in parts");
         }
         ByteBuffer messages = ByteBuffer.wrap(body);
         int row = 1 + messages.getInt(1);
--- a/src/main/java/mintstair/backend/pg/PgReplyParser.java
+++ b/src/main/java/mintstair/backend/pg/PgReplyParser.java
@@ -12,12 +12,12 @@
 import mintstair.wire.ProtocolException;
 
 /**
- * Collects the messages of a reply until the host is ready for the next query. A value is forwarded to a client only if
- * each message of its reply was in its place and complete: hosts have been seen to send noise, and lengths that do not
- * match.
+ * Assembles the messages of a reply until the host is ready for the next query. A value is forwarded to a client only
+ * if each message of its reply was complete and in the expected order: hosts have been observed to send random bytes,
+ * and lengths that do not match.
  */
 final class PgReplyParser implements Protocol.Parser {
-    /** The message that must come next; an error may take the place of any but READY. */
+    /** The next expected message. An error message may replace any of them except READY. */
     private enum Expected {
         DESCRIPTION,
         ROW,
@@ -25,27 +25,27 @@
         READY
     }
 
-    private static final Pattern NUMBER = Pattern.compile(PgPosition.NUMBER);
-    /** Where the body of a message begins, behind its type and length. */
-    private static final int BODY = 5;
+    private static final Pattern NUMBER = Pattern.compile(PgPosition.NUMBER_PATTERN);
+    /** The offset of a message's body, which follows the type and the length. */
+    private static final int BODY_OFFSET = 5;
 
     private static final int AUTHENTICATION_OK_LENGTH = 9;
     private static final int BACKEND_KEY_LENGTH = 13;
     private static final int READY_LENGTH = 6;
-    /** Of a column's description, the bytes behind its name; the last two are the format of its values. */
+    /** The length of a column's description after the name; its last two bytes are the format of the values. */
     private static final int COLUMN_ATTRIBUTES_LENGTH = 18;
 
     private static final int INITIAL_CAPACITY = 256;
 
     private ByteArrayOutputStream body = new ByteArrayOutputStream(INITIAL_CAPACITY);
-    /** What of a long reply was not forwarded yet; null where the reply is not a long one. */
-    private ByteArrayOutputStream part;
-    /** How many bytes of a long row are still to come. */
+    /** The bytes of a long reply that were not forwarded yet; null if the reply is not a long one. */
+    private ByteArrayOutputStream unforwarded;
+    /** The number of bytes of a long row that have not arrived yet. */
     private int rowRemaining;
 
     private Expected expected = Expected.DESCRIPTION;
     private boolean greeting = true;
-    /** How the reply ends, once that is known. */
+    /** The outcome of the reply; null until it is known. */
     private ConnectionEnd end;
 
     private ReplicationRole role = ReplicationRole.UNKNOWN;
@@ -55,55 +55,58 @@
     public HostReply parse(byte[] message) {
         if (rowRemaining > 0) {
             rowRemaining -= message.length;
-            part.writeBytes(message);
+            unforwarded.writeBytes(message);
             return null;
         }
         switch (message[0]) {
-            case 'R' -> authentication(message);
-            case 'S' -> parameter(message);
-            case 'K' -> check(greeting && message.length == BACKEND_KEY_LENGTH, "a key out of place");
+            case 'R' -> parseAuthentication(message);
+            case 'S' -> parseParameter(message);
+            case 'K' -> check(greeting && message.length == BACKEND_KEY_LENGTH, "unexpected BackendKeyData message");
             case 'N', 'A' -> {}
             case 'T' -> advance(message, Expected.DESCRIPTION, Expected.ROW, isDescription(message));
-            case 'D' -> row(message);
+            case 'D' -> parseRow(message);
             case 'C' -> {
-                boolean complete = indexOfZero(message, BODY) == message.length - 1;
+                boolean complete = indexOfZero(message, BODY_OFFSET) == message.length - 1;
                 advance(message, Expected.COMPLETION, Expected.READY, complete);
                 end = ConnectionEnd.SERVED;
             }
             case 'E' -> {
-                check(expected != Expected.READY || greeting, "an error out of place");
-                end = error(message);
+                check(expected != Expected.READY || greeting, "unexpected ErrorResponse message");
+                end = parseError(message);
                 expected = Expected.READY;
             }
             case 'Z' -> {
-                return ready(message);
+                return parseReady(message);
             }
-            default -> throw new ProtocolException("unexpected message");
+            default -> throw new ProtocolException("unexpected message of type " + message[0]);
         }
         return null;
     }
 
-    private void authentication(byte[] message) {
-        boolean ok = message.length == AUTHENTICATION_OK_LENGTH && int32(message, BODY) == 0;
-        check(greeting && ok, "the host asks for a password");
+    private void parseAuthentication(byte[] message) {
+        boolean ok = message.length == AUTHENTICATION_OK_LENGTH && int32(message, BODY_OFFSET) == 0;
+        check(greeting && ok, "unexpected or unsupported authentication message");
         expected = Expected.READY;
         end = ConnectionEnd.SERVED;
     }
 
-    /** Of a long row this is the first part; from here on its reply is forwarded and cannot be replaced by another. */
-    private void row(byte[] head) {
+    /**
+     * Parses a row, or the first part of a long row. From here on the reply with the long row is forwarded, and cannot
+     * be replaced by the reply to another attempt.
+     */
+    private void parseRow(byte[] head) {
         int length = 1 + int32(head, 1);
         advance(head, Expected.ROW, Expected.COMPLETION, isRow(head, length));
         if (length > head.length) {
             rowRemaining = length - head.length;
-            part = body;
+            unforwarded = body;
             body = new ByteArrayOutputStream(INITIAL_CAPACITY);
         }
     }
 
-    private HostReply ready(byte[] message) {
-        boolean idle = message.length == READY_LENGTH && message[BODY] == 'I';
-        check(expected == Expected.READY && idle, "not ready for the next");
+    private HostReply parseReady(byte[] message) {
+        boolean idle = message.length == READY_LENGTH && message[BODY_OFFSET] == 'I';
+        check(expected == Expected.READY && idle, "unexpected ReadyForQuery message");
         HostReply reply = replyAtClose();
         reset();
         return reply;
@@ -111,7 +114,7 @@
 
     private void reset() {
         body = new ByteArrayOutputStream(INITIAL_CAPACITY);
-        part = null;
+        unforwarded = null;
         expected = Expected.DESCRIPTION;
         greeting = false;
         end = null;
@@ -121,11 +124,11 @@
 
     @Override
     public byte[] pollPart() {
-        if (part == null || part.size() == 0) {
+        if (unforwarded == null || unforwarded.size() == 0) {
             return null;
         }
-        byte[] bytes = part.toByteArray();
-        part.reset();
+        byte[] bytes = unforwarded.toByteArray();
+        unforwarded.reset();
         return bytes;
     }
 
@@ -139,41 +142,41 @@
     }
 
     private void advance(byte[] message, Expected wanted, Expected next, boolean valid) {
-        check(expected == wanted && valid, "an answer that is not whole");
+        check(expected == wanted && valid, "incomplete message, or unexpected message type");
         expected = next;
         body.writeBytes(message);
     }
 
-    /** Whether it describes one column, whose values are text or binary. */
+    /** Returns whether the message describes one column, with values in text or binary format. */
     private static boolean isDescription(byte[] message) {
-        return message.length >= BODY + 2
-                && int16(message, BODY) == 1
-                && indexOfZero(message, BODY + 2) == message.length - COLUMN_ATTRIBUTES_LENGTH - 1
+        return message.length >= BODY_OFFSET + 2
+                && int16(message, BODY_OFFSET) == 1
+                && indexOfZero(message, BODY_OFFSET + 2) == message.length - COLUMN_ATTRIBUTES_LENGTH - 1
                 && int16(message, message.length - 2) >>> 1 == 0;
     }
 
-    /** Whether it is a row of one column, the length of which is that of the message's rest. */
+    /** Returns whether the message is a row of one column, which takes up the rest of the message. */
     private static boolean isRow(byte[] head, int length) {
         return head.length >= Framer.LONG_MESSAGE_HEAD_LENGTH
-                && int16(head, BODY) == 1
-                && int32(head, BODY + 2) == length - Framer.LONG_MESSAGE_HEAD_LENGTH;
+                && int16(head, BODY_OFFSET) == 1
+                && int32(head, BODY_OFFSET + 2) == length - Framer.LONG_MESSAGE_HEAD_LENGTH;
     }
 
-    private void parameter(byte[] message) {
-        int nameEnd = indexOfZero(message, BODY);
+    private void parseParameter(byte[] message) {
+        int nameEnd = indexOfZero(message, BODY_OFFSET);
         int valueEnd = indexOfZero(message, nameEnd + 1);
-        check(valueEnd == message.length - 1, "a parameter that is not whole");
-        String name = text(message, BODY, nameEnd);
+        check(valueEnd == message.length - 1, "malformed ParameterStatus message");
+        String name = text(message, BODY_OFFSET, nameEnd);
         String value = text(message, nameEnd + 1, valueEnd);
         if (name.equals("rank")) {
-            role = role(value);
+            role = parseRole(value);
         } else if (name.equals("as_of")) {
-            check(NUMBER.matcher(value).matches(), "a position that is no number");
+            check(NUMBER.matcher(value).matches(), "replication position is not a number");
             positionMicros = PgPosition.toMicros(Double.parseDouble(value));
         }
     }
 
-    private static ReplicationRole role(String rank) {
+    private static ReplicationRole parseRole(String rank) {
         return switch (rank) {
             case "source" -> ReplicationRole.PRIMARY;
             case "copy" -> ReplicationRole.REPLICA;
@@ -181,10 +184,10 @@
         };
     }
 
-    /** The fields of an error are a type byte and a text each; C is its SQLSTATE. */
-    private static ConnectionEnd error(byte[] message) {
+    /** Parses an error. Each of its fields is a type byte and a string; the field C is the SQLSTATE. */
+    private static ConnectionEnd parseError(byte[] message) {
         String sqlState = null;
-        int field = BODY;
+        int field = BODY_OFFSET;
         while (field < message.length && message[field] != 0) {
             int fieldEnd = indexOfZero(message, field + 1);
             if (message[field] == 'C') {
@@ -192,7 +195,7 @@
             }
             field = fieldEnd + 1;
         }
-        check(field == message.length - 1 && sqlState != null, "an error that is not whole");
+        check(field == message.length - 1 && sqlState != null, "malformed ErrorResponse message");
         return switch (sqlState) {
             case "25006", "72000" -> ConnectionEnd.MISS;
             case "53300" -> ConnectionEnd.TURNED_AWAY;
@@ -220,7 +223,7 @@
                 return i;
             }
         }
-        throw new ProtocolException("a text without its end");
+        throw new ProtocolException("string without a terminating zero");
     }
 
     private static String text(byte[] bytes, int from, int to) {
--- a/src/main/java/mintstair/backend/pg/package-info.java
+++ b/src/main/java/mintstair/backend/pg/package-info.java
@@ -1,2 +1,2 @@
-/** Database hosts that speak PostgreSQL's protocol: how their replies are parsed, checked and understood. */
+/** Database hosts that speak PostgreSQL's protocol: parsing, validation and classification of their replies. */
 package mintstair.backend.pg;
--- a/src/main/java/mintstair/serve/SimulatedHosts.java
+++ b/src/main/java/mintstair/serve/SimulatedHosts.java
@@ -70,7 +70,7 @@
             int role = host.equals(PRIMARY) ? 1 : 0;
             String report = "inflight=1,util=0.5,x0=" + loop.now() / 1e6 + ",x1=" + role;
             HostReply reply = parse(row(host, report));
-            listener.onEnd(new HostReply(reply.end(), null, protocol.report(reply.body())));
+            listener.onEnd(new HostReply(reply.end(), null, protocol.decodeReport(reply.body())));
         });
     }
 
--- a/src/main/java/mintstair/wire/AcceptRetryStrategy.java
+++ b/src/main/java/mintstair/wire/AcceptRetryStrategy.java
@@ -14,9 +14,9 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Runs all events on the network thread, and pauses a listener after a failed accept. While there are no descriptors or
- * buffers, the connection stays in the kernel's queue and the listener stays readable, so that Grizzly would try again
- * in a busy loop. The pauses grow exponentially.
+ * Runs all events on the network thread, and pauses a listener after a failed accept. While file descriptors or buffers
+ * are exhausted, a new connection stays in the kernel's accept queue and the listener stays readable, so Grizzly would
+ * retry in a busy loop. The pauses grow exponentially.
  */
 public final class AcceptRetryStrategy implements IOStrategy {
     private static final long INITIAL_PAUSE_MILLIS = 5;
@@ -24,10 +24,10 @@
 
     private final IOStrategy delegate = SameThreadIOStrategy.getInstance();
     private final AtomicLong failures = new AtomicLong();
-    /** The next pause; only on the network thread. */
+    /** The length of the next pause; accessed only on the network thread. */
     private long pauseMillis = INITIAL_PAUSE_MILLIS;
 
-    /** How often an accept has failed; on any thread. */
+    /** Returns the number of failed accepts. May be called on any thread. */
     public long failures() {
         return failures.get();
     }
@@ -55,7 +55,7 @@
     private void pause(TCPNIOServerConnection listener, IOException cause) throws IOException {
         failures.incrementAndGet();
         if (pauseMillis == INITIAL_PAUSE_MILLIS) {
-            System.err.println("accept: " + cause.getMessage() + "; tried again until it succeeds");
+            System.err.println("accept: " + cause.getMessage() + "; retrying until it succeeds");
         }
         listener.disableIOEvent(IOEvent.SERVER_ACCEPT);
         Executor afterPause = CompletableFuture.delayedExecutor(pauseMillis, TimeUnit.MILLISECONDS);
@@ -69,8 +69,8 @@
                 listener.enableIOEvent(IOEvent.SERVER_ACCEPT);
             }
         } catch (IOException | RuntimeException e) {
-            // It was closed at the same time.
-            System.err.println("accept: not resumed: " + e);
+            // The listener was closed concurrently.
+            System.err.println("accept: listener not resumed: " + e);
         }
     }
 
--- a/src/main/java/mintstair/wire/Framer.java
+++ b/src/main/java/mintstair/wire/Framer.java
@@ -4,39 +4,39 @@
 import java.util.Arrays;
 
 /**
- * Cuts a stream of bytes into whole messages, however the bytes arrive. Not thread-safe.
+ * Splits a stream of bytes into messages, regardless of the pieces in which the bytes arrive. Not thread-safe.
  *
- * <p>A message longer than {@link #maxUnsplitLength} is given out in parts as it arrives: its first
- * {@link #LONG_MESSAGE_HEAD_LENGTH} bytes, then the rest in pieces of any length.
+ * <p>A message longer than {@link #maxUnsplitLength} is returned in parts as it arrives: its first
+ * {@link #LONG_MESSAGE_HEAD_LENGTH} bytes, then the rest in parts of any length.
  */
 public abstract class Framer {
-    /** How many bytes the first part of a long message has. */
+    /** The length of the first part of a long message, in bytes. */
     public static final int LONG_MESSAGE_HEAD_LENGTH = 11;
-    /** What {@link #length} returns while too little was read. */
+    /** Returned by {@link #length} if too few bytes are available. */
     protected static final int UNKNOWN_LENGTH = -1;
 
     private static final int INITIAL_CAPACITY = 512;
-    /** A larger buffer is given back once it is empty. */
+    /** A larger buffer is replaced by a small one as soon as it is empty. */
     private static final int MAX_RETAINED_CAPACITY = 64 * 1024;
 
     private byte[] buffer = new byte[INITIAL_CAPACITY];
     private int start;
     private int end;
-    /** How many bytes of a long message are not given out yet. */
+    /** The number of bytes of a long message that were not returned yet. */
     private int longMessageRemaining;
 
-    /** Takes in what was read. */
+    /** Appends bytes that were read. */
     public final void feed(ByteBuffer read) {
         int length = read.remaining();
         if (end + length > buffer.length) {
-            makeRoom(length);
+            ensureCapacity(length);
         }
         read.get(buffer, end, length);
         end += length;
     }
 
-    /** Moves what is pending to the front of the buffer, or of a larger one where that is not enough. */
-    private void makeRoom(int length) {
+    /** Moves the pending bytes to the start of the buffer, or of a larger one if it is too small. */
+    private void ensureCapacity(int length) {
         int kept = end - start;
         boolean fits = kept + length <= buffer.length;
         byte[] target = fits ? buffer : new byte[Math.max(kept + length, 2 * buffer.length)];
@@ -47,22 +47,22 @@
     }
 
     /**
-     * The next whole message, or the next part of a long one.
+     * Removes and returns the next complete message, or the next part of a long message.
      *
-     * @return null until more is read
-     * @throws ProtocolException where the bytes cannot be the start of a message
+     * @return the message, or null if more bytes are needed
+     * @throws ProtocolException if the bytes are not the start of a valid message
      */
     public final byte[] next() {
         if (longMessageRemaining > 0) {
             return nextPart();
         }
         int length = length(buffer, start, end - start);
-        int wanted = length > maxUnsplitLength() ? LONG_MESSAGE_HEAD_LENGTH : length;
-        if (length < 0 || wanted > end - start) {
+        int partLength = length > maxUnsplitLength() ? LONG_MESSAGE_HEAD_LENGTH : length;
+        if (length < 0 || partLength > end - start) {
             return null;
         }
-        longMessageRemaining = length - wanted;
-        return remove(wanted);
+        longMessageRemaining = length - partLength;
+        return remove(partLength);
     }
 
     private byte[] nextPart() {
@@ -82,33 +82,33 @@
         return message;
     }
 
-    /** How many bytes were fed and not given out. */
+    /** Returns the number of bytes that were fed and not returned yet. */
     public final int pending() {
         return end - start;
     }
 
-    /** Discards what was fed and not given out. */
+    /** Discards the bytes that were fed and not returned yet. */
     public final void clear() {
         start = 0;
         end = 0;
         longMessageRemaining = 0;
     }
 
-    /** Up to how many bytes a message is given out only as a whole. */
+    /** Returns the maximum length, in bytes, of a message that is always returned as a whole. */
     protected int maxUnsplitLength() {
         return Integer.MAX_VALUE;
     }
 
     /**
-     * Reads the length of the message that begins at {@code offset}.
+     * Determines the length of the message that starts at {@code offset}.
      *
-     * @param available how many bytes there are from {@code offset} on
-     * @return the length in bytes, or {@link #UNKNOWN_LENGTH} while that many bytes do not tell it
-     * @throws ProtocolException where the bytes cannot be the start of a message
+     * @param available the number of bytes available from {@code offset} on
+     * @return the length in bytes, or {@link #UNKNOWN_LENGTH} if more bytes are needed to determine it
+     * @throws ProtocolException if the bytes are not the start of a valid message
      */
     protected abstract int length(byte[] bytes, int offset, int available);
 
-    /** A 32-bit number, big-endian. */
+    /** Decodes a big-endian 32-bit integer. */
     protected static int int32(byte[] bytes, int offset) {
         return ((bytes[offset] & 255) << 24)
                 | ((bytes[offset + 1] & 255) << 16)
--- a/src/main/java/mintstair/wire/LineFramer.java
+++ b/src/main/java/mintstair/wire/LineFramer.java
@@ -1,8 +1,8 @@
 package mintstair.wire;
 
-/** Lines of text, each ended by a line feed, which is part of the message. */
+/** The framer for lines of text. Each is terminated by a line feed, which is part of the message. */
 public final class LineFramer extends Framer {
-    /** In bytes, with the line feed; the lines in use are a word or two. */
+    /** The maximum length of a line in bytes, including the line feed; the lines in use have one or two words. */
     public static final int MAX_LINE_LENGTH = 256;
 
     @Override
--- a/src/main/java/mintstair/wire/MessageFilter.java
+++ b/src/main/java/mintstair/wire/MessageFilter.java
@@ -12,17 +12,17 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
-/** The Grizzly filter that hands the reads and the end of each connection to its listener. */
+/** The Grizzly filter that passes the bytes read from each connection, and its close, to the connection's listener. */
 public final class MessageFilter extends BaseFilter {
-    /** Takes the events of one connection. */
+    /** Receives the events of one connection. */
     public interface Listener {
-        /** The socket is about to be read, whether or not it holds anything; on the network thread. */
-        default void readBegins() {}
+        /** Called on the network thread before the socket is read, whether or not it has any bytes. */
+        default void readStarting() {}
 
-        /** Takes bytes that were read, and owns the buffer; on the network thread. */
+        /** Called on the network thread with bytes that were read. The listener owns the buffer. */
         void read(ByteBuffer bytes);
 
-        /** The connection was closed, by either side; once, on any thread. */
+        /** Called once, on any thread, when the connection was closed by either side. */
         void closed();
     }
 
@@ -31,26 +31,26 @@
     private final Function<Connection<?>, Listener> onAccept;
 
     /**
-     * For connections that are accepted.
+     * Creates a filter for accepted connections.
      *
-     * @param onAccept makes the listener of each; null for a connection that it has closed
+     * @param onAccept creates the listener of each connection; returns null for a connection that it has closed
      */
     public MessageFilter(Function<Connection<?>, Listener> onAccept) {
         this.onAccept = onAccept;
     }
 
-    /** For connections that are made from here; {@link #listen} is called for each. */
+    /** Creates a filter for outgoing connections. {@link #listen} must be called for each. */
     public MessageFilter() {
         this(null);
     }
 
-    /** Sets the listener of a connection. Where that is closed already, {@link Listener#closed} runs at once. */
+    /** Sets the listener of a connection. If that is already closed, {@link Listener#closed} is called immediately. */
     public void listen(Connection<?> connection, Listener listener) {
         listeners.set(connection, listener);
         connection.addCloseListener((Closeable closed, ICloseType by) -> listener.closed());
     }
 
-    /** The listener of a connection; null where it has none yet. */
+    /** Returns the listener of a connection, or null if it has none yet. */
     Listener listener(Connection<?> connection) {
         return listeners.get(connection);
     }
--- a/src/main/java/mintstair/wire/MongoFramer.java
+++ b/src/main/java/mintstair/wire/MongoFramer.java
@@ -1,12 +1,18 @@
 package mintstair.wire;
 
-/** MongoDB's messages: a header of 16 bytes, little-endian, that begins with the length of the whole message. */
+/**
+ * The framer for messages of MongoDB's wire protocol. They have a little-endian header of 16 bytes, which starts with
+ * the length of the whole message.
+ */
 public final class MongoFramer extends Framer {
-    /** In bytes, and as clients learn it from hello; far more than a value of 64 KiB needs. */
+    /**
+     * The maximum length of a message in bytes, which is announced to clients in the reply to hello; far more than a
+     * value of 64 KiB needs.
+     */
     public static final int MAX_MESSAGE_LENGTH = 512 * 1024;
 
     private static final int HEADER_LENGTH = 16;
-    /** The shortest document is 5 bytes. */
+    /** The header and the shortest document, which has 5 bytes. */
     private static final int MIN_MESSAGE_LENGTH = HEADER_LENGTH + 5;
 
     @Override
--- a/src/main/java/mintstair/wire/MongoMessage.java
+++ b/src/main/java/mintstair/wire/MongoMessage.java
@@ -16,20 +16,20 @@
 import org.bson.io.BasicOutputBuffer;
 
 /**
- * One message of MongoDB's wire protocol: OP_MSG, or the OP_QUERY by which old drivers send hello. A document sequence
- * is read into the body under its name, as hosts do.
+ * One message of MongoDB's wire protocol: an OP_MSG, or an OP_QUERY, which old drivers use for hello. A document
+ * sequence is added to the body as an array under its name, as hosts do.
  */
 public record MongoMessage(int requestId, int responseTo, int opCode, int flags, BsonDocument body) {
     public static final int OP_MSG = 2013;
     public static final int OP_QUERY = 2004;
     public static final int OP_REPLY = 1;
-    /** The flag of a message with a checksum behind its sections. */
+    /** The flag of a message that ends with a checksum. */
     public static final int CHECKSUM_PRESENT = 1;
-    /** The flag of a message to which its sender expects no reply. */
+    /** The flag of a message to which the sender expects no reply. */
     public static final int MORE_TO_COME = 2;
 
     private static final int HEADER_LENGTH = 16;
-    /** An unknown flag among these makes a message invalid; others are ignored. */
+    /** The required flag bits. A message with an unknown one is invalid; other unknown bits are ignored. */
     private static final int REQUIRED_FLAGS = 0xffff;
 
     private static final int BODY_SECTION = 0;
@@ -42,9 +42,9 @@
     private static final BsonDocumentCodec CODEC = new BsonDocumentCodec();
 
     /**
-     * Parses a whole message.
+     * Parses a complete message.
      *
-     * @throws ProtocolException where it is invalid
+     * @throws ProtocolException if the message is invalid
      */
     public static MongoMessage parse(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
@@ -59,12 +59,12 @@
                 default -> throw new ProtocolException("unsupported opcode " + opCode);
             };
         } catch (StackOverflowError e) {
-            // The library reads nested documents by recursion.
+            // The BSON library decodes nested documents recursively.
             throw new ProtocolException("documents are nested too deep", e);
         } catch (ProtocolException e) {
             throw e;
         } catch (RuntimeException e) {
-            // The library has no common type for what it throws on invalid BSON.
+            // The exceptions that the BSON library throws for invalid input have no common type of their own.
             throw new ProtocolException("invalid BSON", e);
         }
     }
@@ -72,7 +72,7 @@
     private static MongoMessage parseOpQuery(ByteBuffer in, int requestId, int responseTo) {
         int flags = in.getInt();
         String collection = cString(in);
-        // The number of documents to skip, and to return.
+        // Ignore the numbers of documents to skip and to return.
         in.getInt();
         in.getInt();
         BsonDocument body = decodeDocument(in);
@@ -86,20 +86,20 @@
             throw new ProtocolException("unknown flag bits " + flags);
         }
         if ((flags & CHECKSUM_PRESENT) != 0) {
-            verifyAndCutChecksum(in);
+            verifyAndRemoveChecksum(in);
         }
         BsonDocument body = parseSections(in);
         return new MongoMessage(requestId, responseTo, OP_MSG, flags, body);
     }
 
-    private static void verifyAndCutChecksum(ByteBuffer in) {
-        int checksumAt = in.limit() - CHECKSUM_LENGTH;
+    private static void verifyAndRemoveChecksum(ByteBuffer in) {
+        int checksumOffset = in.limit() - CHECKSUM_LENGTH;
         CRC32C checksum = new CRC32C();
-        checksum.update(in.array(), 0, checksumAt);
-        if (in.getInt(checksumAt) != (int) checksum.getValue()) {
+        checksum.update(in.array(), 0, checksumOffset);
+        if (in.getInt(checksumOffset) != (int) checksum.getValue()) {
             throw new ProtocolException("the checksum does not match");
         }
-        in.limit(checksumAt);
+        in.limit(checksumOffset);
     }
 
     private static BsonDocument parseSections(ByteBuffer in) {
@@ -154,18 +154,22 @@
     private static String cString(ByteBuffer in) {
         int start = in.position();
         while (in.get() != 0) {
-            // read on to its end
+            // Advance past the terminating zero.
         }
         int length = in.position() - start - 1;
         return new String(in.array(), start, length, StandardCharsets.UTF_8);
     }
 
-    /** The request id of an encoded message, which its reply refers to. */
+    /** Returns the request id of an encoded message, to which the reply refers. */
     public static int requestId(byte[] message) {
         return ByteBuffer.wrap(message).order(ByteOrder.LITTLE_ENDIAN).getInt(4);
     }
 
-    /** Encodes an OP_MSG, with the next request id of this process; {@code responseTo} is 0 for a request. */
+    /**
+     * Encodes an OP_MSG with the next request id of this process.
+     *
+     * @param responseTo the id of the request that the message answers, or 0 if the message is a request
+     */
     public static byte[] opMsg(BsonDocument body, int responseTo) {
         byte[] document = encodeDocument(body);
         return header(HEADER_LENGTH + 5 + document.length, responseTo, OP_MSG)
@@ -175,7 +179,11 @@
                 .array();
     }
 
-    /** Encodes an OP_REPLY, as the reply to an OP_QUERY, with the next request id of this process. */
+    /**
+     * Encodes an OP_REPLY, which answers an OP_QUERY, with the next request id of this process.
+     *
+     * @param responseTo the id of the request that the message answers
+     */
     public static byte[] opReply(BsonDocument body, int responseTo) {
         byte[] document = encodeDocument(body);
         long cursorId = 0;
@@ -208,7 +216,7 @@
         }
     }
 
-    /** Decodes one document of BSON. */
+    /** Decodes a BSON document. */
     public static BsonDocument decodeDocument(byte[] bytes) {
         return decodeDocument(ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN));
     }
--- a/src/main/java/mintstair/wire/PgWriter.java
+++ b/src/main/java/mintstair/wire/PgWriter.java
@@ -3,21 +3,21 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes PostgreSQL messages one after the other. Not thread-safe. */
+/** Encodes a sequence of PostgreSQL messages. Not thread-safe. */
 public final class PgWriter {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream(128);
 
     /**
-     * Adds a message of this type.
+     * Appends a message of this type.
      *
-     * @param body byte arrays, strings (with a zero behind each), 32-bit numbers and characters (one byte each)
+     * @param body byte arrays, strings (each is terminated by a zero), 32-bit integers and characters (one byte each)
      */
     public PgWriter message(char type, Object... body) {
         out.write(type);
         return packet(body);
     }
 
-    /** Adds a message without a type; its body as in {@link #message}. */
+    /** Appends a message without a type. Its body is encoded as in {@link #message}. */
     public PgWriter packet(Object... body) {
         ByteArrayOutputStream content = new ByteArrayOutputStream(64);
         for (Object part : body) {
@@ -41,18 +41,19 @@
         }
     }
 
-    /** Adds messages that are encoded already. */
+    /** Appends messages that are already encoded. */
     public PgWriter raw(byte[] messages) {
         out.writeBytes(messages);
         return this;
     }
 
     /**
-     * Adds an error.
+     * Appends an error message.
      *
-     * @param severity {@code ERROR}, or {@code FATAL} where the connection ends with it
+     * @param severity {@code ERROR}, or {@code FATAL} if the connection is closed after it
      * @param code the SQLSTATE
-     * @param detail its field D; null for none
+     * @param text the field M, the error message
+     * @param detail the field D, the details of the error; null for none
      */
     public PgWriter error(String severity, String code, String text, String detail) {
         Object[] body = detail == null
@@ -61,12 +62,12 @@
         return message('E', body);
     }
 
-    /** Adds ReadyForQuery, outside a transaction. */
+    /** Appends ReadyForQuery with the status of a session that is not in a transaction. */
     public PgWriter ready() {
         return message('Z', 'I');
     }
 
-    /** All messages so far. */
+    /** Returns all messages that were appended so far. */
     public byte[] bytes() {
         return out.toByteArray();
     }
--- a/src/main/java/mintstair/wire/ProtocolException.java
+++ b/src/main/java/mintstair/wire/ProtocolException.java
@@ -1,15 +1,15 @@
 package mintstair.wire;
 
-/** Bytes that break a protocol. The message is meant for the other end of the connection. */
+/** Thrown for bytes that violate a protocol. The message is intended for the peer of the connection. */
 public final class ProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** The message says which rule of the protocol was broken. */
+    /** Creates an exception with a message that describes the violation. */
     public ProtocolException(String message) {
         super(message);
     }
 
-    /** Keeps what the reading of the message failed with. */
+    /** Creates an exception with a message that describes the violation, and the cause that revealed it. */
     public ProtocolException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/mintstair/wire/ReadBeginFilter.java
+++ b/src/main/java/mintstair/wire/ReadStartFilter.java
@@ -4,12 +4,12 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
-/** The first filter of a chain: notifies the listener of a connection that its socket is about to be read. */
-public final class ReadBeginFilter extends BaseFilter {
+/** The first filter of a chain, which notifies the listener of a connection before its socket is read. */
+public final class ReadStartFilter extends BaseFilter {
     private final MessageFilter messages;
 
-    /** Notifies the listeners of this filter, which stands later in the chain. */
-    public ReadBeginFilter(MessageFilter messages) {
+    /** Creates a filter that notifies the listeners of {@code messages}, a later filter in the same chain. */
+    public ReadStartFilter(MessageFilter messages) {
         this.messages = messages;
     }
 
@@ -17,7 +17,7 @@
     public NextAction handleRead(FilterChainContext context) {
         MessageFilter.Listener listener = messages.listener(context.getConnection());
         if (listener != null) {
-            listener.readBegins();
+            listener.readStarting();
         }
         return context.getInvokeAction();
     }
--- a/src/main/java/mintstair/wire/ReadThrottle.java
+++ b/src/main/java/mintstair/wire/ReadThrottle.java
@@ -7,8 +7,9 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * Back-pressure on the read side of one connection: pauses its reads while too many bytes that were read are not used
- * yet, so that the rest waits in the kernel's socket buffer and the sender is slowed down. Thread-safe.
+ * Applies back-pressure to the read side of one connection. It pauses reads while too many bytes that were read are
+ * pending, that is, not consumed yet. Further bytes then stay in the kernel's socket buffer, which slows down the
+ * sender. Thread-safe.
  */
 public final class ReadThrottle {
     private final Connection<?> connection;
@@ -17,18 +18,18 @@
     private final AtomicLong totalBytes;
     private final long maxTotalBytes;
 
-    /** Guarded by this, as are the next two. */
+    /** The bytes that were read and not consumed yet. Guarded by this, as are the next two fields. */
     private int pendingBytes;
 
     private boolean paused;
-    private boolean ended;
+    private boolean closed;
 
     /**
-     * Makes the throttle of a connection.
+     * Creates the throttle of a connection.
      *
-     * @param maxBytes past so many unused bytes reads are paused; a single read may exceed it
-     * @param maxBytesWhenFull the same while the total is over {@code maxTotalBytes}
-     * @param totalBytes the unused bytes of all connections that share the limit
+     * @param maxBytes the number of pending bytes above which reads are paused; a single read may exceed it
+     * @param maxBytesWhenFull the same limit while the total is over {@code maxTotalBytes}
+     * @param totalBytes the pending bytes of all connections that share the limit {@code maxTotalBytes}
      */
     public ReadThrottle(
             Connection<?> connection, int maxBytes, int maxBytesWhenFull, AtomicLong totalBytes, long maxTotalBytes) {
@@ -39,9 +40,9 @@
         this.maxTotalBytes = maxTotalBytes;
     }
 
-    /** Notes that so many bytes were read; may pause reads. */
+    /** Records that this number of bytes was read. May pause reads. */
     public synchronized void bytesRead(int bytes) {
-        if (ended) {
+        if (closed) {
             return;
         }
         pendingBytes += bytes;
@@ -52,9 +53,9 @@
         }
     }
 
-    /** Notes that so many of the bytes that were read are used; may resume reads. */
+    /** Records that this number of the bytes that were read is consumed. May resume reads. */
     public synchronized void bytesConsumed(int bytes) {
-        if (ended) {
+        if (closed) {
             return;
         }
         pendingBytes -= bytes;
@@ -65,14 +66,14 @@
         }
     }
 
-    /** Removes this connection, which is closed, from the total; later calls have no effect. */
+    /** Removes the pending bytes of this closed connection from the total. Later calls have no effect. */
     public synchronized void connectionClosed() {
-        ended = true;
+        closed = true;
         totalBytes.addAndGet(-pendingBytes);
         pendingBytes = 0;
     }
 
-    /** Whether reads are paused, so that nothing can arrive. */
+    /** Returns whether reads are paused, so that no bytes can arrive. */
     public synchronized boolean isPaused() {
         return paused;
     }
@@ -85,7 +86,7 @@
                 ((NIOConnection) connection).disableIOEvent(IOEvent.READ);
             }
         } catch (IOException e) {
-            // The connection is unusable, which its close listeners report.
+            // The connection is unusable. Its close listeners are notified by the termination.
             connection.terminateSilently();
         }
     }
--- a/src/main/java/mintstair/wire/Recorder.java
+++ b/src/main/java/mintstair/wire/Recorder.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 
-/** Captures the traffic of connections. Its methods are called on the event loop and must not block. */
+/** Captures the traffic of connections. All methods are called on the event loop and must not block. */
 public interface Recorder {
     /** The capture of one connection. */
     interface Conversation {
@@ -16,19 +16,19 @@
         };
 
         /**
-         * Captures bytes of one side, in order.
+         * Captures bytes that one side sent. The bytes of each side are passed in the order in which they were sent.
          *
-         * @param fromClient whether the side that made the connection sent them
+         * @param fromClient whether the bytes were sent by the side that opened the connection
          */
         void record(boolean fromClient, byte[] bytes);
 
-        /** Notes that the connection is over. */
+        /** Records that the connection was closed. */
         void ended();
     }
 
     /** Captures nothing. */
     Recorder NONE = (client, server) -> Conversation.NONE;
 
-    /** Begins to capture a connection that {@code client} made to {@code server}. */
+    /** Starts to capture a connection that {@code client} opened to {@code server}. */
     Conversation begin(InetSocketAddress client, InetSocketAddress server);
 }
--- a/src/test/java/mintstair/backend/ConnectionPoolsTest.java
+++ b/src/test/java/mintstair/backend/ConnectionPoolsTest.java
@@ -37,7 +37,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Every way in which an attempt ends on its connection. */
+/** Tests the outcomes of attempts on their connections, and when connections are opened, reused and closed. */
 class ConnectionPoolsTest {
     private static final long SECOND = 1_000_000;
     private final EventLoop loop = new EventLoop();
@@ -80,9 +80,9 @@
 
     private CompletableFuture<HostReply> send(String to, String id, long writeBy, long until, Backend.Attempt[] sent) {
         CompletableFuture<HostReply> end = new CompletableFuture<>();
-        byte[] words = Client.Pg.query(Client.Pg.words(true, "id=" + id + ",c=write,cluster=1", 1));
+        byte[] query = Client.Pg.query(Client.Pg.words(true, "id=" + id + ",c=write,cluster=1", 1));
         loop.execute(() ->
-                sent[0] = pools.send(to, timeout -> words, loop.now() + writeBy, loop.now() + until, end::complete));
+                sent[0] = pools.send(to, timeout -> query, loop.now() + writeBy, loop.now() + until, end::complete));
         return end;
     }
 
@@ -112,17 +112,18 @@
     void cancelledAttemptEndsAsCalledOff() throws Exception {
         host.script.put("off", Act.SILENT);
         Backend.Attempt[] sent = new Backend.Attempt[1];
-        CompletableFuture<HostReply> off = send("speaks", "off", 9 * SECOND, 9 * SECOND, sent);
+        CompletableFuture<HostReply> cancelled = send("speaks", "off", 9 * SECOND, 9 * SECOND, sent);
         while (!host.seen.contains("off")) {
             Thread.onSpinWait();
         }
 
         loop.execute(() -> sent[0].cancel());
 
-        assertEquals(ConnectionEnd.CALLED_OFF, off.get(20, TimeUnit.SECONDS).end());
+        assertEquals(
+                ConnectionEnd.CALLED_OFF, cancelled.get(20, TimeUnit.SECONDS).end());
     }
 
-    /** Guards against values that no host made: noise, lengths that do not match, and a value without end. */
+    /** Guards against forwarding damaged values: random bytes, lengths that do not match, and a value without end. */
     @Test
     void damagedRepliesFailTheirAttemptAndNoOther() throws Exception {
         host.script.put("noise", Act.NOISE);
@@ -141,11 +142,12 @@
     }
 
     /**
-     * Guards against a second copy of a reply, right behind it or later, that is read as the next attempt's. What comes
-     * only when the next attempt is written can't be told from its reply: the test waits until the host has sent it.
+     * Guards against a second copy of a reply, sent with it or later, that is read as the reply to the next attempt.
+     * Bytes that arrive after the next attempt was written cannot be distinguished from its reply, so the test waits
+     * until the host has sent them.
      */
     @Test
-    void bytesBehindAReplyDoNotReachTheNextAttempt() throws Exception {
+    void bytesThatTrailAReplyDoNotReachTheNextAttempt() throws Exception {
         for (int i = 0; i < 5; i++) {
             host.script.put("trailed" + i, Act.TRAILED);
             assertServed("trailed" + i);
@@ -158,13 +160,13 @@
     }
 
     /**
-     * A host sends bytes that belong to no request while its connection rests, right before the next request is written
-     * there. The network thread had taken them from the socket and not yet counted them, the socket was found empty and
-     * nothing uncounted, so that the connection was taken for clean: the next client got another's reply ("twice3" was
-     * asked for, and "trailed3" answered).
+     * Guards against a client that receives the reply to another client's request. The host sends unsolicited bytes on
+     * an idle connection just before the next request is written. The network thread had read them from the socket but
+     * had not counted the read yet, so the socket was found empty and the connection was reused: the request "twice3"
+     * was answered with "trailed3".
      */
     @Test
-    void bytesThatComeWhileAConnectionRestsDoNotReachTheNextAttempt() throws Exception {
+    void bytesThatArriveOnAnIdleConnectionDoNotReachTheNextAttempt() throws Exception {
         for (int i = 0; i < 50; i++) {
             host.script.put("trailed" + i, Act.TRAILED);
             assertServed("trailed" + i);
@@ -186,7 +188,7 @@
 
     /** Guards against preconnected connections that evict each other, so that each attempt needs a handshake. */
     @Test
-    void connectionsAreReusedWhereHostsAreTooManyToPreconnect() throws Exception {
+    void connectionsAreReusedIfThereAreTooManyHostsToPreconnect() throws Exception {
         Counters counters = new Counters();
         ConnectionPools few =
                 new ConnectionPools(loop, new PgProtocol(), transport, SECOND, 15 * SECOND, 6, new Random(1), counters);
@@ -199,19 +201,19 @@
         CompletableFuture<Long> opened = new CompletableFuture<>();
         for (int i = 0; i < 40; i++) {
             CompletableFuture<HostReply> end = new CompletableFuture<>();
-            byte[] words = Client.Pg.query(Client.Pg.words(true, "id=kept" + i + ",c=write,cluster=1", 1));
+            byte[] query = Client.Pg.query(Client.Pg.words(true, "id=kept" + i + ",c=write,cluster=1", 1));
             String to = entries.get(i % 4).host();
-            // Later than a connection settles after its reply.
+            // The delay exceeds the time in which a connection settles after its reply.
             loop.at(
                     loop.now() + 10_000,
-                    () -> few.send(to, timeout -> words, loop.now() + SECOND, loop.now() + SECOND, end::complete));
+                    () -> few.send(to, timeout -> query, loop.now() + SECOND, loop.now() + SECOND, end::complete));
             assertEquals(ConnectionEnd.SERVED, end.get(20, TimeUnit.SECONDS).end());
         }
         loop.execute(() -> opened.complete(counters.hostConnectionsOpened));
         assertEquals(4, opened.get(20, TimeUnit.SECONDS));
     }
 
-    /** Guards against preconnects of a starting process that is too slow for their handshakes. */
+    /** Guards against preconnected connections of a starting process, which is too slow for their handshakes. */
     @Test
     void connectionsToManyHostsAreNotPreconnectedBeforeClientsAreAccepted() throws Exception {
         Counters counters = new Counters();
@@ -220,7 +222,7 @@
         loop.execute(() -> starting.endpointsUpdated(
                 new EndpointList(1, true, List.of(entry("a", host.port()), entry("b", host.port())))));
         CompletableFuture<Long> before = new CompletableFuture<>();
-        // Later than the refill that follows the delay after a host is listed.
+        // The delay exceeds the random delay after a host is listed, and the interval at which connections are opened.
         loop.at(loop.now() + 2_500_000, () -> {
             before.complete(counters.hostConnectionsOpened);
             starting.clientsAccepted();
@@ -236,41 +238,42 @@
     }
 
     @Test
-    void preconnectedConnectionsFitIntoAShareOfTheLimit() {
-        for (int most = 1; most < 400; most++) {
+    void preconnectedConnectionsUseAtMostHalfOfTheLimit() {
+        for (int maxOpen = 1; maxOpen < 400; maxOpen++) {
             for (int hosts = 0; hosts < 500; hosts += 7) {
-                int each = PreconnectPolicy.perHost(hosts, most);
+                int perHost = PreconnectPolicy.perHost(hosts, maxOpen);
                 assertTrue(
-                        each >= 0 && each <= 2 && each * hosts <= most / 2,
-                        each + " to each of " + hosts + " of " + most);
+                        perHost >= 0 && perHost <= 2 && perHost * hosts <= maxOpen / 2,
+                        perHost + " to each of " + hosts + " of " + maxOpen);
             }
         }
         assertEquals(2, PreconnectPolicy.perHost(12, 64));
     }
 
-    /** Guards against leaks over a long day, in which hosts come and go under new names. */
+    /** Guards against connections that accumulate while hosts are replaced under new names. */
     @Test
     void connectionsOfARemovedHostAreClosed() throws Exception {
         assertServed("before");
         loop.execute(() -> pools.endpointsUpdated(new EndpointList(2, true, List.of())));
-        Program.await(() -> host.open() == 0, "the end of its connections");
+        Program.await(() -> host.open() == 0, "its connections to be closed");
     }
 
-    /** Guards against a read that was judged fresh and is sent long after, as its connection was slow to come up. */
+    /** Guards against a read that is sent long after its freshness was checked, as its connection opened slowly. */
     @Test
     void attemptThatCannotBeWrittenInTimeIsNotSent() throws Exception {
         assertEquals(ConnectionEnd.NEVER_SENT, end("silent", "late", SECOND / 25, 9 * SECOND));
-        // Nor where there is a connection, but the loop was too busy to use it.
+        // Nor is it sent if a connection is available, but the event loop was too busy to use it in time.
         assertServed("in time");
         assertEquals(ConnectionEnd.NEVER_SENT, end("speaks", "late", -1, 9 * SECOND));
     }
 
     /**
-     * Guards against a write that is sent again though it ran: where its host gets it and breaks at once, it must not
-     * end as one that the host never got, whichever of the two threads sees the break first.
+     * Guards against a write that is retried although it was executed. If the host receives it and immediately closes
+     * the connection, the attempt must not end as one that was never received, no matter which of the two threads
+     * notices the close first.
      */
     @Test
-    void attemptThatItsHostHasSeenNeverEndsAsBrokenBeforeWritten() throws Exception {
+    void attemptThatItsHostReceivedNeverEndsAsBrokenBeforeWritten() throws Exception {
         int tries = Integer.getInteger("tries", 3_000);
         for (int i = 0; i < tries; i += 20) {
             List<CompletableFuture<HostReply>> ends = new ArrayList<>();
@@ -287,7 +290,7 @@
         }
     }
 
-    /** How many connects to this port are in progress (SYN_SENT), over IPv4 or by a socket of IPv6 that carries it. */
+    /** Returns the number of connects to this port in progress (SYN_SENT), by IPv4 sockets or dual-stack IPv6 ones. */
     private static long connectsInProgress(int port) {
         String to = String.format(":%04X", port);
         return Stream.of("/proc/net/tcp", "/proc/net/tcp6")
@@ -303,9 +306,12 @@
                 .count();
     }
 
-    /** Guards against a lost zone that uses up all descriptors: a connect to a silent machine holds one for minutes. */
+    /**
+     * Guards against the exhaustion of file descriptors after the loss of a zone: a connect to a machine that does not
+     * respond holds one for minutes.
+     */
     @Test
-    void connectionThatDoesNotComeUpIsClosedAtItsTimeout() throws Exception {
+    void connectIsAbortedAtItsTimeout() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             int port = full.getLocalPort();
             List<Socket> fill = new ArrayList<>();
@@ -321,7 +327,7 @@
             for (Socket socket : fill.subList(fill.size() - 1, fill.size())) {
                 socket.close();
             }
-            Program.await(() -> connectsInProgress(port) == 0, "the last try to end");
+            Program.await(() -> connectsInProgress(port) == 0, "the last connect to end");
             CompletableFuture<Void> listed = new CompletableFuture<>();
             loop.execute(() -> {
                 pools.endpointsUpdated(new EndpointList(2, false, List.of(entry("full", port))));
@@ -329,7 +335,7 @@
             });
             listed.join();
             assertEquals(ConnectionEnd.CONNECT_TIMEOUT, end("full", "lost", 9 * SECOND, 9 * SECOND));
-            Program.await(() -> connectsInProgress(port) == 0, "the try to be given up");
+            Program.await(() -> connectsInProgress(port) == 0, "the connect to be aborted");
             for (Socket socket : fill) {
                 socket.close();
             }
--- a/src/test/java/mintstair/backend/IdleReusePolicyTest.java
+++ b/src/test/java/mintstair/backend/IdleReusePolicyTest.java
@@ -10,25 +10,25 @@
     private static final long SHORT_IDLE = 20 * MILLI;
     private static final long LONG_IDLE = 300 * MILLI;
 
-    /** A policy that has seen 20 attempts after a short and 20 after a long idle time. */
+    /** Returns a policy with 20 recorded attempts after a short and 20 after a long idle time. */
     private static IdleReusePolicy policy(int brokenAfterShort, int brokenAfterLong) {
         IdleReusePolicy policy = new IdleReusePolicy();
         for (int i = 0; i < 20; i++) {
-            policy.record(0, SHORT_IDLE, i < brokenAfterShort);
-            policy.record(0, LONG_IDLE, i < brokenAfterLong);
+            policy.recordOutcome(0, SHORT_IDLE, i < brokenAfterShort);
+            policy.recordOutcome(0, LONG_IDLE, i < brokenAfterLong);
         }
         return policy;
     }
 
-    /** Guards against attempts on connections that were dropped without notice. */
+    /** Guards against attempts on connections that were dropped without notice while they were idle. */
     @Test
-    void idleTimesThatBreakFarMoreOftenAreNotUsed() {
+    void idleTimesAfterWhichConnectionsBreakFarMoreOftenAreAvoided() {
         long maxIdle = policy(1, 10).maxIdleMicros();
 
         assertTrue(maxIdle >= 100 * MILLI && maxIdle < LONG_IDLE, "" + maxIdle);
     }
 
-    /** Connections that break whatever their idle time are no reason to make new ones, which break as well. */
+    /** If connections break regardless of their idle time, new ones break as well and are no improvement. */
     @Test
     void connectionsThatBreakAfterAnyIdleTimeAreStillReused() {
         assertEquals(Long.MAX_VALUE, policy(8, 10).maxIdleMicros());
@@ -36,10 +36,10 @@
     }
 
     @Test
-    void longIdleTimesAreTriedAgainLater() {
+    void avoidedIdleTimesAreTriedAgainAfterTheCountsDecay() {
         IdleReusePolicy policy = policy(1, 10);
 
-        policy.record(60_000 * MILLI, SHORT_IDLE, false);
+        policy.recordOutcome(60_000 * MILLI, SHORT_IDLE, false);
 
         assertEquals(Long.MAX_VALUE, policy.maxIdleMicros());
     }
--- a/src/test/java/mintstair/wire/MessageFilterTest.java
+++ b/src/test/java/mintstair/wire/MessageFilterTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 class MessageFilterTest {
-    /** Guards against connections that are counted for ever, as they were closed before they had a listener. */
+    /** Guards against connections that are counted forever because they were closed before their listener was set. */
     @Test
-    void listenerOfAConnectionThatIsClosedAlreadyIsNotifiedOfIt() throws Exception {
+    void listenerOfAnAlreadyClosedConnectionIsNotifiedOfTheClose() throws Exception {
         TCPNIOTransport transport =
                 TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
         transport.start();
--- a/src/test/java/mintstair/wire/ParsersTest.java
+++ b/src/test/java/mintstair/wire/ParsersTest.java
@@ -34,8 +34,8 @@
 import org.bson.BsonInt32;
 
 /**
- * Each framer and parser against valid messages that arrive in pieces, and against damaged ones. Random, from fixed
- * seeds.
+ * Tests each framer and parser with valid messages that arrive in pieces, and with damaged ones. The input is random,
+ * from fixed seeds.
  */
 class ParsersTest {
     private static final byte[] ROW = new PgWriter()
@@ -51,7 +51,7 @@
 
     private static final byte[] LINE = "telemetry\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** The messages that a framer makes of the bytes when they arrive in pieces of random length. */
+    /** Returns the messages that a framer produces if the bytes arrive in pieces of random length. */
     private static List<byte[]> frame(Framer framer, byte[] bytes, Random random) {
         List<byte[]> messages = new ArrayList<>();
         for (int start = 0; start < bytes.length; ) {
@@ -74,7 +74,8 @@
     }
 
     @Property(seed = "1", tries = 200)
-    void messagesDoNotDependOnTheirPieces(@ForAll long seed, @ForAll @IntRange(min = 1, max = 60) int times) {
+    void messagesDoNotDependOnThePiecesInWhichTheyArrive(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 60) int times) {
         Random random = new Random(seed);
         List<byte[]> pg = frame(new PgFramer.HostMessageFramer(), repeat(ROW, times), random);
         assertEquals(6 * times, pg.size());
@@ -104,9 +105,9 @@
         messages.forEach(message -> assertArrayEquals(expected, message));
     }
 
-    /** Whatever arrives, a parser makes messages of it or reports a protocol error, and never fails otherwise. */
+    /** For any input, a parser produces messages or reports a protocol error; it fails in no other way. */
     @Property(seed = "2", tries = 400)
-    void garbageCausesNothingButProtocolErrors(@ForAll @Size(max = 300) byte[] garbage, @ForAll long seed) {
+    void garbageCausesNoErrorsOtherThanProtocolErrors(@ForAll @Size(max = 300) byte[] garbage, @ForAll long seed) {
         Random random = new Random(seed);
         byte[] damaged = (random.nextBoolean() ? ROW : DOCUMENT).clone();
         for (int i = 0; i < 3; i++) {
@@ -125,11 +126,11 @@
             if (bytes.length >= 16) {
                 assertParsedOrRejected(() -> MongoMessage.parse(bytes));
             }
-            assertListReadOrRejected(bytes);
+            assertEndpointListReadOrRejected(bytes);
         }
     }
 
-    private static void assertListReadOrRejected(byte[] bytes) {
+    private static void assertEndpointListReadOrRejected(byte[] bytes) {
         try {
             ListReader.read(Json.read(bytes));
         } catch (IOException | IllegalArgumentException e) {
@@ -137,9 +138,9 @@
         }
     }
 
-    /** Guards against values that no host made: a row that claims any length but its own is not served. */
+    /** Guards against forwarding damaged values: a row whose column length is wrong is not served. */
     @Property(seed = "4", tries = 100)
-    void rowWhoseLengthDoesNotFitIsNotServed(@ForAll @IntRange(min = -9, max = 70_000) int claimed) {
+    void rowWithAWrongColumnLengthIsNotServed(@ForAll @IntRange(min = -9, max = 70_000) int claimed) {
         byte[] reply = ROW.clone();
         int row = new String(ROW, StandardCharsets.ISO_8859_1).indexOf("D\0\0\0");
         ByteBuffer.wrap(reply).putInt(row + 7, claimed);
@@ -152,7 +153,7 @@
         }
     }
 
-    /** Whatever its pieces, a long value is forwarded unchanged before it is complete. */
+    /** A long value is forwarded unchanged before it is complete, whatever the pieces in which it arrives. */
     @Property(seed = "5", tries = 40)
     void longValueIsForwardedInPartsUnchanged(
             @ForAll long seed, @ForAll @IntRange(min = 65_537, max = 200_000) int length) {
@@ -176,9 +177,9 @@
         assertEquals(ConnectionEnd.SERVED, last.end());
     }
 
-    /** Of a long value whose length does not match that of its row, nothing is forwarded. */
+    /** No part of a long value is forwarded if its length does not match that of its row. */
     @Property(seed = "5", tries = 40)
-    void longValueOfAnotherLengthIsNotForwarded(
+    void longValueWithAWrongLengthIsNotForwarded(
             @ForAll long seed, @ForAll @IntRange(min = 65_537, max = 200_000) int length) {
         byte[] row = longRow(seed, length);
         byte[] damaged =
@@ -212,9 +213,9 @@
         }
     }
 
-    /** Guards against half a message that is given out as a whole one. */
+    /** Guards against an incomplete message that is returned as a complete one. */
     @Example
-    void messageIsGivenOutWithItsLastByte() {
+    void messageIsReturnedOnceItsLastByteArrives() {
         Framer framer = new MongoFramer();
         framer.feed(ByteBuffer.wrap(DOCUMENT, 0, DOCUMENT.length - 1));
         assertNull(framer.next());
@@ -237,9 +238,9 @@
         assertThrows(ProtocolException.class, mongo::next);
     }
 
-    /** The library reads nested documents by recursion, and must not end the thread by it. */
+    /** Guards against a thread that ends with a stack overflow, as the BSON library decodes documents recursively. */
     @Example
-    void endlessNestingIsAProtocolError() {
+    void excessiveNestingIsAProtocolError() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         int depth = 40_000;
         ByteBuffer document = ByteBuffer.allocate(8 * depth + 5).order(ByteOrder.LITTLE_ENDIAN);
@@ -259,7 +260,7 @@
         assertThrows(ProtocolException.class, () -> MongoMessage.parse(out.toByteArray()));
     }
 
-    /** Guards against bytes behind the row that were read as part of its last number. */
+    /** Guards against bytes after the row that are read as part of its last number. */
     @Example
     void reportIsReadFromTheRowAlone() {
         byte[] vitals = "inflight=7,util=0.61,x0=1700000000.25,x1=1".getBytes(UTF_8);
@@ -268,29 +269,31 @@
                 .message('D', '\0', '\1', vitals.length, vitals)
                 .message('C', "SHOW")
                 .bytes();
-        assertEquals(ReplicationRole.PRIMARY, new PgProtocol().report(reply).role());
-        assertEquals(1_700_000_000_250_000L, new PgProtocol().report(reply).position());
+        assertEquals(
+                ReplicationRole.PRIMARY, new PgProtocol().decodeReport(reply).role());
+        assertEquals(
+                1_700_000_000_250_000L, new PgProtocol().decodeReport(reply).position());
     }
 
     @Example
-    void documentSequencesAreReadIntoTheBodyAndChecksumsChecked() {
+    void documentSequencesAreAddedToTheBodyAndChecksumsAreVerified() {
         BsonDocument body = BsonDocument.parse("{insert: 'e', $db: 'd'}");
         byte[] plain = MongoMessage.opMsg(body, 0);
-        byte[] one = MongoMessage.encodeDocument(new BsonDocument("a", new BsonInt32(1)));
-        ByteBuffer whole =
-                ByteBuffer.allocate(plain.length + 15 + one.length + 4).order(ByteOrder.LITTLE_ENDIAN);
-        whole.put(plain)
+        byte[] element = MongoMessage.encodeDocument(new BsonDocument("a", new BsonInt32(1)));
+        ByteBuffer message =
+                ByteBuffer.allocate(plain.length + 15 + element.length + 4).order(ByteOrder.LITTLE_ENDIAN);
+        message.put(plain)
                 .put((byte) 1)
-                .putInt(14 + one.length)
+                .putInt(14 + element.length)
                 .put("documents\0".getBytes(UTF_8))
-                .put(one);
-        whole.putInt(0, whole.capacity()).putInt(16, MongoMessage.CHECKSUM_PRESENT);
-        CRC32C sum = new CRC32C();
-        sum.update(whole.array(), 0, whole.position());
-        whole.putInt((int) sum.getValue());
-        BsonDocument read = MongoMessage.parse(whole.array()).body();
-        assertEquals(new BsonArray(List.of(new BsonDocument("a", new BsonInt32(1)))), read.getArray("documents"));
-        whole.put(30, (byte) (whole.get(30) + 1));
-        assertThrows(ProtocolException.class, () -> MongoMessage.parse(whole.array()));
+                .put(element);
+        message.putInt(0, message.capacity()).putInt(16, MongoMessage.CHECKSUM_PRESENT);
+        CRC32C checksum = new CRC32C();
+        checksum.update(message.array(), 0, message.position());
+        message.putInt((int) checksum.getValue());
+        BsonDocument parsed = MongoMessage.parse(message.array()).body();
+        assertEquals(new BsonArray(List.of(new BsonDocument("a", new BsonInt32(1)))), parsed.getArray("documents"));
+        message.put(30, (byte) (message.get(30) + 1));
+        assertThrows(ProtocolException.class, () -> MongoMessage.parse(message.array()));
     }
 }
