--- a/src/main/java/mintstair/registry/consul/BoundedBodySubscriber.java
+++ b/src/main/java/mintstair/registry/consul/BoundedBodySubscriber.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Flow;
 
-/** Collects a response's body up to a limit; a longer one fails. */
+/** Collects the body of a response; a body that exceeds the limit completes with an {@link IOException}. */
 final class BoundedBodySubscriber implements HttpResponse.BodySubscriber<byte[]> {
     private final long maxBytes;
     private final CompletableFuture<byte[]> body = new CompletableFuture<>();
--- a/src/main/java/mintstair/registry/consul/ConsulApi.java
+++ b/src/main/java/mintstair/registry/consul/ConsulApi.java
@@ -21,14 +21,14 @@
 import mintstair.registry.view.RegistryEvent;
 import mintstair.registry.view.RegistryEvent.Reason;
 
-/** The requests and responses of Consul's HTTP API that are used, after its published documentation. */
+/** Builds requests to and parses responses of the parts of Consul's HTTP API that the registry client uses. */
 final class ConsulApi {
     static final int OK = 200;
     static final int NOT_FOUND = 404;
     static final String LEADER_PATH = "/v1/status/leader";
     static final String INDEX_HEADER = "X-Consul-Index";
     static final String KNOWN_LEADER_HEADER = "X-Consul-KnownLeader";
-    /** Milliseconds since the server was last in contact with the leader. */
+    /** The header with the milliseconds since the server's last contact with the leader. */
     static final String LAST_CONTACT_HEADER = "X-Consul-LastContact";
 
     private static final String TOKEN_HEADER = "X-Consul-Token";
@@ -40,7 +40,11 @@
 
     private ConsulApi() {}
 
-    /** Creates a client; certificates are read now. */
+    /**
+     * Creates an HTTP client and reads the configured TLS files.
+     *
+     * @throws mintstair.config.ConfigException if a TLS file is not usable
+     */
     static HttpClient newClient(RegistryConfig config) {
         HttpClient.Builder builder = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1);
         if (config.tls() != null) {
@@ -50,9 +54,9 @@
     }
 
     /**
-     * Begins a request to one server.
+     * Returns a builder of a request to one server, with the access token if one is configured.
      *
-     * @param query empty, or with its question mark
+     * @param query the query string with its question mark, or empty
      */
     static HttpRequest.Builder request(RegistryConfig config, InetSocketAddress server, String path, String query) {
         String scheme = config.tls() == null ? "http" : "https";
@@ -61,7 +65,7 @@
         return config.secret() == null ? request : request.header(TOKEN_HEADER, config.secret());
     }
 
-    /** The path of a key, whose bytes are given as characters. */
+    /** Returns the path of a key; each character of the string stands for one byte of the key. */
     static String keyPath(String key) {
         StringBuilder path = new StringBuilder("/v1/kv");
         for (String segment : key.split("/", -1)) {
@@ -72,10 +76,10 @@
     }
 
     /**
-     * Reads the entries in a response of the key-value store.
+     * Parses the entries in a response of the key-value store.
      *
-     * @throws IOException where the body is not JSON
-     * @throws IllegalArgumentException where it is JSON, but not a list of entries
+     * @throws IOException if the body is not JSON
+     * @throws IllegalArgumentException if the body is JSON, but not a list of entries
      */
     static List<RegistryEntry> parseEntries(byte[] body) throws IOException {
         if (!(Json.read(body) instanceof List<?> list)) {
@@ -102,14 +106,14 @@
         throw new IllegalArgumentException("an entry without Key, CreateIndex or ModifyIndex");
     }
 
-    /** What a response with an error status means. */
+    /** Returns the event for a response with an error status. */
     static RegistryEvent.CallFailed failure(long callId, HttpResponse<byte[]> response) {
         String text = errorText(response.body());
         return new RegistryEvent.CallFailed(
                 callId, reasonOf(response.statusCode(), text), describe(response.statusCode(), text));
     }
 
-    /** An error status and its text on one line. */
+    /** Returns the error status and the first line of the body. */
     static String describeError(HttpResponse<byte[]> response) {
         return describe(response.statusCode(), errorText(response.body()));
     }
@@ -136,7 +140,7 @@
         return Reason.MALFORMED;
     }
 
-    /** The number in a header; -1 where there is none. */
+    /** Returns the number in a header; -1 if the header is missing or not a number. */
     static long numberHeader(HttpResponse<?> response, String name) {
         try {
             return response.headers().firstValue(name).map(Long::parseLong).orElse(-1L);
--- a/src/main/java/mintstair/registry/consul/ConsulEditor.java
+++ b/src/main/java/mintstair/registry/consul/ConsulEditor.java
@@ -18,8 +18,8 @@
 import mintstair.registry.view.RegistryEntry;
 
 /**
- * Reads and changes single entries of Consul's store. The servers are tried in turn; a change is tried at the next one
- * only where the last one certainly has not made it.
+ * Reads and changes single entries of Consul's key-value store. The servers are tried in turn; a change is sent to the
+ * next server only if no connection to the previous one could be opened, so that it cannot have made the change.
  */
 public final class ConsulEditor implements RegistryEditor {
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
@@ -28,7 +28,11 @@
     private final RegistryConfig config;
     private final HttpClient client;
 
-    /** Reads the TLS files, if there are any; connects at the first call. */
+    /**
+     * Creates the editor and reads the configured TLS files; connections are opened by calls.
+     *
+     * @throws mintstair.config.ConfigException if a TLS file is not usable
+     */
     public ConsulEditor(RegistryConfig config) {
         this.config = config;
         client = ConsulApi.newClient(config);
@@ -78,12 +82,14 @@
     }
 
     /**
-     * Sends the request to the first server that responds.
+     * Sends the request to the servers in turn and returns the first response, whatever its status.
      *
-     * @param changes whether the request changes the registry, so that it must not be repeated once it was sent
+     * @param isChange whether the request changes the registry, so that it must not be repeated once it was sent
+     * @throws UncertainChangeException if a change may have been made
+     * @throws RegistryUnavailableException if no server responds
      */
     private HttpResponse<byte[]> sendInTurn(
-            String key, String query, UnaryOperator<HttpRequest.Builder> method, boolean changes)
+            String key, String query, UnaryOperator<HttpRequest.Builder> method, boolean isChange)
             throws RegistryException {
         String reason = "";
         IOException lastFailure = null;
@@ -98,7 +104,7 @@
             } catch (IOException e) {
                 reason = String.valueOf(e.getMessage());
                 lastFailure = e;
-                if (changes) {
+                if (isChange) {
                     throw new UncertainChangeException(reason, e);
                 }
             } catch (InterruptedException e) {
@@ -111,6 +117,6 @@
 
     @Override
     public void close() {
-        // Java 17's HTTP client cannot be closed; its threads are daemons.
+        // The HTTP client of Java 17 has no close method; its threads are daemons.
     }
 }
--- a/src/main/java/mintstair/registry/consul/ConsulTransport.java
+++ b/src/main/java/mintstair/registry/consul/ConsulTransport.java
@@ -23,11 +23,12 @@
 import mintstair.registry.view.RegistryPosition;
 
 /**
- * Consul's blocking queries: one recursive read of the prefix at a time and, while it is held, short calls that ask the
- * same server for its leader. Used on one thread only, the executor's.
+ * The transport for Consul. Makes one blocking query at a time, a recursive read of the prefix. While the server holds
+ * the query, short status calls to the same server check that it knows a leader. Must be used on the executor's thread
+ * only.
  */
 public final class ConsulTransport implements RegistryTransport {
-    /** All entries, with a third more for base64, and the JSON around them. */
+    /** Exceeds the size of a full view (32 MiB) in base64, which adds a third, and in JSON. */
     private static final long MAX_LIST_BYTES = 64L << 20;
 
     private static final int MAX_STATUS_BYTES = 1 << 10;
@@ -40,13 +41,16 @@
     private final HttpClient client;
     private long callId = NO_CALL;
     private InetSocketAddress server;
-    /** The blocking query and the status call in progress; each null for none. */
+    /** The blocking query in progress; null if there is none. */
     private CompletableFuture<?> query;
-
+    /** The status call in progress; null if there is none. */
     private CompletableFuture<?> statusCall;
 
     /**
-     * @param executor the one thread on which this is used, and on which the listener is called
+     * Creates the transport; connections are opened by calls.
+     *
+     * @param executor runs tasks on the one thread on which the transport is used and the listener is called
+     * @throws mintstair.config.ConfigException if a TLS file is not usable
      */
     public ConsulTransport(RegistryConfig config, Executor executor, Consumer<RegistryEvent> listener) {
         this.config = config;
@@ -58,9 +62,9 @@
     @Override
     public void execute(RegistryCall call) {
         if (call instanceof RegistryCall.Poll poll) {
-            begin(poll);
+            startQuery(poll);
         } else if (call.callId() != callId) {
-            // About a call that has ended or been replaced.
+            // The call concerns a query that has ended or been replaced.
             return;
         } else if (call instanceof RegistryCall.Cancel) {
             close();
@@ -69,7 +73,7 @@
         }
     }
 
-    private void begin(RegistryCall.Poll poll) {
+    private void startQuery(RegistryCall.Poll poll) {
         close();
         callId = poll.callId();
         server = config.endpoints().get(poll.server());
@@ -94,7 +98,7 @@
     private void onList(long listCallId, HttpResponse<byte[]> response) {
         query = null;
         long index = ConsulApi.numberHeader(response, ConsulApi.INDEX_HEADER);
-        // Where there is no entry the status is "not found", but the index is given all the same.
+        // If the prefix has no entries, the status is 404 but the response still carries the index.
         boolean empty = response.statusCode() == ConsulApi.NOT_FOUND && index > 0;
         if (response.statusCode() != ConsulApi.OK && !empty) {
             listener.accept(ConsulApi.failure(listCallId, response));
--- a/src/main/java/mintstair/registry/etcd/EtcdApi.java
+++ b/src/main/java/mintstair/registry/etcd/EtcdApi.java
@@ -25,8 +25,8 @@
 import mintstair.registry.etcd.api.WatchResponse;
 
 /**
- * The methods of etcd's v3 API that are used, after its published reference (rpc.proto: KV, Watch, Auth), and their
- * channel.
+ * Descriptors of the methods of etcd's v3 API that the registry client uses (services KV, Watch and Auth of etcd's
+ * rpc.proto), and the channels and headers of their calls.
  */
 final class EtcdApi {
     static final MethodDescriptor<RangeRequest, RangeResponse> RANGE =
@@ -44,7 +44,7 @@
             AuthenticateRequest.getDefaultInstance(),
             AuthenticateResponse.getDefaultInstance());
 
-    /** Holds a page of the largest values; above what all entries together may have. */
+    /** Holds a page of the largest values: exceeds the 32 MiB that all entries of a view together may have. */
     private static final int MAX_MESSAGE_BYTES = 40 << 20;
 
     private static final Metadata.Key<String> TOKEN = Metadata.Key.of("token", Metadata.ASCII_STRING_MARSHALLER);
@@ -64,10 +64,10 @@
     }
 
     /**
-     * Creates a channel to one server. Certificates are read anew, as they may have been replaced.
+     * Creates a channel to one server. The TLS files are read each time, because they may have been replaced.
      *
-     * @param executor runs the callbacks; null for the library's own threads
-     * @throws mintstair.config.ConfigException where TLS files are not usable
+     * @param executor runs the callbacks; null for the gRPC library's own threads
+     * @throws mintstair.config.ConfigException if a TLS file is not usable
      */
     static ManagedChannel newChannel(RegistryConfig config, InetSocketAddress server, Executor executor) {
         ManagedChannelBuilder<?> builder =
@@ -92,9 +92,10 @@
     }
 
     /**
-     * The headers of a call. They require a leader: a member that knows none responds so at once, and ends its watches.
+     * Returns the headers of a call. They require a leader: a server without one rejects the call at once and ends the
+     * watches of its clients.
      *
-     * @param token the token of the authenticated user; null for none
+     * @param token the token of the authenticated user; null if there is none
      */
     static Metadata headers(String token) {
         Metadata headers = new Metadata();
--- a/src/main/java/mintstair/registry/etcd/EtcdEditor.java
+++ b/src/main/java/mintstair/registry/etcd/EtcdEditor.java
@@ -29,8 +29,8 @@
 import mintstair.registry.view.RegistryEntry;
 
 /**
- * Reads and changes single entries of etcd. The servers are tried in turn; a change is tried at the next one only where
- * the last one certainly has not made it. Not thread-safe.
+ * Reads and changes single entries of etcd. The servers are tried in turn; a change is sent to the next server only if
+ * the previous one cannot have made it. Not thread-safe.
  */
 public final class EtcdEditor implements RegistryEditor {
     private static final long TIMEOUT_SECONDS = 3;
@@ -38,7 +38,7 @@
     private final RegistryConfig config;
     private ManagedChannel channel;
 
-    /** Connects at the first call. */
+    /** Creates the editor; connections are opened by calls. */
     public EtcdEditor(RegistryConfig config) {
         this.config = config;
     }
@@ -82,12 +82,14 @@
     }
 
     /**
-     * Makes the call at the first server that responds.
+     * Makes the call to the servers in turn and returns the first response.
      *
-     * @param call takes the token of the authenticated user, null for none
-     * @param changes whether the call changes the registry, so that it must not be repeated once it was sent
+     * @param call receives the token of the authenticated user; null if there is none
+     * @param isChange whether the call changes the registry, so that it must not be repeated once it was sent
+     * @throws UncertainChangeException if a change may have been made
+     * @throws RegistryUnavailableException if the call failed at each server
      */
-    private <T> T callInTurn(Function<String, T> call, boolean changes) throws RegistryException {
+    private <T> T callInTurn(Function<String, T> call, boolean isChange) throws RegistryException {
         StatusRuntimeException lastFailure = null;
         for (InetSocketAddress server : config.endpoints()) {
             close();
@@ -96,7 +98,7 @@
             try {
                 String token = authenticate();
                 probe(token);
-                changeSent = changes;
+                changeSent = isChange;
                 return call.apply(token);
             } catch (StatusRuntimeException e) {
                 lastFailure = e;
@@ -116,7 +118,7 @@
                 .getToken();
     }
 
-    /** A read before the call: a server that does not respond to it has certainly not made the change. */
+    /** Makes a read before the call: a server that fails the read has not been sent the change. */
     private void probe(String token) {
         RangeRequest request = RangeRequest.newBuilder()
                 .setKey(EtcdMessages.keyBytes(config.prefix()))
--- a/src/main/java/mintstair/registry/etcd/EtcdMessages.java
+++ b/src/main/java/mintstair/registry/etcd/EtcdMessages.java
@@ -24,15 +24,18 @@
 import mintstair.registry.view.RegistryEvent.Reason;
 import mintstair.registry.view.RegistryPosition;
 
-/** Conversions between etcd's messages and the view's calls and events. */
+/** Converts between etcd's messages and the calls and events of a view. */
 final class EtcdMessages {
     private EtcdMessages() {}
 
+    /** Returns the bytes of a key; each character of the string stands for one byte. */
     static ByteString keyBytes(String key) {
         return ByteString.copyFrom(key, StandardCharsets.ISO_8859_1);
     }
 
-    /** The first key after all with this prefix; the prefix must not end with the highest character. */
+    /**
+     * Returns the first key after all keys with this prefix. The prefix must not be empty or end with the byte 0xFF.
+     */
     static ByteString endOfPrefix(String prefix) {
         int last = prefix.length() - 1;
         return keyBytes(prefix.substring(0, last) + (char) (prefix.charAt(last) + 1));
@@ -54,7 +57,7 @@
                 .build();
     }
 
-    /** The cheapest linearizable read under the prefix: its response has the quorum's position. */
+    /** Returns the cheapest linearizable read of the prefix; the header of its response has the quorum's position. */
     static RangeRequest positionRequest(String prefix) {
         return RangeRequest.newBuilder()
                 .setKey(keyBytes(prefix))
@@ -100,7 +103,7 @@
         return changes;
     }
 
-    /** What the cancellation of a watch by the server means. */
+    /** Returns the event for the cancellation of a watch by the server. */
     static RegistryEvent watchCancelled(long callId, WatchResponse response) {
         if (response.getCompactRevision() > 0) {
             return new RegistryEvent.Compacted(callId);
@@ -113,18 +116,18 @@
         return new RegistryEvent.CallFailed(callId, denied ? Reason.DENIED : Reason.CANCELLED, reason);
     }
 
-    /** Whether the server cancelled a watch because it did not accept the token. */
+    /** Returns whether the server cancelled a watch because it did not accept the token. */
     static boolean isAuthenticationFailure(WatchResponse response) {
         String reason = response.getCancelReason();
         return reason.contains("auth") || reason.contains("permission");
     }
 
-    /** Whether the token was not accepted, so that a new one is needed. */
+    /** Returns whether a call failed because the token was not accepted, so that a new one is needed. */
     static boolean isAuthenticationFailure(Status status) {
         return status.getCode() == Status.Code.UNAUTHENTICATED;
     }
 
-    /** What the failure of a call means. */
+    /** Returns the event for the failure of a call. */
     static RegistryEvent failure(long callId, Status status) {
         String description = String.valueOf(status.getDescription());
         String lowerCase = description.toLowerCase(Locale.ROOT);
--- a/src/main/java/mintstair/registry/etcd/EtcdTransport.java
+++ b/src/main/java/mintstair/registry/etcd/EtcdTransport.java
@@ -22,9 +22,9 @@
 import mintstair.registry.view.RegistryPosition;
 
 /**
- * etcd's v3 API over gRPC. Reads one message of a call at a time. Closes the connection when its call fails or is
- * cancelled: when the next is opened is the view's decision, not the library's. Used on one thread only, the
- * executor's.
+ * The transport for etcd, over gRPC. Reads one message of a call at a time. Closes the connection when its call fails
+ * or is cancelled, so that the view, not the gRPC library, decides when to reconnect. Must be used on the executor's
+ * thread only.
  */
 public final class EtcdTransport implements RegistryTransport {
     private static final int NO_SERVER = -1;
@@ -35,15 +35,17 @@
     private ManagedChannel channel;
     private int server = NO_SERVER;
     private long callId;
-    /** The gRPC call in progress, or null. */
+    /** The gRPC call in progress; null if there is none. */
     private ClientCall<?, ?> clientCall;
-    /** The same where it is a watch, or null. */
+    /** The gRPC call in progress if it is a watch; otherwise null. */
     private ClientCall<WatchRequest, WatchResponse> watch;
-    /** The token of the authenticated user; null until there is one that the servers accept. */
+    /** The token of the authenticated user; null if a new one must be requested or no user is configured. */
     private String token;
 
     /**
-     * @param executor the one thread on which this is used, and on which the listener is called
+     * Creates the transport; connections are opened by calls.
+     *
+     * @param executor runs tasks on the one thread on which the transport is used and the listener is called
      */
     public EtcdTransport(RegistryConfig config, Executor executor, Consumer<RegistryEvent> listener) {
         this.config = config;
@@ -54,9 +56,9 @@
     @Override
     public void execute(RegistryCall call) {
         if (call instanceof RegistryCall.Request request) {
-            begin(request);
+            startRequest(request);
         } else if (call.callId() != callId) {
-            // About a call that has been replaced.
+            // The call concerns a request that has been replaced.
             return;
         } else if (call instanceof RegistryCall.Cancel && clientCall != null) {
             close();
@@ -65,12 +67,12 @@
         }
     }
 
-    private void begin(RegistryCall.Request request) {
+    private void startRequest(RegistryCall.Request request) {
         callId = request.callId();
         try {
             connect(request.server());
         } catch (ConfigException e) {
-            // Keys and certificates are read for each connection, and may be in the middle of being replaced.
+            // The TLS files are read for each connection and may be just being replaced.
             listener.accept(new RegistryEvent.CallFailed(callId, Reason.DENIED, e.getMessage()));
             return;
         }
@@ -87,16 +89,17 @@
     }
 
     /**
-     * Starts the request with a token, where there is a user; a token that is not accepted any more is renewed once.
+     * Starts the request, with a token if a user is configured. If the server rejects the token, a new one is requested
+     * once.
      */
-    private void startAuthenticated(RegistryCall.Request request, boolean mayRenewToken) {
+    private void startAuthenticated(RegistryCall.Request request, boolean canRenewToken) {
         if (config.user() != null && token == null) {
             authenticate(() -> startAuthenticated(request, false));
             return;
         }
         long startedCallId = callId;
         start(request, status -> {
-            if (EtcdMessages.isAuthenticationFailure(status) && token != null && mayRenewToken) {
+            if (EtcdMessages.isAuthenticationFailure(status) && token != null && canRenewToken) {
                 token = null;
                 startAuthenticated(request, false);
             } else {
@@ -135,7 +138,7 @@
     private <Q, R> void startUnary(
             MethodDescriptor<Q, R> method, Q message, Consumer<R> onResponse, Consumer<Status> onFailure) {
         ClientCall<Q, R> call = startCall(method, new ResponseListener<>(onResponse, onFailure, false));
-        // One message, and a second one, which would be an error, so that the end of the call is reported.
+        // A unary call reports its end only if a second message is requested; receiving one would be an error.
         call.request(2);
         call.sendMessage(message);
         call.halfClose();
@@ -199,8 +202,8 @@
     }
 
     /**
-     * Reads the quorum's position beside the watch, and only then requests the watch's own progress: in the other order
-     * an up-to-date watch could seem to lag.
+     * Reads the quorum's position by a separate call and requests the progress of the watch after that; in the reverse
+     * order, an up-to-date watch could appear to lag.
      */
     private void requestProgress() {
         long checkedCallId = callId;
@@ -249,8 +252,8 @@
     }
 
     /**
-     * Passes on what belongs to the call in progress. The next message of a stream is requested when one has been
-     * handled.
+     * Passes on the responses and the failure of its call while that is the call in progress. The next message of a
+     * stream is requested once the previous one has been handled.
      */
     private final class ResponseListener<R> extends ClientCall.Listener<R> {
         private final Consumer<R> onResponse;
