--- a/src/main/java/mintstair/registry/InvalidSnapshotException.java
+++ b/src/main/java/mintstair/registry/InvalidSnapshotException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A snapshot file that is torn, of another format, or of another prefix; the message is one line. */
+/** Signals that a snapshot file is damaged, or of another format or prefix. The message is one line. */
 final class InvalidSnapshotException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/mintstair/registry/RegistryChangePrinter.java
+++ b/src/main/java/mintstair/registry/RegistryChangePrinter.java
@@ -9,7 +9,7 @@
 import mintstair.registry.view.ViewUpdate;
 import mintstair.request.EndpointList;
 
-/** The command {@code registry watch}: prints one line for each change until the program is ended. */
+/** The command {@code registry watch}. Prints one line for each change until its thread is interrupted. */
 final class RegistryChangePrinter {
     private final RegistryConfig config;
     private final PrintStream out;
@@ -19,6 +19,7 @@
         this.out = out;
     }
 
+    /** Prints changes until the thread is interrupted; returns the exit status. */
     int run() {
         CountDownLatch never = new CountDownLatch(1);
         try (RegistryClient client =
@@ -48,13 +49,13 @@
         }
     }
 
-    /** A host on one line, without its name. */
+    /** Returns a description of a host on one line, without its name. */
     static String describe(EndpointList.Entry entry) {
         String role = entry.primary() ? " primary" : "";
         return stateName(entry.state()) + " " + entry.endpoint() + " group=" + entry.cluster() + role;
     }
 
-    /** The state as operators know it, by the names of the list's own format. */
+    /** Returns the name of a state in the format of the endpoint list. */
     private static String stateName(EndpointList.State state) {
         return switch (state) {
             case SERVING -> "SERVING";
--- a/src/main/java/mintstair/registry/RegistryClient.java
+++ b/src/main/java/mintstair/registry/RegistryClient.java
@@ -26,17 +26,18 @@
 import mintstair.time.MonotonicClock;
 
 /**
- * Follows a registry. Runs a {@link RegistryView} on a thread of its own, "registry": events of the transport and the
- * time go into the view, its calls to the transport, its updates to the listener. The transport reads one message of a
- * call at a time, so no queue grows here. Its methods may be called on any thread.
+ * Follows a registry. Runs a {@link RegistryView} on its own thread, named "registry": passes the transport's events
+ * and the time to the view, the view's calls to the transport, and the view's updates to the listener. The transport
+ * reads one message of a call at a time, which bounds the number of queued events. Thread-safe.
  */
 public final class RegistryClient implements AutoCloseable {
-    /** Receives updates on the client's thread; must not block it. */
+    /** Receives updates on the client's thread, which it must not block. */
     public interface Listener {
         /**
          * Receives updates that take effect together.
          *
-         * @param view to be asked for everything in place of updates that were lost; only during the call
+         * @param view the view after the updates, from which a listener that has lost updates can read the complete
+         *     state; valid only during the call
          */
         void onUpdates(List<ViewUpdate> updates, RegistryView view);
     }
@@ -48,10 +49,11 @@
     private final RegistryView view;
     private final RegistryTransport transport;
     private final Listener listener;
-    /** Null, like {@link #snapshotWriter}, where no snapshot is configured. */
+    /** The snapshot file; null if no snapshot is configured. */
     private final SnapshotFile snapshotFile;
-
+    /** The writer of the snapshot file; null if no snapshot is configured. */
     private final SnapshotWriter snapshotWriter;
+
     private final ScheduledThreadPoolExecutor thread;
     private final MonotonicClock clock = new MonotonicClock();
     private Future<?> wakeUp;
@@ -60,23 +62,25 @@
     private volatile long metricsAtMicros;
 
     /**
-     * Creates the client; {@link #start} begins to follow the registry.
+     * Creates the client, which follows the registry once {@link #start} is called.
      *
-     * @throws mintstair.config.ConfigException where TLS files are not usable
+     * @param seed the seed of the view's random numbers
+     * @throws mintstair.config.ConfigException if a TLS file is not usable
      */
     public RegistryClient(RegistryConfig config, ViewTimeouts timeouts, long seed, Listener listener) {
         this.config = config;
         this.listener = listener;
         view = newView(config, timeouts, seed);
         if (config.tls() != null) {
-            // Reports files that are not usable now, and not at the first connection.
+            // Reports unusable files at start-up instead of at the first connection.
             new TlsFiles(config.tls());
         }
         snapshotFile = config.snapshot() == null ? null : new SnapshotFile(config.snapshot());
         snapshotWriter = snapshotFile == null
                 ? null
                 : new SnapshotWriter(
-                        snapshotFile, e -> log(config.snapshot() + " can't be written: " + e.getMessage()));
+                        snapshotFile,
+                        e -> log("snapshot " + config.snapshot() + " cannot be written: " + e.getMessage()));
         thread = newThread();
         transport = newTransport(this::execute);
         metrics = view.metrics(nowMicros());
@@ -106,12 +110,12 @@
         });
         thread.setRemoveOnCancelPolicy(true);
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        // Events that arrive after the close are dropped.
+        // Drops events that arrive after the client was closed.
         thread.setRejectedExecutionHandler((task, executor) -> {});
         return thread;
     }
 
-    /** An editor for the entries of the configured registry. */
+    /** Returns an editor for the entries of the configured registry; the caller must close it. */
     public static RegistryEditor editor(RegistryConfig config) {
         return switch (config.kind()) {
             case ETCD -> new EtcdEditor(config);
@@ -119,11 +123,11 @@
         };
     }
 
-    /** Starts from the last run's snapshot, if there is one, and begins to follow the registry. */
+    /** Loads the snapshot of the previous run, if there is one, and starts to follow the registry. */
     public void start() {
         execute(() -> {
             Snapshot snapshot = readSnapshot();
-            carryOut(view.start(nowMicros(), snapshot));
+            perform(view.start(nowMicros(), snapshot));
         });
         if (snapshotWriter != null) {
             thread.scheduleWithFixedDelay(
@@ -152,7 +156,7 @@
         snapshotWriter.writeIfDue(view);
     }
 
-    /** Unix microseconds that never go back, whatever is done to the system's clock. */
+    /** Returns the Unix time in microseconds; it never decreases, even if the system clock is set back. */
     private long nowMicros() {
         return clock.getAsLong();
     }
@@ -162,16 +166,16 @@
     }
 
     private void onEvent(RegistryEvent event) {
-        carryOut(view.on(nowMicros(), event));
+        perform(view.on(nowMicros(), event));
     }
 
     private void onWakeUp() {
         wakeUpAtMicros = NOT_SCHEDULED;
-        carryOut(view.tick(nowMicros()));
+        perform(view.tick(nowMicros()));
     }
 
-    /** A listener that fails keeps neither the calls of the step from being made nor the next wake-up from coming. */
-    private void carryOut(ViewStep step) {
+    /** Performs a step. An exception in the listener prevents neither the step's calls nor the next wake-up. */
+    private void perform(ViewStep step) {
         if (!step.updates().isEmpty()) {
             new GuardedTask("registry", () -> listener.onUpdates(step.updates(), view)).run();
         }
@@ -204,13 +208,13 @@
         listener.onUpdates(List.of(new ViewUpdate.LogLine(line)), view);
     }
 
-    /** The newest metrics. */
+    /** Returns the metrics of the last step, with the age of the view advanced to now. */
     public ViewMetrics metrics() {
         ViewMetrics newest = metrics;
         return newest.aged(Math.max(0, nowMicros() - metricsAtMicros));
     }
 
-    /** Stores the view and ends; waits for a second at most. */
+    /** Writes the snapshot, closes the connection and stops the thread; waits for at most one second. */
     @Override
     public void close() {
         execute(() -> {
--- a/src/main/java/mintstair/registry/RegistryCommand.java
+++ b/src/main/java/mintstair/registry/RegistryCommand.java
@@ -17,12 +17,12 @@
 import mintstair.request.EndpointList;
 
 /**
- * The command line for the registry. Entries are changed by compare-and-set against what was read just before: a change
- * by another client in between is reported, and nothing is changed.
+ * The command line for the registry. Each command that changes an entry reads it first and then writes by
+ * compare-and-set: if another client has changed the entry in between, the command reports this and changes nothing.
  */
 public final class RegistryCommand {
     static final int STATUS_OK = 0;
-    /** Nothing was changed, or the registry could not be reached. */
+    /** Exit status if nothing was changed or the registry could not be reached. */
     static final int STATUS_FAILED = 1;
 
     private static final String USAGE = "registry: show | watch | put-host [--front FRONT] [--if-revision N] JSON"
@@ -31,16 +31,16 @@
             Map.of("show", 0, "watch", 0, "put-host", 1, "drain", 1, "delete", 1);
     private static final String STATE = "state";
     private static final String DRAINING = "DRAINING";
-    /** The revision that compare-and-set takes for an entry that does not exist. */
+    /** The expected revision of an entry that must not exist. */
     private static final long NO_ENTRY = 0;
-
+    /** The default of {@code --if-revision}; a negative number accepts every revision. */
     private static final String ANY_REVISION = "-1";
 
     private final RegistryConfig config;
     private final RegistryKeys keys;
     private final PrintStream out;
 
-    /** Commands print their results to {@code out}. */
+    /** Creates the command line; results are printed to {@code out}, reasons for failure to standard error. */
     public RegistryCommand(RegistryConfig config, PrintStream out) {
         this.config = config;
         this.out = out;
@@ -48,18 +48,18 @@
     }
 
     /**
-     * Runs one command.
+     * Runs one command; {@code watch} runs until its thread is interrupted.
      *
      * @return the exit status
-     * @throws ConfigException where the command or its arguments are not valid
-     * @throws RegistryException where the registry cannot be reached or rejects the call
+     * @throws ConfigException if the command or its arguments are not valid, or the host is not in the registry
+     * @throws RegistryException if the registry cannot be reached or rejects the call
      */
     public int run(String command, List<String> arguments) throws IOException {
         List<String> operands = new ArrayList<>(arguments);
         String front = removeOption(operands, "--front", config.fronts().get(0));
         long expectedRevision = parseRevision(removeOption(operands, "--if-revision", ANY_REVISION));
         if (!config.fronts().contains(front)) {
-            throw new ConfigException("the registry lists no hosts of " + front);
+            throw new ConfigException("front " + front + " is not one of the registry's fronts " + config.fronts());
         }
         if (operands.size() != OPERAND_COUNTS.getOrDefault(command, -1)) {
             throw new ConfigException(USAGE);
@@ -74,20 +74,20 @@
         };
     }
 
-    private static String removeOption(List<String> words, String name, String defaultValue) {
-        int at = words.indexOf(name);
-        if (at < 0 || at + 1 >= words.size()) {
+    private static String removeOption(List<String> operands, String name, String defaultValue) {
+        int index = operands.indexOf(name);
+        if (index < 0 || index + 1 >= operands.size()) {
             return defaultValue;
         }
-        words.remove(at);
-        return words.remove(at);
+        operands.remove(index);
+        return operands.remove(index);
     }
 
     private static long parseRevision(String text) {
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException e) {
-            throw new ConfigException("no revision: " + text);
+            throw new ConfigException("--if-revision must be a whole number, found " + text);
         }
     }
 
@@ -130,7 +130,7 @@
     private RegistryEntry getHost(RegistryEditor editor, String front, String uid) throws IOException {
         RegistryEntry entry = editor.get(keys.hostKey(front, uid));
         if (entry == null) {
-            throw new ConfigException("no host " + uid);
+            throw new ConfigException("the registry has no host " + uid + " of the front " + front);
         }
         parseHost(entry.value());
         return entry;
@@ -140,12 +140,12 @@
         if (Json.read(value) instanceof Map<?, ?> fields) {
             return EndpointListReader.readEntry(fields);
         }
-        throw new ConfigException("a host must be an object");
+        throw new ConfigException("a host must be a JSON object");
     }
 
     private int report(boolean changed, String outcome) {
         if (!changed) {
-            return reportUnchanged("the entry was changed by another meanwhile");
+            return reportUnchanged("another client changed the entry after it was read");
         }
         out.println(outcome);
         return STATUS_OK;
@@ -156,7 +156,7 @@
         return STATUS_FAILED;
     }
 
-    /** The same registry by these servers, without a snapshot: the file is the running proxy's. */
+    /** Returns a copy with these servers and no snapshot, because the snapshot file belongs to the running proxy. */
     static RegistryConfig withoutSnapshot(RegistryConfig config, List<InetSocketAddress> servers) {
         return new RegistryConfig(
                 config.kind(),
--- a/src/main/java/mintstair/registry/RegistryReport.java
+++ b/src/main/java/mintstair/registry/RegistryReport.java
@@ -19,8 +19,8 @@
 import mintstair.time.WallClock;
 
 /**
- * The command {@code registry show}: prints what the registry holds or, where it cannot be reached, what the snapshot
- * holds, and how each server responds.
+ * The command {@code registry show}. Prints the contents of the registry or, if it cannot be reached, of the snapshot,
+ * and then how each server responds.
  */
 final class RegistryReport {
     private static final long TIMEOUT_MILLIS = 3_000;
@@ -28,8 +28,9 @@
     private final RegistryConfig config;
     private final RegistryKeys keys;
     private final PrintStream out;
-    private final CountDownLatch live = new CountDownLatch(1);
-    /** Descriptions by front and host. */
+    /** Released when the registry's list of a front has been received. */
+    private final CountDownLatch listReceived = new CountDownLatch(1);
+    /** Descriptions by front and host name. */
     private final TreeMap<String, String> hosts = new TreeMap<>();
 
     RegistryReport(RegistryConfig config, PrintStream out) {
@@ -38,13 +39,13 @@
         keys = new RegistryKeys(config.prefix(), config.fronts());
     }
 
-    /** Prints the report; returns the exit status. */
+    /** Prints the report and returns the exit status. */
     int print() {
         RegistryConfig liveConfig = RegistryCommand.withoutSnapshot(config, config.endpoints());
         try (RegistryClient client =
                 new RegistryClient(liveConfig, ViewTimeouts.DEFAULT, System.nanoTime(), this::onUpdates)) {
             client.start();
-            boolean reached = live.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            boolean reached = listReceived.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             ViewMetrics metrics = client.metrics();
             if (reached) {
                 printView(metrics);
@@ -71,7 +72,7 @@
                         .entries()
                         .forEach(entry -> hosts.put(
                                 endpoints.front() + " " + entry.host(), RegistryChangePrinter.describe(entry)));
-                live.countDown();
+                listReceived.countDown();
             }
         }
     }
@@ -97,7 +98,7 @@
         }
     }
 
-    /** The snapshot, or null where there is none that can be read. */
+    /** Returns the snapshot; null if there is none or it is not valid, which is printed. */
     private Snapshot readSnapshot() {
         if (config.snapshot() == null) {
             return null;
@@ -112,11 +113,11 @@
 
     private void printServers() {
         for (InetSocketAddress server : config.endpoints()) {
-            out.println("endpoint " + server.getHostString() + ":" + server.getPort() + " " + stateOf(server));
+            out.println("endpoint " + server.getHostString() + ":" + server.getPort() + " " + responseOf(server));
         }
     }
 
-    private String stateOf(InetSocketAddress server) {
+    private String responseOf(InetSocketAddress server) {
         RegistryConfig oneServer = RegistryCommand.withoutSnapshot(config, List.of(server));
         try (RegistryEditor editor = RegistryClient.editor(oneServer)) {
             editor.get(keys.settingsKey());
--- a/src/main/java/mintstair/registry/SnapshotFile.java
+++ b/src/main/java/mintstair/registry/SnapshotFile.java
@@ -20,10 +20,10 @@
 import mintstair.registry.view.Snapshot;
 
 /**
- * Stores the last whole view in a file: a magic number, the format version, the length and the CRC-32C of what follows,
- * then the view. A new file is written beside the old one, forced to the disk, and renamed over it, so that a crash at
- * any point leaves the old file or the new one. A file that cannot be read whole is moved aside and never used in part.
- * Not thread-safe.
+ * A file that stores the last complete view of a registry. It consists of a magic number, the format version, the
+ * length and the CRC-32C of the content, and the content. A new version is written to a second file in the same
+ * directory, forced to disk and renamed over the old one, so that a crash at any point leaves either the old or the new
+ * version. A file that is not valid is moved aside and never used in part. Not thread-safe.
  */
 public final class SnapshotFile {
     private static final byte[] MAGIC = "mintstair registry\n".getBytes(StandardCharsets.US_ASCII);
@@ -34,12 +34,16 @@
 
     private final Path file;
 
-    /** The file need not exist; its directory must. */
+    /** Creates an object for this path. The file need not exist, but its directory must. */
     public SnapshotFile(Path file) {
         this.file = file;
     }
 
-    /** Replaces the file, or leaves it as it was and throws. */
+    /**
+     * Replaces the file.
+     *
+     * @throws IOException if the file cannot be written, or its directory cannot be forced to disk
+     */
     public void write(Snapshot snapshot) throws IOException {
         ByteBuffer content = encode(snapshot);
         Path newFile = sibling(".new");
@@ -51,15 +55,15 @@
             out.force(true);
         }
         Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        // The rename is durable only once the directory is.
+        // The rename is durable only after the directory has been forced to disk.
         try (FileChannel directory = FileChannel.open(file.toAbsolutePath().getParent())) {
             directory.force(true);
         }
     }
 
     /**
-     * Reads the view of this prefix. Returns null where there is none; a file that is not valid is moved aside and
-     * logged.
+     * Returns the view of this prefix; null if there is no file, or if it is not valid. A file that is not valid is
+     * logged and moved aside to a name that ends with ".bad".
      */
     public Snapshot readOrMoveAside(String prefix, Consumer<String> log) {
         try {
@@ -73,16 +77,17 @@
     private void moveAside(IOException reason, Consumer<String> log) {
         try {
             Files.move(file, sibling(".bad"), StandardCopyOption.REPLACE_EXISTING);
-            log.accept("registry: " + file + " is set aside: " + reason.getMessage());
+            log.accept("registry: snapshot " + file + " is not usable and was moved aside: " + reason.getMessage());
         } catch (IOException e) {
-            log.accept("registry: " + file + " is not used: " + reason.getMessage() + "; it can't be set aside: "
-                    + e.getMessage());
+            log.accept("registry: snapshot " + file + " is not usable: " + reason.getMessage()
+                    + "; it cannot be moved aside: " + e.getMessage());
         }
     }
 
     /**
-     * Reads the view of this prefix, or null where there is no file; throws, and changes nothing, where it is not
-     * valid.
+     * Returns the view of this prefix; null if there is no file.
+     *
+     * @throws IOException if the file cannot be read or is not valid; the file is left unchanged
      */
     public Snapshot read(String prefix) throws IOException {
         if (!Files.exists(file)) {
--- a/src/main/java/mintstair/registry/SnapshotWriter.java
+++ b/src/main/java/mintstair/registry/SnapshotWriter.java
@@ -6,8 +6,9 @@
 import mintstair.registry.view.Snapshot;
 
 /**
- * Writes a view to its snapshot file when it has changed, and now and then when it has not, so that the file also shows
- * until when it was known to be current. Not thread-safe.
+ * Writes a view to its snapshot file when the view has changed. An unchanged view is written again once its last
+ * confirmation is at least one minute later than the one in the file, so that the file shows until when the view was
+ * known to be current. Not thread-safe.
  */
 final class SnapshotWriter {
     private static final long REWRITE_UNCHANGED_MICROS = 60_000_000;
@@ -19,17 +20,18 @@
     private long writtenConfirmedAtMicros;
     private boolean lastWriteFailed;
 
-    /** {@code onFailure} is called for the first of consecutive failures to write. */
+    /** Creates a writer that calls {@code onFailure} for the first of consecutive failures to write. */
     SnapshotWriter(SnapshotFile file, Consumer<IOException> onFailure) {
         this.file = file;
         this.onFailure = onFailure;
     }
 
-    /** The file holds this revision. */
+    /** Records that the file already contains this revision. */
     void setWrittenRevision(long revision) {
         writtenRevision = revision;
     }
 
+    /** Writes the view if it has a snapshot and the file is out of date or the last attempt to write it failed. */
     void writeIfDue(RegistryView view) {
         Snapshot snapshot = view.snapshot();
         if (snapshot == null || !isDue(snapshot)) {
--- a/src/main/java/mintstair/registry/TlsFiles.java
+++ b/src/main/java/mintstair/registry/TlsFiles.java
@@ -26,7 +26,8 @@
 import mintstair.config.RegistryConfig;
 
 /**
- * Keys and certificates from PEM files. Throws {@link ConfigException}, which names the file, where one is not usable.
+ * Keys and certificates that are read from PEM files. Immutable. If a file is not usable, the constructor throws a
+ * {@link ConfigException} that names the file.
  */
 public final class TlsFiles {
     private static final List<String> KEY_ALGORITHMS = List.of("RSA", "EC", "Ed25519");
@@ -36,23 +37,27 @@
     private final TrustManager[] trustManagers;
     private final KeyManager[] keyManagers;
 
-    /** Reads the files. */
+    /**
+     * Reads the files.
+     *
+     * @throws ConfigException if a file is not usable
+     */
     public TlsFiles(RegistryConfig.Tls files) {
         trustManagers = readTrustManagers(files.ca());
         keyManagers = files.certificate() == null ? null : readKeyManagers(files.certificate(), files.key());
     }
 
-    /** Trusts the authorities in the files, and no others. */
+    /** Returns trust managers that accept only the certificate authorities in the files. */
     public TrustManager[] trustManagers() {
         return trustManagers;
     }
 
-    /** Null where this side presents no certificate. */
+    /** Returns the managers of the client's own key; null if no certificate is configured. */
     public KeyManager[] keyManagers() {
         return keyManagers;
     }
 
-    /** A context with these keys and authorities. */
+    /** Returns a new TLS context with these keys and certificate authorities. */
     public SSLContext sslContext() {
         try {
             SSLContext context = SSLContext.getInstance("TLS");
@@ -104,18 +109,18 @@
             Collection<? extends Certificate> certificates =
                     CertificateFactory.getInstance("X.509").generateCertificates(in);
             if (certificates.isEmpty()) {
-                throw new IOException("no certificate in it");
+                throw new IOException("the file contains no certificate");
             }
             return certificates;
         }
     }
 
-    /** Reads an unencrypted key in PKCS 8. */
+    /** Reads an unencrypted private key in PKCS #8 format. */
     private static PrivateKey readPrivateKey(Path file) {
         try {
             String text = Files.readString(file, StandardCharsets.ISO_8859_1);
             if (!text.contains(KEY_BEGIN)) {
-                throw new IOException("no private key in PKCS 8 in it");
+                throw new IOException("the file contains no unencrypted private key in PKCS #8 format");
             }
             String base64 = text.replaceAll("(?s).*" + KEY_BEGIN + "|-----END.*", "");
             return decodePrivateKey(Base64.getMimeDecoder().decode(base64));
@@ -124,9 +129,10 @@
         }
     }
 
-    /** PKCS 8 names its algorithm, but {@code KeyFactory} needs it beforehand: tries each. */
+    /** Tries each algorithm, because {@code KeyFactory} does not detect the one that is named in a PKCS #8 key. */
     private static PrivateKey decodePrivateKey(byte[] pkcs8) throws IOException {
-        IOException unknownAlgorithm = new IOException("a key of an unknown kind");
+        IOException unknownAlgorithm =
+                new IOException("the private key is of none of the algorithms " + KEY_ALGORITHMS);
         for (String algorithm : KEY_ALGORITHMS) {
             try {
                 return KeyFactory.getInstance(algorithm).generatePrivate(new PKCS8EncodedKeySpec(pkcs8));
--- a/src/main/java/mintstair/registry/UncertainChangeException.java
+++ b/src/main/java/mintstair/registry/UncertainChangeException.java
@@ -1,10 +1,10 @@
 package mintstair.registry;
 
-/** The connection failed after a change was sent: it may have been made or not. */
+/** Signals that the connection failed after a change was sent, so that the change may or may not have been made. */
 public final class UncertainChangeException extends RegistryException {
     private static final long serialVersionUID = 1L;
 
-    /** The reason is one line. */
+    /** Creates the exception with a reason of one line. */
     public UncertainChangeException(String reason, Throwable cause) {
         super("the change may have been made, look before it is tried again: " + reason, cause);
     }
--- a/src/main/java/mintstair/registry/package-info.java
+++ b/src/main/java/mintstair/registry/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The client of a key-value registry that holds the endpoint list. {@link mintstair.registry.view} is the state machine
- * without I/O; {@link mintstair.registry.RegistryClient} runs it on a thread of its own over a {@link
- * mintstair.registry.RegistryTransport}, of which there is one for etcd and one for Consul. {@link
- * mintstair.registry.RegistryCommand} is the command line, which changes entries by a {@link
+ * The client of a key-value registry that holds the endpoint list. The package {@link mintstair.registry.view} is a
+ * state machine without I/O. {@link mintstair.registry.RegistryClient} runs it on its own thread over a {@link
+ * mintstair.registry.RegistryTransport}, which is implemented for etcd and for Consul. {@link
+ * mintstair.registry.RegistryCommand} is the command line; it changes entries through a {@link
  * mintstair.registry.RegistryEditor}.
  */
 package mintstair.registry;
