--- a/src/test/java/mintstair/registry/ConsulErrorTest.java
+++ b/src/test/java/mintstair/registry/ConsulErrorTest.java
@@ -12,14 +12,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An agent may reject a call with a body of line ends alone. The first line of such a text was taken from an array
- * that is empty then: the call had no end, and the client waited for it until it was overdue.
+ * Guards against a call that never ends when a Consul agent rejects it with a body of line ends only. Splitting such a
+ * body into lines gives an empty array, and taking its first element threw before the failure was reported, so that the
+ * client waited until the call timed out.
  */
 class ConsulErrorTest {
     private static final byte[] LINE_ENDS = "\n\n".getBytes(StandardCharsets.UTF_8);
 
     @Test
-    void rejectionWithABodyOfLineEndsIsARejection() throws Exception {
+    void rejectionIsReportedIfItsBodyHasOnlyLineEnds() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         HttpServer agent = HttpServer.create(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), 0);
         agent.createContext("/", exchange -> {
--- a/src/test/java/mintstair/registry/RecordingClient.java
+++ b/src/test/java/mintstair/registry/RecordingClient.java
@@ -16,7 +16,7 @@
 import mintstair.registry.view.ViewUpdate;
 import mintstair.request.EndpointList;
 
-/** A client of a stand-in registry, started, that records its updates; for tests over sockets. */
+/** A running registry client that records its updates, for tests against stand-in servers over sockets. */
 final class RecordingClient implements AutoCloseable {
     final Map<String, EndpointList.Entry> hosts = new ConcurrentHashMap<>();
     final List<ViewUpdate> updates = new CopyOnWriteArrayList<>();
@@ -28,11 +28,12 @@
         client.start();
     }
 
-    /** A registry on this machine without users, TLS and a snapshot. */
+    /** Returns the configuration of a registry on the local host without users, TLS or a snapshot. */
     static RegistryConfig config(RegistryConfig.Kind kind, int... ports) {
         return config(kind, null, null, null, null, ports);
     }
 
+    /** Returns the configuration of a registry on the local host; user, secret, TLS and snapshot may be null. */
     static RegistryConfig config(
             RegistryConfig.Kind kind, String user, String secret, RegistryConfig.Tls tls, Path snapshot, int... ports) {
         List<InetSocketAddress> servers = new ArrayList<>();
@@ -75,18 +76,20 @@
         }
     }
 
-    /** The version of a host, as {@link RegistryFixtures#hostJson} wrote it; -1 for none. */
+    /** Returns the version of a host, as given to {@link RegistryFixtures#hostJson}; -1 if the host is unknown. */
     int version(String uid) {
         EndpointList.Entry entry = hosts.get(uid);
         return entry == null ? -1 : (int) (entry.startedAtMicros() / 1000);
     }
 
     void awaitVersion(String uid, int version) {
-        await(() -> version(uid) == version, uid + " at " + version + ", seen " + hosts + " " + log);
+        await(
+                () -> version(uid) == version,
+                "host " + uid + " at version " + version + "; hosts " + hosts + ", log " + log);
     }
 
     void awaitCount(String metric, long atLeast) {
-        await(() -> count(metric) >= atLeast, metric + " of " + atLeast);
+        await(() -> count(metric) >= atLeast, "metric " + metric + " of at least " + atLeast);
     }
 
     ViewMetrics metrics() {
--- a/src/test/java/mintstair/registry/RegistryClientTest.java
+++ b/src/test/java/mintstair/registry/RegistryClientTest.java
@@ -29,9 +29,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Users, TLS and the snapshot of the client, against stand-in servers. */
+/** Tests authentication, TLS and the snapshot of the registry client against stand-in servers. */
 class RegistryClientTest {
-    /** The stand-in's library logs each handshake that fails. */
+    /** Switched off, because the stand-in server's gRPC library logs each failed handshake. */
     private static final Logger GRPC_LOGGER = Logger.getLogger("io.grpc");
 
     static {
@@ -48,29 +48,29 @@
     }
 
     @Test
-    void usersAreAuthenticatedAndTheirTokensRenewed() throws Exception {
+    void userIsAuthenticatedAndItsExpiredTokenIsRenewed() throws Exception {
         putHost("a", 1);
         try (EtcdMember member = new EtcdMember(model)) {
             member.users = Map.of("proxy", "secret");
-            RegistryConfig right = config(Kind.ETCD, "proxy", "secret", null, null, member.port());
-            RegistryConfig wrong = config(Kind.ETCD, "proxy", "guessed", null, null, member.port());
-            try (RecordingClient client = new RecordingClient(right, 1);
-                    RecordingClient stranger = new RecordingClient(wrong, 1)) {
+            RegistryConfig validSecret = config(Kind.ETCD, "proxy", "secret", null, null, member.port());
+            RegistryConfig invalidSecret = config(Kind.ETCD, "proxy", "guessed", null, null, member.port());
+            try (RecordingClient client = new RecordingClient(validSecret, 1);
+                    RecordingClient deniedClient = new RecordingClient(invalidSecret, 1)) {
                 client.awaitVersion("a", 1);
-                int before = member.authenticated.get();
+                int before = member.authentications.get();
                 member.tokens.clear();
-                await(() -> member.authenticated.get() > before, "a new token");
+                await(() -> member.authentications.get() > before, "a new token");
                 putHost("a", 2);
                 client.awaitVersion("a", 2);
 
-                stranger.awaitCount("breaks_denied", 1);
-                assertTrue(stranger.hosts.isEmpty());
+                deniedClient.awaitCount("breaks_denied", 1);
+                assertTrue(deniedClient.hosts.isEmpty());
             }
         }
     }
 
     @Test
-    void tlsAuthenticatesBothSides() throws Exception {
+    void connectionFailsUnlessBothSidesTrustEachOther() throws Exception {
         Keys server = new Keys(folder, "server");
         Keys client = new Keys(folder, "client");
         putHost("a", 1);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void tlsFileThatIsNotUsableIsNamed() throws IOException {
+    void exceptionNamesTheUnusableTlsFile() throws IOException {
         Files.writeString(folder.resolve("none.pem"), "nothing");
         RegistryConfig.Tls files = new RegistryConfig.Tls(folder.resolve("none.pem"), null, null);
 
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void snapshotServesWhileTheRegistryIsDown() throws Exception {
+    void hostsOfTheSnapshotAreReportedWhileTheRegistryIsDown() throws Exception {
         Path file = folder.resolve("snapshot");
         putHost("a", 1);
         try (EtcdMember member = new EtcdMember(model)) {
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void snapshotIsContinuedWithoutAFullRead() throws Exception {
+    void viewContinuesFromTheSnapshotWithoutAFullRead() throws Exception {
         Path file = folder.resolve("snapshot");
         putHost("a", 1);
         try (EtcdMember member = new EtcdMember(model)) {
@@ -144,12 +144,12 @@
         }
         putHost("b", 2);
 
-        // Another server, as a read of the first client may still arrive at the first one.
+        // Uses another server, because a read of the first client may still arrive at the first server.
         try (EtcdMember member = new EtcdMember(model);
                 RecordingClient client =
                         new RecordingClient(config(Kind.ETCD, null, null, null, file, member.port()), 1)) {
             client.awaitVersion("b", 2);
-            assertEquals(1, member.reads.get(), "one progress check, no page");
+            assertEquals(1, member.reads.get(), "expected one progress check and no page");
         }
     }
 
--- a/src/test/java/mintstair/registry/RegistryCommandTest.java
+++ b/src/test/java/mintstair/registry/RegistryCommandTest.java
@@ -25,7 +25,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The commands and the editors below them, against stand-in servers of both kinds; the first server is never up. */
+/**
+ * Tests the commands and the editors that they use against stand-in servers of both kinds. The first configured server
+ * is always down.
+ */
 class RegistryCommandTest {
     private static final int NO_SERVER_PORT = 1;
 
@@ -61,20 +64,20 @@
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void hostIsAddedDrainedAndDeleted(Kind kind) throws Exception {
+    void commandsAddDrainAndDeleteAHost(Kind kind) throws Exception {
         RegistryConfig config = configOf(kind);
 
         assertEquals("0: a is added\n", run(config, "put-host", hostJson("a", 1)));
         assertEquals("0: a drains\n", run(config, "drain", "a"));
         assertTrue(valueOf("a").contains("\"state\":\"DRAINING\""));
-        assertTrue(valueOf("a").contains("\"boot_ms\":1"), "the other fields stay");
+        assertTrue(valueOf("a").contains("\"boot_ms\":1"), "drain must keep the other fields");
         assertTrue(run(config, "show").contains("a DRAINING 127.0.0.1:5432 group=1"));
         assertEquals("0: a is deleted\n", run(config, "delete", "a"));
     }
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void putWithAnOlderRevisionChangesNothing(Kind kind) throws Exception {
+    void putChangesNothingIfTheExpectedRevisionIsOld(Kind kind) throws Exception {
         RegistryConfig config = configOf(kind);
         run(config, "put-host", hostJson("a", 1));
         run(config, "drain", "a");
@@ -87,7 +90,7 @@
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void hostThatIsMissingOrNotValidIsAnError(Kind kind) {
+    void commandFailsIfTheHostIsMissingOrNotValid(Kind kind) {
         RegistryConfig config = configOf(kind);
 
         assertThrows(ConfigException.class, () -> run(config, "drain", "a"));
@@ -96,7 +99,7 @@
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void entryThatWasChangedAfterItWasReadIsNotOverwritten(Kind kind) throws Exception {
+    void changeFailsIfTheEntryWasChangedAfterItWasRead(Kind kind) throws Exception {
         try (RegistryEditor editor = RegistryClient.editor(configOf(kind))) {
             assertTrue(editor.put(hostKey("a"), hostJson("a", 1).getBytes(StandardCharsets.UTF_8), 0));
             long readRevision = editor.get(hostKey("a")).modRevision();
--- a/src/test/java/mintstair/registry/RegistryFixtures.java
+++ b/src/test/java/mintstair/registry/RegistryFixtures.java
@@ -5,7 +5,7 @@
 import mintstair.registry.view.RegistryEntry;
 import mintstair.registry.view.RegistryKeys;
 
-/** The keys and values that the tests of the registry use. */
+/** Keys and values for tests of the registry client. */
 final class RegistryFixtures {
     static final String PREFIX = "reg/";
     static final String FRONT = "postgresql";
@@ -17,7 +17,7 @@
         return PREFIX + FRONT + "/hosts/" + uid;
     }
 
-    /** A valid host; the version is its boot time in milliseconds. */
+    /** Returns the JSON of a valid host whose boot time in milliseconds is the version. */
     static String hostJson(String uid, int version) {
         return "{\"uid\":\"" + uid + "\",\"endpoint\":\"127.0.0.1:5432\",\"az\":\"a\",\"pod_group\":1,"
                 + "\"state\":\"SERVING\",\"boot_ms\":" + version + "}";
--- a/src/test/java/mintstair/registry/SnapshotFileTest.java
+++ b/src/test/java/mintstair/registry/SnapshotFileTest.java
@@ -50,7 +50,7 @@
         return ("value " + revision).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Writes one snapshot after the other until it is killed. */
+    /** Entry point of the writer process, which writes snapshots one after another until it is killed. */
     public static void main(String[] args) throws IOException {
         SnapshotFile file = new SnapshotFile(Path.of(args[0]));
         for (long revision = 1; ; revision++) {
@@ -72,7 +72,7 @@
         assertArrayEquals(valueAt(5), read.entries().get(2).value());
     }
 
-    /** Torn after any byte, changed in any byte, or too long: moved aside with one line in the log. */
+    /** Tries the file truncated after each byte, with each byte changed, and with one byte appended. */
     @Test
     void corruptFileIsMovedAsideAndNotUsed() throws IOException {
         file.write(snapshot(5, 2));
@@ -90,24 +90,24 @@
         assertArrayEquals(last, Files.readAllBytes(folder.resolve("s.bad")));
     }
 
-    private static List<byte[]> corrupt(byte[] whole) {
+    private static List<byte[]> corrupt(byte[] valid) {
         List<byte[]> contents = new ArrayList<>();
-        for (int i = 0; i < whole.length; i++) {
-            contents.add(Arrays.copyOf(whole, i));
-            byte[] changed = whole.clone();
+        for (int i = 0; i < valid.length; i++) {
+            contents.add(Arrays.copyOf(valid, i));
+            byte[] changed = valid.clone();
             changed[i] ^= 0x40;
             contents.add(changed);
         }
-        contents.add(Arrays.copyOf(whole, whole.length + 1));
+        contents.add(Arrays.copyOf(valid, valid.length + 1));
         return contents;
     }
 
     @Test
     void fileOfAnotherFormatIsNotUsed() throws IOException {
         file.write(snapshot(5, 2));
-        byte[] older = Files.readAllBytes(path);
-        older["mintstair registry\n".length() + 3] = 0;
-        Files.write(path, older);
+        byte[] olderFormat = Files.readAllBytes(path);
+        olderFormat["mintstair registry\n".length() + 3] = 0;
+        Files.write(path, olderFormat);
 
         file.readOrMoveAside(PREFIX, log::add);
 
@@ -123,9 +123,9 @@
         assertTrue(log.get(0).endsWith("it is of the prefix reg/"), log.get(0));
     }
 
-    /** Killed at whatever it does, over and over: what is left is always a whole file. */
+    /** Kills the writer at different points of a write; the file must always be complete. */
     @Test
-    void killedWriterLeavesTheOldOrTheNewFile() throws Exception {
+    void fileIsCompleteAfterTheWriterIsKilled() throws Exception {
         for (int i = 0; i < 5; i++) {
             killWriterAfter(1 + i * 15_000L);
 
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Kills a writer when its new file has at least so many bytes and has not replaced the old one yet. */
+    /** Kills a writer once its new file has at least the given number of bytes, before it replaces the old file. */
     private void killWriterAfter(long bytes) throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         Process writer = new ProcessBuilder(
@@ -153,7 +153,7 @@
                 .redirectErrorStream(true)
                 .start();
         Path newFile = folder.resolve("s.new");
-        Program.await(() -> Files.exists(path) && sizeOf(newFile) >= bytes, "a file half written");
+        Program.await(() -> Files.exists(path) && sizeOf(newFile) >= bytes, "a partly written file");
         writer.destroyForcibly().waitFor();
     }
 
--- a/src/test/java/mintstair/registry/TransportFailureTest.java
+++ b/src/test/java/mintstair/registry/TransportFailureTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The client over both transports, against two stand-in servers behind relays that fail: every change arrives all the
- * same.
+ * Tests that the client receives every change over both transports while its connections and servers fail. It follows
+ * two stand-in servers, each behind a relay that can interrupt the connection.
  */
 class TransportFailureTest {
     private static final long OTHER_CLUSTER_ID = 0xBEEF;
@@ -31,13 +31,13 @@
         model.put(hostKey(uid), hostJson(uid, version));
     }
 
-    /** One kind of failure, of the server in use and its relay; it stays until it is repaired. */
+    /** A failure of the server in use or of its relay, which lasts until it is repaired. */
     private interface Failure {
         void begin() throws IOException;
     }
 
     @Test
-    void etcdIsFollowedThroughEveryKindOfFailure() throws Exception {
+    void etcdChangesArriveDespiteEachKindOfFailure() throws Exception {
         model.change(manyHosts(1_200));
         try (EtcdMember one = new EtcdMember(model);
                 EtcdMember two = new EtcdMember(model);
@@ -45,7 +45,7 @@
                 Relay second = new Relay(two.port());
                 RecordingClient client = new RecordingClient(config(Kind.ETCD, first.port(), second.port()), 3)) {
             client.awaitVersion("h1199", 1199);
-            assertTrue(one.reads.get() + two.reads.get() >= 3, "three pages");
+            assertTrue(one.reads.get() + two.reads.get() >= 3, "expected at least three pages");
             assertFragmentsArrive(one, two, client);
 
             for (int kind = 0; kind < 8; kind++) {
@@ -58,11 +58,11 @@
                 repair(relay);
                 member.noLeader = false;
                 member.lagsAt = -1;
-                // The next failure meets a watch that has begun.
-                await(() -> client.metrics().ageMicros() < 300_000, "a confirmation after failure " + kind);
+                // The next failure must occur after the watch was created.
+                await(() -> client.metrics().ageMicros() < 300_000, "a confirmed view after failure " + kind);
             }
 
-            assertEquals(-1, client.version("h9"), "deleted before a compaction");
+            assertEquals(-1, client.version("h9"), "h9 was deleted before the compaction");
             assertEquals(7000, client.version("h8"));
             assertEquals(1, client.count("compacted"));
             assertEquals(OTHER_CLUSTER_ID, client.metrics().clusterId());
@@ -78,8 +78,8 @@
     }
 
     private void assertFragmentsArrive(EtcdMember one, EtcdMember two, RecordingClient client) {
-        one.fragment = 1;
-        two.fragment = 1;
+        one.maxChangesPerMessage = 1;
+        two.maxChangesPerMessage = 1;
         model.change(new TreeMap<>(Map.of(hostKey("h1"), hostJson("h1", 5001), hostKey("h2"), hostJson("h2", 5002))));
         client.awaitVersion("h2", 5002);
         assertEquals(5001, client.version("h1"));
@@ -92,19 +92,19 @@
                 () -> relay.refuse(true),
                 () -> relay.silence(true),
                 () -> member.lagsAt = model.revision,
-                () -> compactBehindALostConnection(relay),
+                () -> compactWhileDisconnected(relay),
                 () -> member.noLeader = true,
-                () -> restoreAsAnotherCluster(allRelays));
+                () -> restoreAsOtherCluster(allRelays));
     }
 
-    private void compactBehindALostConnection(Relay relay) {
+    private void compactWhileDisconnected(Relay relay) {
         relay.cut();
         model.delete(hostKey("h9"));
         putHost("h8", 7000);
         model.compact(model.revision);
     }
 
-    private void restoreAsAnotherCluster(List<Relay> relays) {
+    private void restoreAsOtherCluster(List<Relay> relays) {
         model.restore(model.revision - 1, OTHER_CLUSTER_ID);
         for (Relay relay : relays) {
             relay.cut();
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void consulIsFollowedThroughEveryKindOfFailure() throws Exception {
+    void consulChangesArriveDespiteEachKindOfFailure() throws Exception {
         putHost("a", 1);
         try (ConsulServer one = new ConsulServer(model, null);
                 ConsulServer two = new ConsulServer(model, null);
--- a/src/test/java/mintstair/registry/etcd/EtcdMember.java
+++ b/src/test/java/mintstair/registry/etcd/EtcdMember.java
@@ -44,23 +44,28 @@
 import mintstair.standin.RegistryModel;
 import mintstair.standin.StandInHost;
 
-/** One member of a stand-in registry with etcd's v3 API, as it is published; scripted by its fields. */
+/**
+ * A stand-in server of an etcd cluster. Implements the part of etcd's published v3 API that the registry client uses;
+ * tests set its fields to make it fail. Members of one cluster share a {@link RegistryModel}.
+ */
 public final class EtcdMember implements AutoCloseable {
-    /** Runs at each call. */
+    /** Runs at the start of each call of the KV and Watch services. */
     public volatile Runnable onCall = () -> {};
 
     public final AtomicInteger reads = new AtomicInteger();
-    public final AtomicInteger authenticated = new AtomicInteger();
-    /** The revision that the member lags at; negative where it is up to date. */
+    public final AtomicInteger authentications = new AtomicInteger();
+    /** The revision at which the member's watches stop; negative if the member is up to date. */
     public volatile long lagsAt = -1;
 
     public volatile boolean noLeader;
-    /** The most changes in one message of a watch; the rest follows in fragments. */
-    public volatile int fragment = Integer.MAX_VALUE;
-    /** Passwords by user; empty where none is needed. */
+    /** The maximum number of changes in one message of a watch; more are sent in fragments. */
+    public volatile int maxChangesPerMessage = Integer.MAX_VALUE;
+    /** Passwords by user; empty if no authentication is required. */
     public volatile Map<String, String> users = Map.of();
 
+    /** The valid tokens; a test clears the set to make all of them expire. */
     public final Set<String> tokens = ConcurrentHashMap.newKeySet();
+
     private final RegistryModel model;
     private final Server server;
     private volatile boolean closed;
@@ -71,11 +76,11 @@
 
     public EtcdMember(RegistryModel model, ServerCredentials credentials) throws IOException {
         this.model = model;
-        ServerInterceptor admission = new Admission();
+        ServerInterceptor callFilter = new CallFilter();
         server = OkHttpServerBuilder.forPort(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), credentials)
                 .executor(daemonThreads())
-                .addService(ServerInterceptors.intercept(keyValueService(), admission))
-                .addService(ServerInterceptors.intercept(watchService(), admission))
+                .addService(ServerInterceptors.intercept(keyValueService(), callFilter))
+                .addService(ServerInterceptors.intercept(watchService(), callFilter))
                 .addService(authenticationService())
                 .build()
                 .start();
@@ -113,7 +118,7 @@
     }
 
     /** Rejects calls without a valid token, and all calls while there is no leader. */
-    private final class Admission implements ServerInterceptor {
+    private final class CallFilter implements ServerInterceptor {
         private final Metadata.Key<String> tokenHeader = Metadata.Key.of("token", Metadata.ASCII_STRING_MARSHALLER);
 
         @Override
@@ -148,7 +153,7 @@
                     .asRuntimeException());
             return;
         }
-        String token = "token" + authenticated.incrementAndGet();
+        String token = "token" + authentications.incrementAndGet();
         tokens.add(token);
         respond(
                 out,
@@ -168,11 +173,12 @@
         }
     }
 
-    private long reached() {
+    /** Returns the newest revision that the member's watches have received. */
+    private long newestRevision() {
         return lagsAt < 0 ? model.revision : Math.min(lagsAt, model.revision);
     }
 
-    private static String text(ByteString key) {
+    private static String keyText(ByteString key) {
         return key.toString(StandardCharsets.ISO_8859_1);
     }
 
@@ -203,8 +209,8 @@
     }
 
     private RangeResponse rangeAt(RangeRequest request, long revision) {
-        String from = text(request.getKey());
-        String end = request.getRangeEnd().isEmpty() ? from + '\0' : text(request.getRangeEnd());
+        String from = keyText(request.getKey());
+        String end = request.getRangeEnd().isEmpty() ? from + '\0' : keyText(request.getRangeEnd());
         List<RegistryEntry> entries =
                 new ArrayList<>(model.at(revision).subMap(from, end).values());
         int size = request.getLimit() > 0 ? (int) Math.min(request.getLimit(), entries.size()) : entries.size();
@@ -234,24 +240,24 @@
     }
 
     private boolean holds(Compare compare) {
-        RegistryEntry entry = model.now().get(text(compare.getKey()));
+        RegistryEntry entry = model.now().get(keyText(compare.getKey()));
         return (entry == null ? 0 : entry.modRevision()) == compare.getModRevision();
     }
 
     private void apply(RequestOp operation) {
         if (operation.hasRequestPut()) {
             model.put(
-                    text(operation.getRequestPut().getKey()),
+                    keyText(operation.getRequestPut().getKey()),
                     operation.getRequestPut().getValue().toStringUtf8());
         } else {
-            model.delete(text(operation.getRequestDeleteRange().getKey()));
+            model.delete(keyText(operation.getRequestDeleteRange().getKey()));
         }
     }
 
-    /** A watch stream with one watch, served by a thread of its own. */
+    /** A watch stream with one watch, which is served by its own thread. */
     private final class WatchStream implements StreamObserver<WatchRequest> {
         private static final long ENDED = Long.MAX_VALUE;
-        private static final int REVISIONS_AT_ONCE = 50;
+        private static final int REVISIONS_PER_BATCH = 50;
 
         private final StreamObserver<WatchResponse> out;
         private long clusterId;
@@ -293,23 +299,23 @@
                 out.onError(
                         Status.UNAVAILABLE.withDescription(failure.getMessage()).asRuntimeException());
             } catch (InterruptedException | RuntimeException e) {
-                // The client closed the connection.
+                // The client has closed the connection.
             }
         }
 
-        /** Waits until there is something to send: either a response, or changes, which are added to the list. */
+        /** Waits for something to send. Returns a response, or null after adding changes to the list. */
         private WatchResponse awaitResponse(List<EntryChange> changes) throws InterruptedException, WatchFailure {
             synchronized (model) {
-                while (!isFailed() && !noLeader && !progressRequested && nextRevision > reached()) {
+                while (!isFailed() && !noLeader && !progressRequested && nextRevision > newestRevision()) {
                     model.wait(500);
                 }
                 if (isFailed()) {
-                    throw new WatchFailure("the member ends");
+                    throw new WatchFailure("the member has ended the watch");
                 }
                 if (noLeader) {
                     throw new WatchFailure("etcdserver: no leader");
                 }
-                if (nextRevision > reached()) {
+                if (nextRevision > newestRevision()) {
                     progressRequested = false;
                     return response().setWatchId(-1).build();
                 }
@@ -321,7 +327,7 @@
                             .setCompactRevision(model.compacted + 1)
                             .build();
                 }
-                long end = Math.min(reached(), nextRevision + REVISIONS_AT_ONCE);
+                long end = Math.min(newestRevision(), nextRevision + REVISIONS_PER_BATCH);
                 for (; nextRevision <= end; nextRevision++) {
                     changes.addAll(model.changes(nextRevision));
                 }
@@ -334,8 +340,8 @@
         }
 
         private void sendFragments(List<EntryChange> changes) {
-            for (int from = 0; from < changes.size(); from += fragment) {
-                int to = (int) Math.min(changes.size(), (long) from + fragment);
+            for (int from = 0; from < changes.size(); from += maxChangesPerMessage) {
+                int to = (int) Math.min(changes.size(), (long) from + maxChangesPerMessage);
                 WatchResponse.Builder response = response().setFragment(to < changes.size());
                 for (EntryChange change : changes.subList(from, to)) {
                     response.addEvents(Event.newBuilder()
@@ -346,10 +352,11 @@
             }
         }
 
-        /** A response with the position that this member has reached. */
+        /** Returns a response with the newest revision of this member in its header. */
         private WatchResponse.Builder response() {
             return WatchResponse.newBuilder()
-                    .setHeader(header().toBuilder().setRevision(reached()).build());
+                    .setHeader(
+                            header().toBuilder().setRevision(newestRevision()).build());
         }
 
         @Override
@@ -366,7 +373,7 @@
         }
     }
 
-    /** The member ends a watch with an error. */
+    /** Signals that the member ends a watch with an error. */
     private static final class WatchFailure extends Exception {
         private static final long serialVersionUID = 1L;
 
