--- a/src/main/java/mintstair/backend/ConnectionPools.java
+++ b/src/main/java/mintstair/backend/ConnectionPools.java
@@ -69,7 +69,7 @@
 
     /**
      * Sets the time in which a new connection must become ready, and the time after which hosts close an idle
-     * connection. Both take effect immediately.
+     * connection. Both apply from now on.
      */
     public void setTimeouts(long connectTimeoutMicros, long idleTimeoutMicros) {
         connector.setConnectTimeoutMicros(connectTimeoutMicros);
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Returns the time before which a connection must not have become idle in order to be reused. */
+    /** Returns the eviction cutoff: connections that became idle before this time are not reused. */
     long idleLimitMicros() {
         return loop.now() - Math.min(maxIdleMicros, idleReuse.maxIdleMicros());
     }
@@ -181,7 +181,7 @@
      * Counts one more open connection if the limit on open connections permits it.
      *
      * @param forAttempt whether an attempt is waiting for the connection, in which case the longest idle connection of
-     *     any host is evicted to make room
+     *     all hosts is evicted if the limit is reached
      * @return whether the caller may open the connection
      */
     boolean tryReserveConnection(boolean forAttempt) {
--- a/src/main/java/mintstair/backend/HostConnection.java
+++ b/src/main/java/mintstair/backend/HostConnection.java
@@ -221,7 +221,7 @@
         return throttle.isPaused() || nowMicros - progressAtMicros < STALL_TIMEOUT_MICROS;
     }
 
-    /** Processes bytes that were read, and returns how many of them were forwarded and are pending at the client. */
+    /** Processes bytes that were read, and returns how many of them were forwarded and are pending for the client. */
     private int process(ByteBuffer bytes) {
         processedReadCount++;
         progressAtMicros = loop.now();
--- a/src/main/java/mintstair/backend/IdleReusePolicy.java
+++ b/src/main/java/mintstair/backend/IdleReusePolicy.java
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Returns whether connections in a bucket break far more often than those in the lower buckets. Both a factor and a
-     * margin are required, so that low rates, and few broken connections, have no effect.
+     * Returns whether connections in a bucket break far more often than those in the lower buckets: a minimum number
+     * must have broken, and their share must exceed that of the lower buckets by both a factor and a margin.
      *
      * @param rateBefore the share of broken connections in the lower buckets
      */
