--- a/src/main/java/mintstair/StoreCommand.java
+++ b/src/main/java/mintstair/StoreCommand.java
@@ -26,7 +26,7 @@
         }
         String action = options.get(1);
         String key = options.get(2);
-        try (Store store = Store.outside(config.members())) {
+        try (Store store = Store.createClient(config.members())) {
             if (action.equals("get") && options.size() == 3) {
                 get(store, key);
             } else if (action.equals("put") && options.size() == 4) {
--- a/src/main/java/mintstair/store/Store.java
+++ b/src/main/java/mintstair/store/Store.java
@@ -96,7 +96,7 @@
     }
 
     /** Connects to the members without being one; only {@link #put} and {@link #get} are available. */
-    public static Store outside(Map<String, InetSocketAddress> members) {
+    public static Store createClient(Map<String, InetSocketAddress> members) {
         return new Store(null, null, client(members));
     }
 
--- a/src/test/java/mintstair/serve/StoreServiceTest.java
+++ b/src/test/java/mintstair/serve/StoreServiceTest.java
@@ -45,10 +45,10 @@
                             received.add(list.entries().get(0).host());
                         },
                         () -> "state");
-                Store outside = Store.outside(members)) {
-            outside.put("config/mongodb/hosts", hosts("a"));
+                Store client = Store.createClient(members)) {
+            client.put("config/mongodb/hosts", hosts("a"));
             Program.await(() -> calls.get() == 1, "the first list");
-            outside.put("config/mongodb/hosts", hosts("b"));
+            client.put("config/mongodb/hosts", hosts("b"));
             Program.await(() -> !received.isEmpty(), "the second list");
         }
         assertEquals(List.of("b"), received);
