--- a/src/main/java/mintstair/registry/view/EndpointChangeBatch.java
+++ b/src/main/java/mintstair/registry/view/EndpointChangeBatch.java
@@ -10,22 +10,22 @@
 import mintstair.request.EndpointList;
 
 /**
- * Puts changes of endpoints together to deltas in which an endpoint occurs at most once: a later change of the same
- * incarnation replaces the earlier one, and a new incarnation after a removal begins the next delta. Not thread-safe.
+ * Merges endpoint changes into deltas that list each endpoint at most once: a later change of the same incarnation
+ * replaces the earlier one, and a new incarnation that follows a removal starts the next delta. Not thread-safe.
  */
 final class EndpointChangeBatch {
     private record EndpointId(String front, String host) {}
 
-    /** The deltas of each front, in order; each as its entries by host. */
+    /** The deltas of each front in order, each a map of its entries by host. */
     private final Map<String, List<Map<String, EndpointList.Entry>>> deltasByFront = new LinkedHashMap<>();
-    /** Endpoints that were added within this batch. */
+    /** Endpoints whose first report is in this batch. */
     private final Set<EndpointId> added = new HashSet<>();
 
     /**
      * Adds a change.
      *
-     * @param isNew whether this incarnation of the endpoint has not been reported; if it is removed within the same
-     *     batch, neither is reported
+     * @param isNew whether this incarnation of the endpoint has not been reported yet; if it is removed within the
+     *     same batch, neither its addition nor its removal is reported
      */
     void add(String front, EndpointList.Entry entry, boolean isNew) {
         List<Map<String, EndpointList.Entry>> deltas = deltasByFront.computeIfAbsent(front, f -> new ArrayList<>());
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Emits the deltas as changes at this revision. */
+    /** Emits the deltas in order, each marked with this revision. */
     void emit(long revision, Consumer<ViewUpdate> updates) {
         deltasByFront.forEach((front, deltas) -> {
             for (Map<String, EndpointList.Entry> delta : deltas) {
--- a/src/main/java/mintstair/registry/view/EndpointTable.java
+++ b/src/main/java/mintstair/registry/view/EndpointTable.java
@@ -12,24 +12,25 @@
 import mintstair.request.EndpointList;
 
 /**
- * The registry's entries as last read: each host with its last valid value, and the settings. Turns changes, or a read
- * of all entries, into updates; what has not changed is not reported again. Bounded by {@link ViewLimits}. Not
- * thread-safe.
+ * Holds the registry's entries as last received: each host with its last valid value, and the settings. Converts
+ * changes, or a read of all entries, into updates, and reports nothing that has not changed. Its size is bounded by
+ * {@link ViewLimits}. Not thread-safe.
  */
 final class EndpointTable {
     /**
-     * A host that is in the registry.
+     * The state of one host key of the registry.
      *
-     * @param valueHash the hash of the newest value
-     * @param value the last valid value; null, like {@code host}, where none has been valid
+     * @param modRevision the revision of the newest value, valid or not
+     * @param valueHash the hash of the newest value, valid or not
+     * @param value the last valid value; null, like {@code host}, if no value has been valid
      */
     private record Row(long createRevision, long modRevision, int valueHash, byte[] value, EndpointList.Entry host) {
-        /** The row of an entry with a valid value. */
+        /** Returns the row for an entry with a valid value. */
         static Row valid(RegistryEntry entry, int valueHash, EndpointList.Entry host) {
             return new Row(entry.createRevision(), entry.modRevision(), valueHash, entry.value(), host);
         }
 
-        /** The row of an entry whose value is not valid: keeps what the previous row has, if there is one. */
+        /** Returns the row for an entry with an invalid value, with the last valid value of the previous row if any. */
         static Row invalid(RegistryEntry entry, int valueHash, Row previous) {
             byte[] value = previous == null ? null : previous.value;
             EndpointList.Entry host = previous == null ? null : previous.host;
@@ -45,7 +46,7 @@
         }
     }
 
-    /** An odd number without a pattern. The digest is a sum, in which small hashes must not cancel out. */
+    /** An odd number without a pattern. In the digest, which is a sum, small hashes could cancel each other out. */
     private static final long DIGEST_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private static final int MAX_LOGGED_KEY_LENGTH = 80;
@@ -54,13 +55,13 @@
     private final ViewLimits limits;
     private final HostEntryParser parser;
     private final Map<String, Row> rows = new TreeMap<>();
-    private final LogRateLimiter faultLog = new LogRateLimiter();
+    private final LogRateLimiter entryLog = new LogRateLimiter();
     private RegistryEntry settings;
     private long bytes;
     private long digest;
     private int hosts;
-    private long unreadable;
-    private long overflown;
+    private long invalidCount;
+    private long excludedCount;
 
     EndpointTable(RegistryKeys keys, ViewLimits limits) {
         this.keys = keys;
@@ -68,7 +69,7 @@
         parser = new HostEntryParser(keys, limits);
     }
 
-    /** Applies the changes in order and emits what they come to at {@code revision}. */
+    /** Applies the changes in order and emits their combined effect as updates at {@code revision}. */
     void apply(List<EntryChange> changes, long revision, long nowMicros, Consumer<ViewUpdate> updates) {
         EndpointChangeBatch batch = new EndpointChangeBatch();
         for (EntryChange change : changes) {
@@ -82,9 +83,10 @@
     }
 
     /**
-     * Replaces all entries by these and emits the difference.
+     * Replaces all entries by these and emits the difference. The settings stay if these entries contain none.
      *
-     * @param sameHistory whether revisions can be compared with those before; otherwise the values are
+     * @param sameHistory whether the entries belong to the history that the table was read from, so that revisions can
+     *     be compared; if not, the values are compared
      */
     void replace(
             Collection<RegistryEntry> entries,
@@ -120,7 +122,7 @@
         }
         Row previous = rows.get(entry.key());
         if (previous != null && sameHistory && previous.createRevision != entry.createRevision()) {
-            // Deleted and put again since the last look: another incarnation of the host.
+            // The key was deleted and put again in between, so this is a new incarnation of the host.
             delete(entry.key(), batch);
             previous = null;
         }
@@ -129,8 +131,10 @@
             return;
         }
         if (previous == null && isFull(entry)) {
-            overflown++;
-            faultLog.log(nowMicros, "registry: no room for " + loggable(entry.key()), updates);
+            excludedCount++;
+            String line = "registry: host left out beyond the limits of " + limits.maxHosts() + " hosts and "
+                    + limits.maxTotalBytes() + " bytes: " + loggable(entry.key());
+            entryLog.log(nowMicros, line, updates);
             return;
         }
         EndpointList.Entry host = parse(entry, front, nowMicros, updates);
@@ -154,7 +158,9 @@
 
     private void putSettings(RegistryEntry entry, long nowMicros, Consumer<ViewUpdate> updates) {
         if (entry.value().length > limits.maxSettingsBytes()) {
-            logUnreadable(entry, "too long", nowMicros, updates);
+            String reason = "settings of " + entry.value().length + " bytes exceed the limit of "
+                    + limits.maxSettingsBytes() + " bytes";
+            logInvalid(entry, reason, nowMicros, updates);
             return;
         }
         boolean unchanged = settings != null && Arrays.equals(settings.value(), entry.value());
@@ -191,7 +197,7 @@
         return rows.size() >= limits.maxHosts() || bytes + entry.sizeBytes() > limits.maxTotalBytes();
     }
 
-    /** Adds a row to the totals, or removes it with {@code sign} -1. */
+    /** Adds a row to the totals if {@code sign} is 1, or subtracts it if {@code sign} is -1. */
     private void addToTotals(String key, Row row, int sign) {
         bytes += (long) sign * (key.length() + row.valueBytes());
         if (row.host != null) {
@@ -213,30 +219,31 @@
         return hash * DIGEST_MULTIPLIER ^ hash;
     }
 
-    /** The host that the entry holds, or null where it holds none that is valid. */
+    /** Returns the host that the entry describes; if the entry is invalid, logs why and returns null. */
     private EndpointList.Entry parse(RegistryEntry entry, String front, long nowMicros, Consumer<ViewUpdate> updates) {
         try {
             return parser.parse(entry, front);
         } catch (InvalidEntryException e) {
-            logUnreadable(entry, e.getMessage(), nowMicros, updates);
+            logInvalid(entry, e.getMessage(), nowMicros, updates);
             return null;
         }
     }
 
-    private void logUnreadable(RegistryEntry entry, String reason, long nowMicros, Consumer<ViewUpdate> updates) {
-        unreadable++;
-        String line = "registry: " + loggable(entry.key()) + " at " + entry.modRevision() + ": " + reason;
-        faultLog.log(nowMicros, line, updates);
+    private void logInvalid(RegistryEntry entry, String reason, long nowMicros, Consumer<ViewUpdate> updates) {
+        invalidCount++;
+        String line = "registry: invalid entry " + loggable(entry.key()) + " at revision " + entry.modRevision() + ": "
+                + reason;
+        entryLog.log(nowMicros, line, updates);
     }
 
     private static String loggable(String key) {
-        String text = RegistryKeys.charactersOf(key);
+        String text = RegistryKeys.decode(key);
         String shortened =
                 text.length() > MAX_LOGGED_KEY_LENGTH ? text.substring(0, MAX_LOGGED_KEY_LENGTH) + "..." : text;
         return shortened.replaceAll("\\p{Cntrl}", "?");
     }
 
-    /** Emits the whole list of every front. */
+    /** Emits the complete endpoint list of every front. */
     void emitAll(long revision, boolean cached, Consumer<ViewUpdate> updates) {
         for (String front : keys.fronts()) {
             EndpointList list = new EndpointList(revision, true, hostsOf(front));
@@ -254,7 +261,7 @@
         return list;
     }
 
-    /** The entries to store over a restart: each host with its last valid value, and the settings. */
+    /** Returns the entries for a snapshot: each host with its last valid value, and the settings. */
     List<RegistryEntry> entries() {
         List<RegistryEntry> entries = new ArrayList<>();
         rows.forEach((key, row) -> {
@@ -268,36 +275,37 @@
         return entries;
     }
 
-    /** Counts hosts that were left out of a read because of the limits. */
-    void countOverflown(int entries) {
-        overflown += entries;
+    /** Counts entries that were left out of a read because of the limits. */
+    void countExcluded(int entries) {
+        excludedCount += entries;
     }
 
     int hosts() {
         return hosts;
     }
 
-    /** Equal for equal hosts of all fronts, whatever the order of the changes that led there. */
+    /** Returns a digest that is equal for equal hosts of all fronts, regardless of the order of changes. */
     long digest() {
         return digest;
     }
 
-    /** How many values that were put could not be read. */
-    long unreadable() {
-        return unreadable;
+    /** Returns how many values were rejected as invalid. */
+    long invalidCount() {
+        return invalidCount;
     }
 
-    /** How many hosts were left out because of the limits. */
-    long overflown() {
-        return overflown;
+    /** Returns how many entries were left out because of the limits. */
+    long excludedCount() {
+        return excludedCount;
     }
 
-    /** Logs the number of suppressed lines; due at {@link #nextFlushAt}. */
+    /** Logs the number of suppressed lines if it is due, see {@link #nextFlushAt}. */
     void flushLog(long nowMicros, Consumer<ViewUpdate> updates) {
-        faultLog.flush(nowMicros, updates);
+        entryLog.flush(nowMicros, updates);
     }
 
+    /** Returns when {@link #flushLog} is next due, or {@link Long#MAX_VALUE} if no line has been suppressed. */
     long nextFlushAt() {
-        return faultLog.nextFlushAt();
+        return entryLog.nextFlushAt();
     }
 }
--- a/src/main/java/mintstair/registry/view/EntryChange.java
+++ b/src/main/java/mintstair/registry/view/EntryChange.java
@@ -1,8 +1,9 @@
 package mintstair.registry.view;
 
 /**
- * One change of the registry, as a watch reports it.
+ * One change of a registry entry, as reported by a watch.
  *
- * @param entry the entry that was put; of one that was deleted, the key and the revision of the deletion
+ * @param deleted whether the entry was deleted; otherwise it was put
+ * @param entry the entry as it was put; after a deletion, only its key and modification revision are meaningful
  */
 public record EntryChange(boolean deleted, RegistryEntry entry) {}
--- a/src/main/java/mintstair/registry/view/HostEntryParser.java
+++ b/src/main/java/mintstair/registry/view/HostEntryParser.java
@@ -6,7 +6,7 @@
 import mintstair.config.Json;
 import mintstair.request.EndpointList;
 
-/** Reads and validates the hosts in the registry's entries. */
+/** Parses and validates the hosts that the registry's entries describe. */
 final class HostEntryParser {
     private final RegistryKeys keys;
     private final ViewLimits limits;
@@ -16,17 +16,23 @@
         this.limits = limits;
     }
 
-    /** Reads the entry as a host of this front. */
+    /**
+     * Parses the entry as a host of this front.
+     *
+     * @throws InvalidEntryException if the entry is too long, is no host, or describes another host than its key
+     */
     EndpointList.Entry parse(RegistryEntry entry, String front) throws InvalidEntryException {
         if (entry.key().length() > limits.maxKeyBytes() || entry.value().length > limits.maxValueBytes()) {
-            throw new InvalidEntryException("too long");
+            throw new InvalidEntryException("key of " + entry.key().length() + " bytes and value of "
+                    + entry.value().length + " bytes; the limits are " + limits.maxKeyBytes() + " and "
+                    + limits.maxValueBytes());
         }
         EndpointList.Entry host = read(entry.value());
         if (!host.host().equals(keys.uidOf(entry.key(), front))) {
-            throw new InvalidEntryException("its uid is " + host.host());
+            throw new InvalidEntryException("uid " + host.host() + " in the value differs from the uid in the key");
         }
         if (host.state() == EndpointList.State.REMOVED) {
-            throw new InvalidEntryException("a host is deleted by deleting its key");
+            throw new InvalidEntryException("state of a deleted host; a host is deleted by deleting its key");
         }
         return host;
     }
@@ -39,6 +45,6 @@
         } catch (IOException | IllegalArgumentException e) {
             throw new InvalidEntryException(e);
         }
-        throw new InvalidEntryException("not an object");
+        throw new InvalidEntryException("the value is not a JSON object");
     }
 }
--- a/src/main/java/mintstair/registry/view/InvalidEntryException.java
+++ b/src/main/java/mintstair/registry/view/InvalidEntryException.java
@@ -2,7 +2,7 @@
 
 import mintstair.config.FirstLine;
 
-/** An entry of the registry that holds no valid host; the message is one line. */
+/** Thrown for a registry entry that describes no valid host. The message is one line. */
 final class InvalidEntryException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/mintstair/registry/view/LogRateLimiter.java
+++ b/src/main/java/mintstair/registry/view/LogRateLimiter.java
@@ -3,8 +3,9 @@
 import java.util.function.Consumer;
 
 /**
- * Limits the rate of log lines of one kind: a burst of lines at once, then one a second, which gives the number of
- * those that were suppressed. Not thread-safe.
+ * Limits the rate of log lines of one kind. A burst of lines is logged at once; further lines are suppressed, and one
+ * line per second reports how many. After a second without a suppressed line a full burst is allowed again. Not
+ * thread-safe.
  */
 final class LogRateLimiter {
     private static final int BURST = 5;
@@ -15,7 +16,7 @@
     private long intervalEndsAt;
     private long suppressed;
 
-    /** Logs the line, or counts it as suppressed. */
+    /** Logs the line, or counts it as suppressed if the burst is used up. */
     void log(long nowMicros, String line, Consumer<ViewUpdate> updates) {
         flush(nowMicros, updates);
         if (remainingBurst == 0) {
@@ -27,7 +28,7 @@
         updates.accept(new ViewUpdate.LogLine(line));
     }
 
-    /** Logs the number of suppressed lines, or allows the next burst, where an interval is over. */
+    /** If an interval has ended, logs the number of suppressed lines, or allows the next burst if there are none. */
     void flush(long nowMicros, Consumer<ViewUpdate> updates) {
         if (nowMicros < intervalEndsAt) {
             return;
@@ -41,7 +42,7 @@
         intervalEndsAt = nowMicros + INTERVAL_MICROS;
     }
 
-    /** When {@link #flush} has a line to log next. */
+    /** Returns when {@link #flush} next has a line to log, or {@link Long#MAX_VALUE} for never. */
     long nextFlushAt() {
         return suppressed > 0 ? intervalEndsAt : NEVER;
     }
--- a/src/main/java/mintstair/registry/view/PagedRead.java
+++ b/src/main/java/mintstair/registry/view/PagedRead.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * A read of all entries in pages, all at the revision of the first. It survives a lost connection: the next server
- * continues with the next page. Entries beyond the limits are left out and counted. Not thread-safe.
+ * Collects a read of all entries in pages, which are all read at the revision of the first page. After a lost
+ * connection another server can continue with the next page. Entries beyond the limits are left out and counted. Not
+ * thread-safe.
  */
 final class PagedRead {
     private final ViewLimits limits;
@@ -13,30 +14,31 @@
     private long bytes;
     private RegistryPosition position;
     private String nextKey;
-    private int overflown;
+    private int excludedCount;
 
     PagedRead(ViewLimits limits, String firstKey) {
         this.limits = limits;
         nextKey = firstKey;
     }
 
+    /** Adds the entries of the next page. */
     void add(List<RegistryEntry> page) {
         for (RegistryEntry entry : page) {
             bytes += entry.sizeBytes();
             if (entries.size() <= limits.maxHosts() && bytes <= limits.maxTotalBytes()) {
                 entries.add(entry);
             } else {
-                overflown++;
+                excludedCount++;
             }
             nextKey = entry.key() + '\0';
         }
     }
 
     /**
-     * Pins the read to the position of its first page. Returns whether the position of a later page is of the same
-     * history and not before the pinned one.
+     * Pins the read to this position if it is that of the first page. For a later page, returns whether its position
+     * belongs to the same history and is not before that of the first; for the first page, returns true.
      */
-    boolean pinOrMatch(RegistryPosition pagePosition) {
+    boolean pinOrCheck(RegistryPosition pagePosition) {
         if (position == null) {
             position = pagePosition;
             return true;
@@ -46,17 +48,17 @@
                 && position.revision() <= pagePosition.revision();
     }
 
-    /** The position that the pages are of; null before the first. */
+    /** Returns the position at which the pages are read; null before the first page. */
     RegistryPosition position() {
         return position;
     }
 
-    /** The revision that the next page is to be read at; 0 for the newest. */
+    /** Returns the revision at which the next page must be read; 0 for the newest. */
     long revision() {
         return position == null ? 0 : position.revision();
     }
 
-    /** Where the next page begins. */
+    /** Returns the first key of the next page. */
     String nextKey() {
         return nextKey;
     }
@@ -65,7 +67,8 @@
         return entries;
     }
 
-    int overflown() {
-        return overflown;
+    /** Returns how many entries were left out because of the limits. */
+    int excludedCount() {
+        return excludedCount;
     }
 }
--- a/src/main/java/mintstair/registry/view/PollView.java
+++ b/src/main/java/mintstair/registry/view/PollView.java
@@ -3,36 +3,41 @@
 import mintstair.registry.view.RegistryEvent.Reason;
 
 /**
- * Follows a registry that answers blocking queries. Each response is the whole list at an index, and the next query
- * waits for a newer one. An index that goes back is either a lagging member's, or the registry was restored from a
- * backup; a linearizable read shows which.
+ * Follows a registry that answers blocking queries (Consul). Each response contains all entries at an index, and the
+ * next query waits for a higher index. If the index decreases, either the member lags or the registry was restored from
+ * a backup; a linearizable read decides which.
  *
- * <p>While a query is held, its server is asked for its leader on another connection. A held connection that died alone
- * is only noticed when the query should have ended.
+ * <p>While a query is held, its server is asked for its leader on another connection, which detects a dead server. If
+ * only the connection of the held query is lost, this is noticed when the query should have ended.
  */
 public final class PollView extends RegistryView {
-    /** How long the server is asked to hold a query. */
+    /** How long the server is asked to hold a query that has no newer index to report. */
     public static final long WAIT_MICROS = 4_000_000;
-    /** The server may add up to a sixteenth of the wait. */
+    /** A server extends the requested wait by a random time of up to a sixteenth of it. */
     private static final long MAX_WAIT_MICROS = WAIT_MICROS + WAIT_MICROS / 16;
-    /** The index of a query that is answered at once. */
+    /** The index of a query that the server answers immediately. */
     private static final long NO_INDEX = 0;
 
-    /** Whether an index that went back is being confirmed by a linearizable read. */
-    private boolean confirming;
+    /** Whether a linearizable read is in progress that checks a decreased index. */
+    private boolean checkingDecrease;
 
     private boolean listReceivedOnConnection;
     private boolean progressRequested;
     private long queryEndsAt;
 
-    /** Servers are given by their number; the seed decides their order and all delays. */
+    /**
+     * Creates a view without entries.
+     *
+     * @param serverCount the number of servers; calls name a server by its index
+     * @param seed the seed of the order of the servers and of all random delays
+     */
     public PollView(RegistryKeys keys, ViewLimits limits, ViewTimeouts timeouts, int serverCount, long seed) {
         super(keys, limits, timeouts, serverCount, seed);
     }
 
     /**
-     * The first query of a connection is not held: it shows at once that the server has a leader, and any restored
-     * history.
+     * Sends a query. The first one after a failure is not held, so that its response immediately shows whether the
+     * server has a leader and whether the registry was restored from a backup.
      */
     @Override
     void connect() {
@@ -44,7 +49,7 @@
         progressRequested = false;
         queryEndsAt = nowMicros + timeouts.callMicros() + (held ? MAX_WAIT_MICROS : 0);
         long callId = beginCall(held ? timeouts.keepaliveIntervalMicros() : timeouts.callMicros());
-        send(new RegistryCall.Poll(callId, servers.current(), index, confirming));
+        send(new RegistryCall.Poll(callId, servers.current(), index, checkingDecrease));
     }
 
     @Override
@@ -54,7 +59,7 @@
         } else if (event instanceof RegistryEvent.Progress) {
             onProgress();
         } else {
-            failCall(Reason.MALFORMED, "unexpected response");
+            failCall(Reason.MALFORMED, "response of type " + event.getClass().getSimpleName() + " to a blocking query");
         }
     }
 
@@ -66,26 +71,27 @@
 
     private void onList(RegistryEvent.FullList list) {
         if (list.index() < 1) {
-            // The next query would return at once, for ever.
-            failCall(Reason.MALFORMED, "an index below 1");
+            // A query for such an index is not held, so the view would poll in a busy loop.
+            failCall(Reason.MALFORMED, "index " + list.index() + " in a response; expected at least 1");
             return;
         }
         if (!list.leaderConfirmed()) {
-            failCall(Reason.LAGS, "response without a leader");
+            failCall(Reason.LAGS, "response without confirmation of contact with a leader");
             return;
         }
-        boolean wentBack = list.index() < revision;
-        if (wentBack && !confirming) {
-            confirming = true;
+        boolean decreased = list.index() < revision;
+        if (decreased && !checkingDecrease) {
+            checkingDecrease = true;
             poll(NO_INDEX);
             return;
         }
-        if (wentBack) {
+        if (decreased) {
             count("set_back");
-            log("index went back from " + revision + " to " + list.index() + ", as after a restore");
+            log("index decreased from " + revision + " to " + list.index()
+                    + "; the registry was restored from a backup");
         }
-        confirming = false;
-        replaceEntries(list, !wentBack);
+        checkingDecrease = false;
+        replaceEntries(list, !decreased);
         listReceivedOnConnection = true;
         resetReconnect();
         confirm();
@@ -95,7 +101,7 @@
     private void replaceEntries(RegistryEvent.FullList list, boolean sameHistory) {
         PagedRead read = new PagedRead(limits, "");
         read.add(list.entries());
-        table.countOverflown(read.overflown());
+        table.countExcluded(read.excludedCount());
         table.replace(read.entries(), list.index(), sameHistory, nowMicros, updateSink());
         revision = list.index();
         count("readings");
--- a/src/main/java/mintstair/registry/view/ProgressCheck.java
+++ b/src/main/java/mintstair/registry/view/ProgressCheck.java
@@ -1,8 +1,8 @@
 package mintstair.registry.view;
 
 /**
- * One check whether a watch is alive and up to date. It passes once the view has reached the revision at which the
- * quorum stood when the check began. Not thread-safe.
+ * Checks whether a watch is alive and up to date. A check passes once the view has reached the quorum's revision, which
+ * is read after the check has started. Not thread-safe.
  */
 final class ProgressCheck {
     private static final long NONE = -1;
@@ -12,6 +12,7 @@
     private long lastSeenRevision;
     private boolean messageReceived;
 
+    /** Starts a check of a view that is at this revision. */
     void start(long nowMicros, long revision) {
         startedAt = nowMicros;
         quorumRevision = NONE;
@@ -31,12 +32,13 @@
         return nowMicros >= startedAt + micros;
     }
 
-    /** The watch sent something. */
+    /** Records that a message of the watch has been received. */
     void recordMessage() {
         messageReceived = true;
     }
 
-    void recordQuorum(long revision) {
+    /** Records the quorum's revision, which the view must reach. */
+    void recordQuorumRevision(long revision) {
         quorumRevision = revision;
     }
 
@@ -44,16 +46,17 @@
         return quorumRevision;
     }
 
+    /** Returns whether a check is running and a view at this revision passes it. */
     boolean passes(long revision) {
         return isRunning() && isQuorumKnown() && revision >= quorumRevision;
     }
 
-    /** Whether the member responds at all, be it by the watch or by the quorum's revision. */
+    /** Returns whether the member has responded since the start, on the watch or with the quorum's revision. */
     boolean isMemberResponding() {
         return messageReceived || isQuorumKnown();
     }
 
-    /** Whether a view at this revision has come nearer to the quorum since the last call, or the start. */
+    /** Returns whether the quorum's revision is known and the view's has increased since the last call or the start. */
     boolean advancedTo(long revision) {
         boolean advanced = isQuorumKnown() && revision > lastSeenRevision;
         lastSeenRevision = revision;
--- a/src/main/java/mintstair/registry/view/ReconnectPolicy.java
+++ b/src/main/java/mintstair/registry/view/ReconnectPolicy.java
@@ -7,16 +7,17 @@
 import mintstair.retry.Backoff;
 
 /**
- * Which server to call next after a failure, and when. Where the fault may be one server's own, the others are tried
- * within a short random delay each, so that proxies that lost a server together do not arrive at the next one together.
- * After each round of all servers, and where the fault is the registry's, the delay backs off exponentially. Not
- * thread-safe.
+ * Decides which server to call after a failure, and when. If the cause may be specific to one server, each of the other
+ * servers is tried after a short random delay, so that proxies that lost a server at the same time do not all call the
+ * next one at the same time. After each round of all servers, and if the cause affects the whole registry, the delay
+ * backs off exponentially. Not thread-safe.
  */
 final class ReconnectPolicy {
-    /** The server responded, so the network is up. */
-    private static final Set<Reason> RESPONDED = EnumSet.of(Reason.LAGS, Reason.FOREIGN);
-    /** Another server may do better. */
-    private static final Set<Reason> OWN_FAULT = EnumSet.of(Reason.LAGS, Reason.FOREIGN, Reason.BROKEN, Reason.SILENT);
+    /** Failures in which the server responded, so that the network is up. */
+    private static final Set<Reason> SERVER_RESPONDED = EnumSet.of(Reason.LAGS, Reason.FOREIGN);
+    /** Failures that may be specific to one server, so that another server may succeed. */
+    private static final Set<Reason> SERVER_SPECIFIC =
+            EnumSet.of(Reason.LAGS, Reason.FOREIGN, Reason.BROKEN, Reason.SILENT);
 
     private static final double BACKOFF_FIXED_FRACTION = 0.05;
 
@@ -35,24 +36,24 @@
                 random, timeouts.initialRetryDelayMicros(), timeouts.maxRetryDelayMicros(), BACKOFF_FIXED_FRACTION);
     }
 
-    /** Advances to the next server and returns the delay before the attempt to reach it, in microseconds. */
+    /** Advances to the next server and returns the delay before the next attempt in microseconds. */
     long advanceAfterFailure(Reason reason, long nowMicros) {
         if (reason == Reason.LAGS) {
             servers.markCurrentLagging(nowMicros + timeouts.laggingServerMicros());
         }
         servers.advance(nowMicros);
-        if (RESPONDED.contains(reason) && responses++ < servers.size()) {
-            // The network is back: a new round begins, but only so often.
+        if (SERVER_RESPONDED.contains(reason) && responses++ < servers.size()) {
+            // The network is up, so a new round begins. This is limited, so that the delay eventually backs off.
             failedAttempts = 0;
         }
         failedAttempts++;
-        if (OWN_FAULT.contains(reason) && failedAttempts % servers.size() != 0) {
+        if (SERVER_SPECIFIC.contains(reason) && failedAttempts % servers.size() != 0) {
             return (long) (random.nextDouble() * timeouts.initialRetryDelayMicros());
         }
         return backoff.nextDelayMicros();
     }
 
-    /** The registry confirmed the view: the next failure counts as the first. */
+    /** Records that the registry has confirmed the view, so that the next failure counts as the first. */
     void recordSuccess() {
         backoff.reset();
         failedAttempts = 0;
--- a/src/main/java/mintstair/registry/view/RegistryCall.java
+++ b/src/main/java/mintstair/registry/view/RegistryCall.java
@@ -1,43 +1,47 @@
 package mintstair.registry.view;
 
 /**
- * What the connection to the registry is to do. Each request has an id of its own. At most one is in progress at a
- * time: the view cancels the one before, unless that has ended.
+ * An instruction of a view to the connection to the registry. Each request has a unique id. At most one request is in
+ * progress at a time: before a new one, the view cancels the previous one unless it has ended.
  */
 public sealed interface RegistryCall {
-    /** The id of the request that this is, or that this is about. */
+    /** Returns the id of this request, or of the request that this instruction refers to. */
     long callId();
 
-    /** A call that begins a request to one of the registry's servers, given by its index. */
+    /** An instruction to send a request to one of the registry's servers. */
     sealed interface Request extends RegistryCall {
-        /** The index of the server, by the order of the configuration. */
+        /** Returns the index of the server in the configured order. */
         int server();
     }
 
     /**
-     * Read, linearizably, at most {@code limit} entries from a key on, at {@code revision} or, for 0, at the newest.
+     * Reads at most {@code limit} entries, linearizably.
+     *
+     * @param fromKey the first key to read
+     * @param revision the revision to read at; 0 for the newest
      */
     record Read(long callId, int server, String fromKey, long revision, int limit) implements Request {}
 
-    /** Read, linearizably, where the registry's history stands. */
+    /** Reads the registry's current position, linearizably. */
     record ReadPosition(long callId, int server) implements Request {}
 
-    /** Stream all changes from this revision on. */
+    /** Streams all changes from this revision on. */
     record Watch(long callId, int server, long startRevision) implements Request {}
 
     /**
-     * Blocking query: read all entries once the registry's index is above this one, or at once for 0.
+     * Sends a blocking query: reads all entries as soon as the registry's index exceeds this one.
      *
+     * @param index the index to exceed; 0 to read immediately
      * @param consistent whether the read must be linearizable
      */
     record Poll(long callId, int server, long index, boolean consistent) implements Request {}
 
     /**
-     * Have the request in progress show that it is alive. Of a watch: first where the quorum stands, then how far the
-     * watch has come. Of a blocking query: whether its server knows a leader.
+     * Requests a sign that the request in progress is alive. A watch is answered with the quorum's position and then
+     * with the revision up to which the watch is complete, a blocking query with whether its server has a leader.
      */
     record RequestProgress(long callId) implements RegistryCall {}
 
-    /** End the request; none of its events is used any more. */
+    /** Cancels the request; further events of it are ignored. */
     record Cancel(long callId) implements RegistryCall {}
 }
--- a/src/main/java/mintstair/registry/view/RegistryEvent.java
+++ b/src/main/java/mintstair/registry/view/RegistryEvent.java
@@ -2,37 +2,46 @@
 
 import java.util.List;
 
-/** What the connection reports of a call. Events of a call that is not in progress any more are ignored. */
+/** An event of a call, as reported by the connection. Events of a call that is no longer in progress are ignored. */
 public sealed interface RegistryEvent {
-    /** The id of the call that this belongs to. */
+    /** Returns the id of the call that this event belongs to. */
     long callId();
 
-    /** One page of a linearizable read; {@code more} where further entries follow at the same revision. */
+    /**
+     * One page of a linearizable read.
+     *
+     * @param more whether the registry has further entries after this page at the same revision
+     */
     record Page(long callId, RegistryPosition position, List<RegistryEntry> entries, boolean more)
             implements RegistryEvent {}
 
     /**
-     * The response to {@link RegistryCall.ReadPosition}; linearizable, so it is not the position of a lagging member.
+     * The response to {@link RegistryCall.ReadPosition}. The read is linearizable, so this is not the position of a
+     * member that lags.
      */
     record PositionRead(long callId, RegistryPosition position) implements RegistryEvent {}
 
-    /** A watch has begun; the position is the responding member's own, which may lag. */
+    /** A watch has been created. The position is that of the responding member, which may lag. */
     record WatchCreated(long callId, RegistryPosition position) implements RegistryEvent {}
 
-    /** Changes by ascending revision; {@code fragment} where further messages continue the same revision. */
+    /**
+     * Changes in ascending order of revision.
+     *
+     * @param fragment whether further messages continue the same revision
+     */
     record Changes(long callId, RegistryPosition position, List<EntryChange> changes, boolean fragment)
             implements RegistryEvent {}
 
-    /** A watch has reported all changes up to the position; the server of a blocking query knows a leader. */
+    /** A watch has reported all changes up to the position, or the server of a blocking query has a leader. */
     record Progress(long callId, RegistryPosition position) implements RegistryEvent {}
 
-    /** Where the quorum stands, read to check a watch: the watch must soon have come as far. */
+    /** The quorum's position, read to check a watch, which must reach it before its deadline. */
     record QuorumPosition(long callId, RegistryPosition position) implements RegistryEvent {}
 
     /**
      * The response to a blocking query: all entries at this index.
      *
-     * @param leaderConfirmed whether the server is known to be in contact with a leader
+     * @param leaderConfirmed whether the response confirms that the server is in contact with a leader
      */
     record FullList(long callId, long index, List<RegistryEntry> entries, boolean leaderConfirmed)
             implements RegistryEvent {}
@@ -40,18 +49,22 @@
     /** The requested revision has been compacted away. */
     record Compacted(long callId) implements RegistryEvent {}
 
-    /** The call failed; {@code detail} is one line for the log. */
+    /**
+     * The call has failed.
+     *
+     * @param detail one line for the log
+     */
     record CallFailed(long callId, Reason reason, String detail) implements RegistryEvent {}
 
     /** Why a call failed. */
     enum Reason {
-        /** The connection was refused, was lost, or ended in the middle of a message. */
+        /** The connection was refused, was lost, or ended within a message. */
         BROKEN("broken"),
-        /** No message in time. */
+        /** No message was received before the deadline. */
         SILENT("silent"),
-        /** The member knows no leader: the quorum is lost, or the member is partitioned off. */
+        /** The member has no leader: the quorum is lost, or the member is separated from it by a network partition. */
         NO_LEADER("no_leader"),
-        /** The server ended the watch. */
+        /** The server cancelled the watch, or the revision of a read was compacted. */
         CANCELLED("cancelled"),
         /** The member has not reached the requested revision. */
         LAGS("lags"),
@@ -59,7 +72,7 @@
         FOREIGN("foreign"),
         /** The server is overloaded or has an internal error. */
         BUSY("busy"),
-        /** User, password, token or certificate were not accepted. */
+        /** The user, password, token or certificate was not accepted. */
         DENIED("denied"),
         /** The response violates the protocol. */
         MALFORMED("malformed");
@@ -70,7 +83,7 @@
             this.metricName = metricName;
         }
 
-        /** The name in metrics, after {@code breaks_}. */
+        /** Returns the suffix of the metric {@code breaks_...} that counts this reason. */
         String metricName() {
             return metricName;
         }
--- a/src/main/java/mintstair/registry/view/RegistryKeys.java
+++ b/src/main/java/mintstair/registry/view/RegistryKeys.java
@@ -4,47 +4,53 @@
 import java.util.List;
 
 /**
- * The layout of the registry's keys: {@code PREFIX FRONT/hosts/UID} for a host of a front, {@code PREFIX settings} for
- * settings. Keys hold their bytes as characters of ISO 8859-1, see {@link RegistryEntry}.
+ * The layout of the registry's keys: the prefix followed by {@code FRONT/hosts/UID} for a host of a front, and by
+ * {@code settings} for the settings. In a key, each character of ISO 8859-1 is one byte, see {@link RegistryEntry}.
+ * Immutable.
  */
 public final class RegistryKeys {
-    private static final String HOSTS = "/hosts/";
-    private static final String SETTINGS = "settings";
+    private static final String HOSTS_SEGMENT = "/hosts/";
+    private static final String SETTINGS_NAME = "settings";
 
     private final String prefix;
     private final List<String> fronts;
 
-    /** The prefix comes before every key; it ends with a slash. */
+    /**
+     * Creates the layout.
+     *
+     * @param prefix the prefix of all keys, which ends with a slash
+     * @param fronts the names of the fronts whose hosts are in the registry
+     */
     public RegistryKeys(String prefix, List<String> fronts) {
         this.prefix = prefix;
         this.fronts = List.copyOf(fronts);
     }
 
-    /** The prefix of all keys. */
+    /** Returns the prefix of all keys. */
     public String prefix() {
         return prefix;
     }
 
-    /** The fronts whose hosts are in the registry. */
+    /** Returns the names of the fronts whose hosts are in the registry. */
     public List<String> fronts() {
         return fronts;
     }
 
-    /** The key of a host of this front. */
+    /** Returns the key of a host of this front. */
     public String hostKey(String front, String uid) {
-        return hostsPrefix(front) + bytesAsCharacters(uid);
+        return hostsPrefix(front) + encode(uid);
     }
 
-    /** The key of the settings. */
+    /** Returns the key of the settings. */
     public String settingsKey() {
-        return prefix + SETTINGS;
+        return prefix + SETTINGS_NAME;
     }
 
     boolean isSettingsKey(String key) {
         return key.equals(settingsKey());
     }
 
-    /** The front that the key is a host of, or null for another key. */
+    /** Returns the front of the host with this key, or null if it is not the key of a host. */
     String frontOf(String key) {
         for (String front : fronts) {
             if (key.startsWith(hostsPrefix(front))) {
@@ -54,21 +60,21 @@
         return null;
     }
 
-    /** The uid in the key of a host of this front. */
+    /** Returns the uid in the key of a host of this front. */
     String uidOf(String key, String front) {
-        return charactersOf(key.substring(hostsPrefix(front).length()));
+        return decode(key.substring(hostsPrefix(front).length()));
     }
 
     private String hostsPrefix(String front) {
-        return prefix + front + HOSTS;
+        return prefix + front + HOSTS_SEGMENT;
     }
 
-    /** The text that a key, or a part of one, is the bytes of. */
-    static String charactersOf(String key) {
+    /** Decodes a key, or a part of one, as UTF-8. */
+    static String decode(String key) {
         return new String(key.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
     }
 
-    private static String bytesAsCharacters(String text) {
+    private static String encode(String text) {
         return new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/main/java/mintstair/registry/view/RegistryView.java
+++ b/src/main/java/mintstair/registry/view/RegistryView.java
@@ -10,12 +10,12 @@
 
 /**
  * A replica of a registry's entries that is kept current by calls to one of the registry's servers at a time. This
- * class holds what does not depend on the kind of registry: the entries, the call in progress with its deadline, the
- * reconnection after a failure, and how old the view is. A subclass holds the protocol: which call follows on which
+ * class contains what does not depend on the kind of registry: the entries, the call in progress with its deadline,
+ * reconnecting after a failure, and the age of the view. A subclass implements the protocol: which call follows which
  * event.
  *
- * <p>The owner passes in events and the time, at {@link #wakeAt} at the latest, and carries out the returned {@link
- * ViewStep}s. Time never goes back here, whatever the owner's clock does. Not thread-safe.
+ * <p>The owner passes in events and the time, at {@link #wakeAt} at the latest, and executes the returned {@link
+ * ViewStep}s in order. If a passed time is before the last one, the last one is used. Not thread-safe.
  */
 public abstract sealed class RegistryView permits WatchView, PollView {
     private static final long NO_CALL = 0;
@@ -31,22 +31,20 @@
     private final LogRateLimiter failureLog = new LogRateLimiter();
     private final Map<String, Long> counts = new TreeMap<>();
 
-    /** The calls and updates of the step that is being made. */
+    /** The calls of the current step. */
     private List<RegistryCall> calls = new ArrayList<>();
-
+    /** The updates of the current step. */
     private List<ViewUpdate> updates = new ArrayList<>();
 
     long nowMicros;
-    /**
-     * The history that the entries belong to, the revision that they are complete up to (below 0: none), its highest
-     * term.
-     */
+    /** The cluster id of the registry that the entries were read from. */
     long clusterId;
-
+    /** The revision up to which the entries are complete; -1 before the first complete read. */
     long revision = -1;
+    /** The highest Raft term that has been received from this registry. */
     long term;
 
-    /** Whether the registry has confirmed the entries since the start; before, deltas of endpoints are not emitted. */
+    /** Whether the registry has confirmed the entries since the start; until then, endpoint deltas are not emitted. */
     private boolean live;
 
     private long confirmedAt = NEVER;
@@ -67,7 +65,11 @@
         reconnectPolicy = new ReconnectPolicy(servers, timeouts, random);
     }
 
-    /** Starts from the last run's snapshot, or null for none, and makes the first call. */
+    /**
+     * Starts the view and makes the first call.
+     *
+     * @param snapshot the snapshot of an earlier run; null for none
+     */
     public final ViewStep start(long atMicros, Snapshot snapshot) {
         nowMicros = atMicros;
         if (snapshot != null) {
@@ -82,7 +84,7 @@
         return endStep();
     }
 
-    /** Handles an event of the connection. */
+    /** Handles an event of the connection; an event of a call that is no longer in progress has no effect. */
     public final ViewStep on(long atMicros, RegistryEvent event) {
         nowMicros = Math.max(nowMicros, atMicros);
         if (callInProgress == NO_CALL || event.callId() != callInProgress) {
@@ -98,7 +100,7 @@
         return endStep();
     }
 
-    /** Lets time pass. */
+    /** Handles deadlines that have passed at this time. */
     public final ViewStep tick(long atMicros) {
         nowMicros = Math.max(nowMicros, atMicros);
         table.flushLog(nowMicros, updates::add);
@@ -112,13 +114,13 @@
         return endStep();
     }
 
-    /** When {@link #tick} has something to do next. */
+    /** Returns the time at which {@link #tick} must be called next, unless an event is handled before. */
     public final long wakeAt() {
         long callWakeAt = callInProgress == NO_CALL ? nextAttemptAt : callDeadline;
         return Math.min(callWakeAt, Math.min(table.nextFlushAt(), failureLog.nextFlushAt()));
     }
 
-    /** The view as it is stored over a restart; null while there is none. */
+    /** Returns a snapshot to be stored for a restart; null before the first complete read. */
     public final Snapshot snapshot() {
         if (revision < 0) {
             return null;
@@ -126,11 +128,11 @@
         return new Snapshot(keys.prefix(), clusterId, revision, term, confirmedAt, table.entries());
     }
 
-    /** The state of the view at this time. */
+    /** Returns the state of the view at this time. */
     public final ViewMetrics metrics(long atMicros) {
         Map<String, Long> allCounts = new TreeMap<>(counts);
-        allCounts.put("unreadable", table.unreadable());
-        allCounts.put("overflown", table.overflown());
+        allCounts.put("unreadable", table.invalidCount());
+        allCounts.put("overflown", table.excludedCount());
         return new ViewMetrics(
                 clusterId,
                 revision,
@@ -144,25 +146,25 @@
                 allCounts);
     }
 
-    /** The whole lists of all fronts, for a receiver that has missed updates. */
+    /** Returns the complete endpoint lists of all fronts, for a receiver that has lost updates. */
     public final List<ViewUpdate> fullUpdate() {
         List<ViewUpdate> all = new ArrayList<>();
         table.emitAll(revision, !live, all::add);
         return all;
     }
 
-    /** Makes the first call of an attempt, at the current server. */
+    /** Makes the first call of an attempt to the current server. */
     abstract void connect();
 
     /** Handles an event of the call in progress, other than its failure. */
     abstract void handle(RegistryEvent event);
 
-    /** The deadline of the call in progress has passed; by default it has failed. */
+    /** Handles that the deadline of the call in progress has passed; by default, the call fails. */
     void onDeadline() {
-        failCall(Reason.SILENT, "no message in time");
+        failCall(Reason.SILENT, "no message before the deadline");
     }
 
-    /** The call in progress has failed: discards what it has delivered in part. */
+    /** Handles that the call in progress has failed: discards incomplete data that it has delivered. */
     abstract void onCallLost(Reason reason);
 
     private void makeNextAttempt() {
@@ -171,7 +173,8 @@
     }
 
     /**
-     * Begins a call in place of the one in progress; it is to show a sign of life within the timeout. Returns its id.
+     * Cancels the call in progress, if any, and begins a new one, which must deliver an event within the timeout.
+     * Returns the id of the new call.
      */
     final long beginCall(long timeoutMicros) {
         cancelCall();
@@ -210,26 +213,27 @@
         count("breaks_" + reason.metricName());
         lastFailureAt = nowMicros;
         lastFailure = reason.metricName().replace('_', ' ') + ": " + detail;
-        failureLog.log(nowMicros, "registry: endpoint " + servers.current() + " " + lastFailure, updates::add);
+        failureLog.log(
+                nowMicros, "registry: call to endpoint " + servers.current() + " failed: " + lastFailure, updates::add);
         onCallLost(reason);
         nextAttemptAt = nowMicros + reconnectPolicy.advanceAfterFailure(reason, nowMicros);
     }
 
-    /** The connection works: the next failure counts as the first. */
+    /** Resets the backoff, so that the next failure counts as the first. */
     final void resetReconnect() {
         reconnectPolicy.recordSuccess();
     }
 
     /**
-     * Whether the current server belongs to the registry that the view follows, or to one that the majority of the
-     * servers now belong to, which then takes its place. If neither, the call fails.
+     * Returns whether the current server may be followed: it belongs to the same registry as the entries, or to one
+     * that the majority of the servers now belong to, or there are no entries yet. Otherwise fails the call.
      */
     final boolean checkCluster(RegistryPosition position) {
         servers.recordClusterId(position.clusterId());
         if (position.clusterId() == clusterId || revision < 0 || servers.majorityIsOf(position.clusterId())) {
             return true;
         }
-        failCall(Reason.FOREIGN, "cluster id " + hex(position.clusterId()) + " in place of " + hex(clusterId));
+        failCall(Reason.FOREIGN, "cluster id " + hex(position.clusterId()) + ", expected " + hex(clusterId));
         return false;
     }
 
@@ -237,7 +241,7 @@
         return Long.toUnsignedString(id, 16);
     }
 
-    /** The registry has confirmed that the view is complete up to {@link #revision}, and that it stands there. */
+    /** Records that the registry has confirmed that {@link #revision} is current and the view complete up to it. */
     final void confirm() {
         confirmedAt = nowMicros;
         if (!live) {
@@ -247,8 +251,8 @@
     }
 
     /**
-     * Takes updates from the table; deltas of endpoints only once the view is live, as the whole lists come before
-     * them.
+     * Returns the receiver of the table's updates. It drops endpoint deltas until the view is live, because the
+     * complete lists must be emitted before them.
      */
     final Consumer<ViewUpdate> updateSink() {
         return live ? updates::add : this::emitUnlessEndpoints;
--- a/src/main/java/mintstair/registry/view/ServerRotation.java
+++ b/src/main/java/mintstair/registry/view/ServerRotation.java
@@ -4,23 +4,23 @@
 import java.util.Random;
 
 /**
- * Which of the registry's servers to call. Each proxy goes through them in a random order of its own, so that proxies
- * that lose a server together spread over the others. Servers that lag are avoided for a while, unless all do. Not
+ * Selects which of the registry's servers to call. Each proxy uses its own random order, so that proxies that lose a
+ * server at the same time spread over the others. Servers that lag are avoided for some time unless all lag. Not
  * thread-safe.
  */
 final class ServerRotation {
     private static final long NO_CLUSTER_ID = 0;
 
     private final int[] order;
-    private final long[] laggingUntil;
-    /** The cluster id that each server last responded with; {@link #NO_CLUSTER_ID} for none yet. */
+    private final long[] avoidedUntilMicros;
+    /** The cluster id in the last response of each server; {@link #NO_CLUSTER_ID} before the first response. */
     private final long[] clusterIds;
 
     private int position;
 
     ServerRotation(int servers, Random random) {
         order = shuffled(servers, random);
-        laggingUntil = new long[servers];
+        avoidedUntilMicros = new long[servers];
         clusterIds = new long[servers];
         Arrays.fill(clusterIds, NO_CLUSTER_ID);
     }
@@ -39,13 +39,14 @@
         return order.length;
     }
 
+    /** Returns the index of the server to call now. */
     int current() {
         return order[position];
     }
 
     /**
-     * Goes on to the next server that is not known to lag, or else to the one that is avoided for the shortest time
-     * still.
+     * Advances to the next server that is not avoided because it lags; if all are, to the one whose avoidance ends
+     * first.
      */
     void advance(long nowMicros) {
         int best = (position + 1) % order.length;
@@ -59,21 +60,22 @@
     }
 
     private long avoidedMicros(int candidate, long nowMicros) {
-        return Math.max(0, laggingUntil[order[candidate]] - nowMicros);
+        return Math.max(0, avoidedUntilMicros[order[candidate]] - nowMicros);
     }
 
+    /** Avoids the current server until this time. */
     void markCurrentLagging(long untilMicros) {
-        laggingUntil[current()] = untilMicros;
+        avoidedUntilMicros[current()] = untilMicros;
     }
 
-    /** The current server responded as a member of this cluster. */
+    /** Records that the current server responded as a member of this cluster. */
     void recordClusterId(long clusterId) {
         clusterIds[current()] = clusterId;
     }
 
     /**
-     * Whether the majority of the servers last responded as members of this cluster. A minority, which may be
-     * misconfigured or have come up empty, must not replace what the others hold.
+     * Returns whether the majority of the servers last responded as members of this cluster. A minority may be
+     * misconfigured or may have started without data, and must not replace the entries of the others.
      */
     boolean majorityIsOf(long clusterId) {
         return Arrays.stream(clusterIds).filter(id -> id == clusterId).count() * 2 > order.length;
--- a/src/main/java/mintstair/registry/view/TransactionBuffer.java
+++ b/src/main/java/mintstair/registry/view/TransactionBuffer.java
@@ -4,8 +4,7 @@
 import java.util.List;
 
 /**
- * Collects the fragments of a message of a watch, so that the changes of one revision take effect together. Not
- * thread-safe.
+ * Collects the fragments of a watch message, so that all changes of a revision are applied together. Not thread-safe.
  */
 final class TransactionBuffer {
     private final long maxBytes;
@@ -31,7 +30,7 @@
         return changes.isEmpty();
     }
 
-    /** Empties the buffer and returns what was in it. */
+    /** Removes and returns all changes. */
     List<EntryChange> drain() {
         List<EntryChange> drained = changes;
         clear();
--- a/src/main/java/mintstair/registry/view/ViewLimits.java
+++ b/src/main/java/mintstair/registry/view/ViewLimits.java
@@ -1,8 +1,9 @@
 package mintstair.registry.view;
 
 /**
- * The bounds of a view. Longer keys and values count as unreadable; hosts beyond the number or the bytes of all entries
- * are left out and counted; a transaction beyond its bytes is dropped, and all entries are read again.
+ * The limits of a view. Entries with longer keys or values are rejected as invalid. Hosts beyond the maximum number, or
+ * the maximum total size of all entries, are left out and counted. A transaction beyond its limit is dropped, and all
+ * entries are read again.
  */
 public record ViewLimits(
         int maxKeyBytes,
@@ -11,6 +12,6 @@
         int maxHosts,
         long maxTotalBytes,
         long maxTransactionBytes) {
-    /** For some thousands of hosts with values of some hundred bytes. */
+    /** Limits for several thousand hosts with values of some hundred bytes each. */
     public static final ViewLimits DEFAULT = new ViewLimits(512, 16 << 10, 256 << 10, 20_000, 32L << 20, 16L << 20);
 }
--- a/src/main/java/mintstair/registry/view/ViewStep.java
+++ b/src/main/java/mintstair/registry/view/ViewStep.java
@@ -3,7 +3,6 @@
 import java.util.List;
 
 /**
- * What follows from one event or the passing of time: calls to carry out, and updates that take effect together, in
- * order.
+ * The result of one event or tick: calls to make, in order, and updates, in order, which take effect together.
  */
 public record ViewStep(List<RegistryCall> calls, List<ViewUpdate> updates) {}
--- a/src/main/java/mintstair/registry/view/WatchView.java
+++ b/src/main/java/mintstair/registry/view/WatchView.java
@@ -5,44 +5,51 @@
 import mintstair.registry.view.RegistryEvent.Reason;
 
 /**
- * Follows a registry that has revisions and streams changes from any of them on: a paged read of all entries at one
- * revision, then a watch from the next revision on. After a lost connection the watch continues from the next revision
- * that is not applied yet. Only where that has been compacted, or the registry's history is another one, everything is
- * read again; until that is complete the old entries stand.
+ * Follows a registry that streams changes by revision (etcd): a paged read of all entries at one revision, then a watch
+ * from the next revision on. After a lost connection the watch continues from the first revision that is not applied
+ * yet. All entries are read again only if that revision has been compacted, or the registry was restored or replaced;
+ * until the read is complete, the old entries remain in use.
  *
- * <p>It relies on these guarantees of the registry: a linearizable read never shows less than an earlier one, so one
- * that does shows a restored history; a message of a watch holds whole revisions unless it is marked as a fragment; a
- * progress message means that nothing is missing up to its revision.
+ * <p>It relies on these guarantees of the registry. A linearizable read never returns an older position than an earlier
+ * one, so an older position means that the registry was restored from a backup. A message of a watch contains complete
+ * revisions unless it is marked as a fragment. After a progress message, no change up to its revision is missing.
  *
- * <p>A watch without messages may be quiet, dead, or of a member that lags. It is therefore checked periodically: the
- * quorum's revision is read, and the watch must report that it has come as far, see {@link ProgressCheck}.
+ * <p>A watch without messages may have no changes to report, may be dead, or its member may lag. It is therefore
+ * checked periodically: the quorum's revision is read, and the watch must reach it before a deadline, see {@link
+ * ProgressCheck}.
  */
 public final class WatchView extends RegistryView {
     private static final int INITIAL_PAGE_SIZE = 500;
     private static final int MAX_PAGE_SIZE = 16_000;
-    /** A watch that is catching up may take this many times the keepalive timeout to reach the quorum. */
+    /** A watch that is catching up may take this many times the keepalive timeout to reach the quorum's revision. */
     private static final int CATCH_UP_FACTOR = 3;
 
     private enum Phase {
         IDLE,
         /** Reading all entries. */
         READING,
-        /** Reading the quorum's position, after a member reported an older one than is known. */
+        /** Reading the quorum's position, after a member reported an older position than the view's. */
         CHECKING_POSITION,
+        /** Following a watch, or waiting for its creation. */
         WATCHING
     }
 
     private final TransactionBuffer transaction;
     private final ProgressCheck progressCheck = new ProgressCheck();
     private Phase phase = Phase.IDLE;
-    /** The read that is in progress, also between two attempts; null for none. */
+    /** The read in progress, which is kept between attempts; null for none. */
     private PagedRead read;
 
     private boolean fullReadRequired;
     private int pageSize = INITIAL_PAGE_SIZE;
     private boolean watchCreated;
 
-    /** Servers are given by their number; the seed decides their order and all delays. */
+    /**
+     * Creates a view without entries.
+     *
+     * @param serverCount the number of servers; calls name a server by its index
+     * @param seed the seed of the order of the servers and of all random delays
+     */
     public WatchView(RegistryKeys keys, ViewLimits limits, ViewTimeouts timeouts, int serverCount, long seed) {
         super(keys, limits, timeouts, serverCount, seed);
         transaction = new TransactionBuffer(limits.maxTransactionBytes());
@@ -74,14 +81,17 @@
         send(new RegistryCall.Watch(callId, servers.current(), revision + 1));
     }
 
-    /** A member's own position contradicts what is known: the quorum's position shows which of both is out of date. */
+    /**
+     * Reads the quorum's position, because a member reported an older position than the view's. It shows whether the
+     * member lags or the registry was restored.
+     */
     private void checkPosition() {
         phase = Phase.CHECKING_POSITION;
         long callId = beginCall(timeouts.callMicros());
         send(new RegistryCall.ReadPosition(callId, servers.current()));
     }
 
-    /** What is known cannot be continued; it stands until the read of all entries is complete. */
+    /** Reads all entries again, because the watch cannot continue. The old entries are used until then. */
     private void readAll() {
         transaction.clear();
         fullReadRequired = true;
@@ -102,7 +112,9 @@
             case WATCHING -> handleWhileWatching(event);
         };
         if (!expected) {
-            failCall(Reason.MALFORMED, "unexpected response");
+            failCall(
+                    Reason.MALFORMED,
+                    "unexpected response of type " + event.getClass().getSimpleName());
         }
     }
 
@@ -141,8 +153,8 @@
         if (!checkCluster(page.position())) {
             return;
         }
-        if (!read.pinOrMatch(page.position())) {
-            // The pages so far are of another history.
+        if (!read.pinOrCheck(page.position())) {
+            // The earlier pages belong to another history.
             read = null;
             readNextPage();
             return;
@@ -151,7 +163,7 @@
         if (!page.more()) {
             finishRead();
         } else if (page.entries().isEmpty()) {
-            failCall(Reason.MALFORMED, "an empty page that is not the last");
+            failCall(Reason.MALFORMED, "empty page that is not the last one");
         } else {
             readNextPage();
         }
@@ -160,17 +172,19 @@
     private void finishRead() {
         RegistryPosition position = read.position();
         boolean replaced = revision >= 0 && position.clusterId() != clusterId;
-        boolean wentBack = revision >= 0 && isBehind(position);
-        if (wentBack) {
+        boolean restored = revision >= 0 && isBehind(position);
+        if (restored) {
             count("set_back");
-            log("history went back from revision " + revision + " to " + position.revision() + ", as after a restore");
+            log("history changed from revision " + revision + " of term " + term + " to revision " + position.revision()
+                    + " of term " + position.term() + "; the registry was restored from a backup");
         }
         if (replaced) {
             count("replaced");
-            log("replaced by another registry, cluster id " + hex(position.clusterId()));
+            log("cluster id changed from " + hex(clusterId) + " to " + hex(position.clusterId())
+                    + "; the registry was replaced by another one");
         }
-        table.countOverflown(read.overflown());
-        table.replace(read.entries(), position.revision(), !replaced && !wentBack, nowMicros, updateSink());
+        table.countExcluded(read.excludedCount());
+        table.replace(read.entries(), position.revision(), !replaced && !restored, nowMicros, updateSink());
         clusterId = position.clusterId();
         revision = position.revision();
         term = position.term();
@@ -182,7 +196,7 @@
         watch();
     }
 
-    /** Whether a linearizable read at this position shows less of the same registry than is known already. */
+    /** Whether this position, from a linearizable read, is older than the view's in the same registry. */
     private boolean isBehind(RegistryPosition position) {
         return position.clusterId() == clusterId && isOlder(position);
     }
@@ -193,11 +207,11 @@
 
     private void onCompacted() {
         if (phase == Phase.READING) {
-            // Larger pages make the next read faster than the compaction.
+            // With larger pages the next read takes less time, so that it can finish before the next compaction.
             count("compacted_while_reading");
             read = null;
             pageSize = Math.min(MAX_PAGE_SIZE, pageSize * 2);
-            failCall(Reason.CANCELLED, "compacted while it was read");
+            failCall(Reason.CANCELLED, "revision compacted during the read");
         } else {
             count("compacted");
             readAll();
@@ -212,7 +226,7 @@
             readAll();
         } else {
             term = position.term();
-            failCall(Reason.LAGS, "it is behind revision " + revision);
+            failCall(Reason.LAGS, "server has not reached revision " + revision);
         }
     }
 
@@ -254,7 +268,7 @@
             if (changeRevision <= revision) {
                 count("repeated");
             } else if (changeRevision < newestRevision) {
-                failCall(Reason.MALFORMED, "changes out of order");
+                failCall(Reason.MALFORMED, "change of revision " + changeRevision + " after one of " + newestRevision);
                 return;
             } else {
                 newestRevision = changeRevision;
@@ -291,7 +305,7 @@
             readAll();
         } else {
             term = position.term();
-            progressCheck.recordQuorum(position.revision());
+            progressCheck.recordQuorumRevision(position.revision());
             endProgressCheckIfPassed();
         }
     }
@@ -327,13 +341,13 @@
         } else if (isCatchingUp()) {
             setCallDeadline(nowMicros + timeouts.keepaliveTimeoutMicros() / 2);
         } else if (progressCheck.isMemberResponding()) {
-            failCall(Reason.LAGS, "it stays behind revision " + progressCheck.quorumRevision());
+            failCall(Reason.LAGS, "watch did not reach the quorum's revision " + progressCheck.quorumRevision());
         } else {
             super.onDeadline();
         }
     }
 
-    /** The watch comes nearer to the quorum: it may have missed much. */
+    /** Whether the watch is still approaching the quorum's revision, as after a long interruption. */
     private boolean isCatchingUp() {
         return progressCheck.advancedTo(revision)
                 && !progressCheck.isOlderThan(CATCH_UP_FACTOR * timeouts.keepaliveTimeoutMicros(), nowMicros);
@@ -342,7 +356,7 @@
     @Override
     void onCallLost(Reason reason) {
         if (phase == Phase.READING && (reason == Reason.MALFORMED || reason == Reason.LAGS)) {
-            // Not even the quorum has reached the read's revision: it is of a history that was replaced by a restore.
+            // The quorum has not reached the revision of the read, so that belongs to a history before a restore.
             read = null;
         }
         phase = Phase.IDLE;
