--- a/src/main/java/mintstair/store/KeyValueStateMachine.java
+++ b/src/main/java/mintstair/store/KeyValueStateMachine.java
@@ -20,13 +20,13 @@
 import org.apache.ratis.statemachine.impl.SingleFileSnapshotInfo;
 
 /**
- * The state machine of a member: keys and values, changed by committed log entries only. Thread-safe: Ratis applies
- * entries, takes snapshots and queries on threads of its own.
+ * The replicated state of a member: keys and values, which only committed log entries change. Thread-safe, because
+ * Ratis applies entries, takes snapshots and runs queries on its own threads.
  */
 final class KeyValueStateMachine extends BaseStateMachine {
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
 
-    /** Guarded by this object's monitor. */
+    /** Values by key; guarded by the monitor of the state machine. */
     private final Map<String, String> entries = new TreeMap<>();
 
     @Override
@@ -38,7 +38,7 @@
         load(storage.getLatestSnapshot());
     }
 
-    /** Ratis calls this after it has received a snapshot from the leader. */
+    /** Loads the latest snapshot; called by Ratis after it has received one from the leader. */
     @Override
     public void reinitialize() throws IOException {
         load(storage.getLatestSnapshot());
@@ -59,7 +59,7 @@
         setLastAppliedTermIndex(snapshot.getTermIndex());
     }
 
-    /** Writes the entries to a file, after which Ratis may truncate the log up to the returned index. */
+    /** Writes the entries to a file and returns the log index up to which Ratis may then truncate the log. */
     @Override
     public synchronized long takeSnapshot() throws IOException {
         TermIndex last = getLastAppliedTermIndex();
@@ -87,7 +87,7 @@
         return CompletableFuture.completedFuture(StoreMessages.queryReply(value));
     }
 
-    /** The value of a key as this member has it; null if there is no such key. */
+    /** Returns this member's value of the key; null if there is no such key. */
     synchronized String get(String key) {
         return entries.get(key);
     }
--- a/src/main/java/mintstair/store/Store.java
+++ b/src/main/java/mintstair/store/Store.java
@@ -31,29 +31,30 @@
 import org.apache.ratis.util.TimeDuration;
 
 /**
- * The daemons' small replicated key-value store of configuration and state: a Raft group on Apache Ratis. A write is
- * acknowledged when a majority of the members has it; without a majority it is rejected.
+ * A small replicated key-value store for the configuration and state of the daemons: a Raft group on Apache Ratis. A
+ * write is acknowledged once a majority of the members has it, and fails without a majority.
  *
- * <p>For data that changes seldom. It is never on the path of a request, and does not hold session tokens or the health
- * of hosts, which each proxy learns by itself. Thread-safe. {@link #put} and {@link #get} block until a majority has
- * answered or the attempts of the Ratis client are used up; {@link #getLocal} does not block.
+ * <p>The store is intended for data that seldom changes. No client request of the proxy depends on it, and it does not
+ * contain session tokens or the health of hosts, which each proxy determines on its own. Thread-safe. {@link #put} and
+ * {@link #get} block until a majority has responded or the attempts of the Ratis client are exhausted; {@link
+ * #getLocal} does not block.
  */
 public final class Store implements Closeable {
-    /** Bound of the length of key and value together, in characters; a list of some thousand hosts is shorter. */
+    /** The maximum total length of key and value in characters; a list of several thousand hosts is shorter. */
     public static final int MAX_ENTRY_CHARS = 1024 * 1024;
 
-    /** A log entry must fit the buffer in which it is sent, and the one in which it is written. */
+    /** A log entry must fit into the send buffer and the write buffer. */
     private static final int BUFFER_BYTES = 2 * MAX_ENTRY_CHARS;
 
     private static final int SEGMENT_BYTES = 4 * BUFFER_BYTES;
-    /** Ratis requires that the write buffer is larger than the send buffer by this. */
+    /** Ratis requires the write buffer to be larger than the send buffer by this. */
     private static final int WRITE_BUFFER_MARGIN_BYTES = 8;
 
     private static final String PREALLOCATED_SIZE = "64KB";
     private static final long ENTRIES_PER_SNAPSHOT = 1000;
 
     private static final TimeDuration REQUEST_TIMEOUT = TimeDuration.valueOf(1, TimeUnit.SECONDS);
-    /** A leader that a majority has not answered for this long steps down, and rejects requests. */
+    /** A leader that gets no response from a majority for this long steps down and rejects requests. */
     private static final TimeDuration LEADER_STEP_DOWN_TIMEOUT = REQUEST_TIMEOUT;
 
     private static final int MAX_ATTEMPTS = 20;
@@ -61,7 +62,7 @@
     private static final RaftGroupId GROUP_ID =
             RaftGroupId.valueOf(UUID.nameUUIDFromBytes("mintstair".getBytes(StandardCharsets.UTF_8)));
 
-    /** Null outside the group, as is the state machine. */
+    /** Null, like the state machine, if this is a client that is not a member. */
     private final RaftServer server;
 
     private final KeyValueStateMachine stateMachine;
@@ -74,12 +75,13 @@
     }
 
     /**
-     * Starts a member of the group, with the data that its directory has from before. The other members may start
+     * Starts a member of the group with the data that an earlier run left in its directory. The other members may start
      * later.
      *
-     * @param name name of this member
-     * @param members addresses of all members by name, this one included
-     * @param directory where this member keeps its log and snapshots
+     * @param name the name of this member
+     * @param members the addresses of all members by name, including this one
+     * @param directory the directory of this member's log and snapshots
+     * @throws IOException if the member cannot be started
      */
     public static Store startMember(String name, Map<String, InetSocketAddress> members, Path directory)
             throws IOException {
@@ -95,7 +97,12 @@
         return new Store(server, stateMachine, client(members));
     }
 
-    /** Connects to the members without being one; only {@link #put} and {@link #get} are available. */
+    /**
+     * Creates a client that is not a member of the group; only {@link #put}, {@link #get} and {@link #close} may be
+     * called on it.
+     *
+     * @param members the addresses of all members by name
+     */
     public static Store createClient(Map<String, InetSocketAddress> members) {
         return new Store(null, null, client(members));
     }
@@ -151,24 +158,27 @@
     }
 
     /**
-     * Writes an entry.
+     * Writes an entry, and replaces the value that the key has.
      *
-     * @throws IllegalArgumentException if the key is empty or contains a zero character, or the entry is too long
-     * @throws NoQuorumException if no majority acknowledged the write in time; it may still take effect later
+     * @throws IllegalArgumentException if the key is empty or contains a zero character, or key and value together
+     *     are longer than {@link #MAX_ENTRY_CHARS}
+     * @throws NoQuorumException if no majority acknowledged the write in time; the write may still take effect later
      * @throws IOException if the write failed for another reason
      */
     public void put(String key, String value) throws IOException {
         if (!StoreMessages.isValidKey(key) || key.length() + value.length() > MAX_ENTRY_CHARS) {
-            throw new IllegalArgumentException("no entry for the store: " + key.length() + " + " + value.length());
+            throw new IllegalArgumentException("invalid entry: key of " + key.length() + " and value of "
+                    + value.length() + " characters; the key must not be empty or contain a zero character, and both"
+                    + " together are limited to " + MAX_ENTRY_CHARS);
         }
         Message write = StoreMessages.write(key, value);
         send(() -> client.io().send(write));
     }
 
     /**
-     * Reads an entry as a majority has it; null if there is no such key.
+     * Returns the value of the key, read linearizably; null if there is no such key.
      *
-     * @throws NoQuorumException if no majority answered in time
+     * @throws NoQuorumException if no majority responded in time
      * @throws IOException if the read failed for another reason
      */
     public String get(String key) throws IOException {
@@ -177,17 +187,17 @@
         return StoreMessages.parseQueryReply(reply.getMessage());
     }
 
-    /** Reads an entry as this member has it, which may be outdated; null if there is no such key. */
+    /** Returns this member's value of the key, which may be outdated; null if there is no such key. */
     public String getLocal(String key) {
         return stateMachine.get(key);
     }
 
-    /** Whether this member is the leader of the group now. */
+    /** Returns whether this member is currently the leader of the group. */
     public boolean isLeader() throws IOException {
         return server.getDivision(GROUP_ID).getInfo().isLeader();
     }
 
-    /** A request to the group, which the Ratis client retries. */
+    /** A request to the group, which is retried by the Ratis client. */
     @FunctionalInterface
     private interface Request {
         RaftClientReply send() throws IOException;
@@ -201,12 +211,12 @@
             throw new NoQuorumException(e.getMessage(), e);
         }
         if (!reply.isSuccess()) {
-            throw new StoreException("the store refused: " + reply.getException(), reply.getException());
+            throw new StoreException("the store rejected the request: " + reply.getException(), reply.getException());
         }
         return reply;
     }
 
-    /** Closes the client and, on a member, the server. */
+    /** Closes the client and, if this is a member, the server. */
     @Override
     public void close() throws IOException {
         try {
--- a/src/main/java/mintstair/store/StoreException.java
+++ b/src/main/java/mintstair/store/StoreException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** The store did not carry out an operation. */
+/** Thrown if the store could not complete an operation. */
 public class StoreException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an exception with a message of one line and the cause, which Ratis reported. */
+    /** Creates an exception with a message of one line and the exception that Ratis threw. */
     public StoreException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/mintstair/store/StoreSnapshot.java
+++ b/src/main/java/mintstair/store/StoreSnapshot.java
@@ -19,19 +19,21 @@
 import org.apache.ratis.util.MD5FileUtil;
 
 /**
- * Snapshots of the entries as files, each with its MD5 digest in a file beside it.
+ * Reads and writes snapshot files of the entries. The MD5 digest of a snapshot is in a second file in the same
+ * directory.
  *
- * <p>Layout, all numbers big-endian: number of entries (4 bytes), then for each entry key and value, each as its length
- * in bytes (4) and UTF-8.
+ * <p>Format, with big-endian numbers: the number of entries (4 bytes), then the key and the value of each entry, each
+ * as its length in bytes (4 bytes) followed by its UTF-8 bytes.
  */
 final class StoreSnapshot {
-    /** Not the name of a snapshot, so that one which a crash left incomplete is never read. */
+    /** Does not match the names of snapshots, so that a file left incomplete by a crash is never read. */
     private static final String TEMPORARY_NAME = "unfinished";
 
     private static final String QUARANTINE_PREFIX = "bad-";
 
     private StoreSnapshot() {}
 
+    /** Returns the entries of a snapshot file. */
     static Map<String, String> read(Path file) throws IOException {
         Map<String, String> entries = new TreeMap<>();
         try (DataInputStream in = new DataInputStream(Files.newInputStream(file))) {
@@ -44,14 +46,14 @@
     }
 
     /**
-     * Writes a snapshot so that after a crash either the whole file or none has its name.
+     * Writes a snapshot so that after a crash the file either is complete or does not exist.
      *
-     * @return the digest of the file
+     * @return the MD5 digest of the file
      */
     static MD5Hash write(File file, Map<String, String> entries) throws IOException {
         Path temporary = file.toPath().resolveSibling(TEMPORARY_NAME);
         writeAndSync(temporary, entries);
-        // The digest comes first: without it the snapshot would count as incomplete.
+        // The digest is saved before the rename, because a snapshot without one counts as incomplete.
         MD5Hash digest = MD5FileUtil.computeMd5ForFile(temporary.toFile());
         MD5FileUtil.saveMD5File(file, digest);
         Files.move(temporary, file.toPath(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
@@ -72,15 +74,15 @@
     }
 
     /**
-     * Renames snapshots whose digest is missing or wrong, so that they are not read. What was in them is in the log or
-     * on the other members.
+     * Renames snapshots whose digest is missing or wrong, so that they are not read. Their entries are still in the log
+     * or on the other members.
      */
     static void quarantineIncomplete(Path directory) throws IOException {
         for (Path file : snapshots(directory)) {
             if (!isComplete(file.toFile())) {
                 Path quarantined = file.resolveSibling(QUARANTINE_PREFIX + file.getFileName());
-                System.err.println(
-                        "store: snapshot " + file + " is incomplete, renamed to " + quarantined.getFileName());
+                System.err.println("store: snapshot " + file + " has no digest or a wrong one; renamed to "
+                        + quarantined.getFileName());
                 Files.move(file, quarantined, StandardCopyOption.REPLACE_EXISTING);
             }
         }
--- a/src/test/java/mintstair/store/StoreSnapshotTest.java
+++ b/src/test/java/mintstair/store/StoreSnapshotTest.java
@@ -16,8 +16,8 @@
 
 class StoreSnapshotTest {
     private static final Map<String, String> ENTRIES = new TreeMap<>(Map.of("a", "one", "b", "\u00e4"));
-    /** Two entries: "a" with "one", and "b" with two bytes of UTF-8. */
-    private static final byte[] LAYOUT = {
+    /** The file of these entries; the value of "b" has two bytes in UTF-8. */
+    private static final byte[] FILE_BYTES = {
         0, 0, 0, 2, 0, 0, 0, 1, 'a', 0, 0, 0, 3, 'o', 'n', 'e', 0, 0, 0, 1, 'b', 0, 0, 0, 2, (byte) 0xc3, (byte) 0xa4
     };
 
@@ -29,24 +29,24 @@
     }
 
     @Test
-    void writesItsLayoutWithADigestBesideIt() throws IOException {
+    void writesTheFileFormatAndTheDigest() throws IOException {
         StoreSnapshot.write(snapshot().toFile(), ENTRIES);
 
-        assertArrayEquals(LAYOUT, Files.readAllBytes(snapshot()));
+        assertArrayEquals(FILE_BYTES, Files.readAllBytes(snapshot()));
         assertEquals(
                 MD5FileUtil.computeMd5ForFile(snapshot().toFile()),
                 MD5FileUtil.readStoredMd5ForFile(snapshot().toFile()));
     }
 
     @Test
-    void readsItsLayout() throws IOException {
-        Files.write(snapshot(), LAYOUT);
+    void readsTheFileFormat() throws IOException {
+        Files.write(snapshot(), FILE_BYTES);
 
         assertEquals(ENTRIES, StoreSnapshot.read(snapshot()));
     }
 
     @Test
-    void keepsASnapshotThatIsComplete() throws IOException {
+    void keepsACompleteSnapshot() throws IOException {
         StoreSnapshot.write(snapshot().toFile(), ENTRIES);
 
         StoreSnapshot.quarantineIncomplete(directory);
@@ -55,8 +55,8 @@
     }
 
     @Test
-    void renamesASnapshotWithoutDigest() throws IOException {
-        Files.write(snapshot(), LAYOUT);
+    void renamesASnapshotWithoutADigest() throws IOException {
+        Files.write(snapshot(), FILE_BYTES);
 
         StoreSnapshot.quarantineIncomplete(directory);
 
--- a/src/test/java/mintstair/store/StoreTest.java
+++ b/src/test/java/mintstair/store/StoreTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A group of three members on the loopback interface. */
+/** Tests a group of three members on the loopback interface. */
 class StoreTest {
     @TempDir
     private Path directory;
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void entriesSurviveTheLossOfTheLeaderAndARestartOfAll() throws IOException {
+    void entriesSurviveTheLossOfTheLeaderAndARestartOfAllMembers() throws IOException {
         running.get("n1").put("config/a", "one");
         assertEquals("one", running.get("n2").get("config/a"));
         assertNull(running.get("n3").get("config/b"));
@@ -114,13 +114,13 @@
         awaitLocalOnAll("config/a", "two");
     }
 
-    /** A crash while a snapshot is written leaves one without a digest; its entries are still in the log. */
+    /** A crash during the write of a snapshot can leave one without a digest; its entries are still in the log. */
     @Test
     void incompleteSnapshotIsIgnoredAndTheLogIsReplayed() throws IOException {
         running.get("n1").put("config/a", "one");
         awaitLocal("n2", "config/a", "one");
         stop("n2");
-        // The number of entries is seven, and none follows.
+        // The file declares seven entries and contains none.
         Files.write(snapshotDirectory("n2").resolve("snapshot.1_1"), new byte[] {0, 0, 0, 7, 0, 0});
 
         start("n2");
@@ -150,9 +150,9 @@
         assertEquals("up", running.get("n3").getLocal("state/n1"));
     }
 
-    /** Guards the bound of an entry: the MongoDB hosts of a fleet are one entry. */
+    /** The MongoDB hosts of a fleet are a single entry, so the maximum length must allow a large fleet. */
     @Test
-    void longestEntryHoldsAThousandHostsAndIsReplicatedToAll() throws IOException {
+    void longestEntryHoldsAThousandHostsAndIsReplicatedToAllMembers() throws IOException {
         String key = "config/mongodb/hosts";
         String longest = "x".repeat(Store.MAX_ENTRY_CHARS - key.length());
         assertTrue(Discovery.hosts(1024).length() < longest.length());
