--- a/src/test/java/mintstair/registry/PollViewTest.java
+++ b/src/test/java/mintstair/registry/PollViewTest.java
@@ -18,13 +18,13 @@
     }
 
     @Test
-    void indexThatGoesBackIsConfirmedByALinearizableRead() {
+    void decreasedIndexIsConfirmedByALinearizableRead() {
         driver.start(null);
         onList(50, true, host("a", 1, 5, 5));
         assertEquals(50, ((RegistryCall.Poll) driver.lastCall()).index());
 
         onList(45, false);
-        assertEquals(1, driver.count("breaks_lags"), "a server without a leader");
+        assertEquals(1, driver.count("breaks_lags"), "a response without a confirmed leader must fail the call");
 
         driver.awaitCall();
         onList(40, true, host("b", 1, 5, 5));
@@ -36,7 +36,7 @@
         assertEquals("a- b=1", driver.changes());
     }
 
-    /** The next query for such an index would return at once, for ever. */
+    /** A query for such an index is not held, so the view would poll in a busy loop. */
     @Test
     void indexBelowOneIsMalformed() {
         driver.start(null);
--- a/src/test/java/mintstair/registry/ReconnectTest.java
+++ b/src/test/java/mintstair/registry/ReconnectTest.java
@@ -20,10 +20,11 @@
     private static final long WINDOW_MICROS = 20_000;
 
     /**
-     * The registry loses its quorum for all proxies at once: their calls back off to a cap and never come as a herd.
+     * All proxies lose the registry's quorum at the same time. Their calls must back off up to a maximum delay, and
+     * must not be synchronized.
      */
     @Test
-    void proxiesThatLoseTheQuorumTogetherDoNotRetryInStep() {
+    void proxiesThatLoseTheQuorumTogetherDoNotRetryInSync() {
         TreeMap<Long, Integer> callsByWindow = new TreeMap<>();
         for (int seed = 0; seed < PROXIES; seed++) {
             int calls = retryWithoutQuorum(seed, callsByWindow);
@@ -33,7 +34,7 @@
         assertTrue(peak <= 15, peak + " of 48 within 20 ms");
     }
 
-    /** Counts the calls after the first by their time; returns how many calls there were. */
+    /** Counts all calls but the first by time window; returns the number of all calls. */
     private static int retryWithoutQuorum(int seed, TreeMap<Long, Integer> callsByWindow) {
         RegistryView view = new WatchView(
                 RegistryFixtures.KEYS, ViewDriver.SMALL_LIMITS, ViewTimeouts.DEFAULT, ViewDriver.SERVERS, seed);
--- a/src/test/java/mintstair/registry/SimulatedServers.java
+++ b/src/test/java/mintstair/registry/SimulatedServers.java
@@ -12,19 +12,19 @@
 import mintstair.registry.view.RegistryPosition;
 import mintstair.standin.RegistryModel;
 
-/** The servers of a simulated registry, which may lag or be silent: event by event what the call in progress gets. */
+/** Simulated registry servers, each of which may lag or be silent; generates the events of the call in progress. */
 final class SimulatedServers {
     private static final long UP_TO_DATE = -1;
     private static final long NO_CALL = 0;
 
     private final RegistryModel model;
     private final Random random;
-    /** Per server the revision that it lags at, or {@link #UP_TO_DATE}. */
-    private final long[] lag;
+    /** By server, the revision that it does not get beyond, or {@link #UP_TO_DATE}. */
+    private final long[] lagRevisions;
 
     private final boolean[] silent;
 
-    /** The state of a watch: whether it was created, what was sent of the changes, and the fragments still to send. */
+    /** The state of the watch in progress: whether it was created, the last revision and the fragments to send. */
     private boolean watchCreated;
 
     private long sentUpTo;
@@ -36,53 +36,57 @@
     SimulatedServers(int count, RegistryModel model, Random random) {
         this.model = model;
         this.random = random;
-        lag = new long[count];
+        lagRevisions = new long[count];
         silent = new boolean[count];
         endLag();
     }
 
+    /** Makes all servers up to date. */
     void endLag() {
-        Arrays.fill(lag, UP_TO_DATE);
+        Arrays.fill(lagRevisions, UP_TO_DATE);
     }
 
+    /** Makes a random server up to date, or lag at one of the last revisions. */
     void changeLag() {
-        int server = random.nextInt(lag.length);
-        lag[server] = random.nextBoolean() ? UP_TO_DATE : Math.max(1, model.revision - random.nextInt(5));
+        int server = random.nextInt(lagRevisions.length);
+        lagRevisions[server] = random.nextBoolean() ? UP_TO_DATE : Math.max(1, model.revision - random.nextInt(5));
     }
 
+    /** Makes a random server silent or responsive. */
     void changeSilence() {
         int server = random.nextInt(silent.length);
         silent[server] = random.nextInt(3) == 0;
     }
 
-    /** One server is healthy; of the others one may be silent and one may lag. */
+    /** Ends the failures of one random server; of the others, one may be silent and one may lag. */
     void settle() {
-        int healthy = random.nextInt(lag.length);
-        for (int server = 0; server < lag.length; server++) {
-            silent[server] = server == (healthy + 1) % lag.length && random.nextBoolean();
-            boolean lags = server == (healthy + 2) % lag.length && random.nextBoolean();
-            lag[server] = lags ? Math.max(1, model.revision - 2) : UP_TO_DATE;
+        int healthy = random.nextInt(lagRevisions.length);
+        for (int server = 0; server < lagRevisions.length; server++) {
+            silent[server] = server == (healthy + 1) % lagRevisions.length && random.nextBoolean();
+            boolean lags = server == (healthy + 2) % lagRevisions.length && random.nextBoolean();
+            lagRevisions[server] = lags ? Math.max(1, model.revision - 2) : UP_TO_DATE;
         }
     }
 
-    /** A new call is in progress. */
-    void begin() {
+    /** Resets the state of the watch for a new call. */
+    void beginCall() {
         watchCreated = false;
         remainingFragments = List.of();
     }
 
+    /** Requests progress of the call in progress, as {@link RegistryCall.RequestProgress} does. */
     void requestProgress(long callId) {
         progressRequestedFor = callId;
         quorumSent = false;
     }
 
-    /** Whether no further event of this call follows. */
+    /** Returns whether the call ends with this event. */
     static boolean endsCall(RegistryEvent event, RegistryCall.Request call) {
         return !(call instanceof RegistryCall.Watch || event instanceof RegistryEvent.Progress)
                 || event instanceof RegistryEvent.Compacted;
     }
 
-    /** The next event of the call, or null where its server has none or is silent. */
+    /** Returns the next event of the call, or null if its server has none or is silent. */
     RegistryEvent nextEvent(RegistryCall.Request call) {
         if (silent[call.server()]) {
             return null;
@@ -97,8 +101,8 @@
         return pollEvent((RegistryCall.Poll) call);
     }
 
-    private long reached(int server) {
-        return lag[server] < 0 ? model.revision : Math.min(lag[server], model.revision);
+    private long reachedRevision(int server) {
+        return lagRevisions[server] < 0 ? model.revision : Math.min(lagRevisions[server], model.revision);
     }
 
     private RegistryPosition position(long revision) {
@@ -121,18 +125,18 @@
     }
 
     private RegistryEvent watchEvent(RegistryCall.Watch watch) {
-        long reached = reached(watch.server());
+        long reachedRevision = reachedRevision(watch.server());
         if (!watchCreated) {
-            return createWatch(watch, reached);
+            return createWatch(watch, reachedRevision);
         }
         if (!remainingFragments.isEmpty()) {
             List<EntryChange> fragment = remainingFragments.subList(0, 1);
             remainingFragments = remainingFragments.subList(1, remainingFragments.size());
             return new RegistryEvent.Changes(
-                    watch.callId(), position(reached), fragment, !remainingFragments.isEmpty());
+                    watch.callId(), position(reachedRevision), fragment, !remainingFragments.isEmpty());
         }
-        if (sentUpTo < reached) {
-            return changes(watch, reached);
+        if (sentUpTo < reachedRevision) {
+            return changes(watch, reachedRevision);
         }
         if (progressRequestedFor != watch.callId()) {
             return null;
@@ -142,40 +146,40 @@
             return new RegistryEvent.QuorumPosition(watch.callId(), position(model.revision));
         }
         progressRequestedFor = NO_CALL;
-        return new RegistryEvent.Progress(watch.callId(), position(reached));
+        return new RegistryEvent.Progress(watch.callId(), position(reachedRevision));
     }
 
-    private RegistryEvent createWatch(RegistryCall.Watch watch, long reached) {
+    private RegistryEvent createWatch(RegistryCall.Watch watch, long reachedRevision) {
         watchCreated = true;
         sentUpTo = watch.startRevision() - 1;
-        if (watch.startRevision() <= model.compacted && watch.startRevision() <= reached) {
+        if (watch.startRevision() <= model.compacted && watch.startRevision() <= reachedRevision) {
             return new RegistryEvent.Compacted(watch.callId());
         }
-        return new RegistryEvent.WatchCreated(watch.callId(), position(reached));
+        return new RegistryEvent.WatchCreated(watch.callId(), position(reachedRevision));
     }
 
-    /** Whole revisions, one or several, and now and then one that was sent before; sometimes in fragments. */
-    private RegistryEvent changes(RegistryCall.Watch watch, long reached) {
+    /** Returns one or several complete revisions, at random preceded by one already sent, or split into fragments. */
+    private RegistryEvent changes(RegistryCall.Watch watch, long reachedRevision) {
         boolean repeat = sentUpTo > watch.startRevision() && random.nextInt(6) == 0;
         long from = repeat ? sentUpTo : sentUpTo + 1;
-        sentUpTo = Math.min(reached, sentUpTo + 1 + random.nextInt(2));
+        sentUpTo = Math.min(reachedRevision, sentUpTo + 1 + random.nextInt(2));
         List<EntryChange> changes = new ArrayList<>();
         for (long revision = from; revision <= sentUpTo; revision++) {
             changes.addAll(model.changes(revision));
         }
         if (changes.size() > 1 && random.nextBoolean()) {
             remainingFragments = changes.subList(1, changes.size());
-            return new RegistryEvent.Changes(watch.callId(), position(reached), changes.subList(0, 1), true);
+            return new RegistryEvent.Changes(watch.callId(), position(reachedRevision), changes.subList(0, 1), true);
         }
-        return new RegistryEvent.Changes(watch.callId(), position(reached), changes, false);
+        return new RegistryEvent.Changes(watch.callId(), position(reachedRevision), changes, false);
     }
 
     private RegistryEvent pollEvent(RegistryCall.Poll poll) {
-        boolean upToDate = lag[poll.server()] < 0;
-        long reached = poll.consistent() ? model.revision : reached(poll.server());
-        if (poll.index() == 0 || reached != poll.index()) {
-            List<RegistryEntry> entries = List.copyOf(model.at(reached).values());
-            return new RegistryEvent.FullList(poll.callId(), reached, entries, poll.consistent() || upToDate);
+        boolean upToDate = lagRevisions[poll.server()] < 0;
+        long reachedRevision = poll.consistent() ? model.revision : reachedRevision(poll.server());
+        if (poll.index() == 0 || reachedRevision != poll.index()) {
+            List<RegistryEntry> entries = List.copyOf(model.at(reachedRevision).values());
+            return new RegistryEvent.FullList(poll.callId(), reachedRevision, entries, poll.consistent() || upToDate);
         }
         if (progressRequestedFor != poll.callId()) {
             return null;
--- a/src/test/java/mintstair/registry/ViewDriver.java
+++ b/src/test/java/mintstair/registry/ViewDriver.java
@@ -19,7 +19,7 @@
 import mintstair.registry.view.WatchView;
 import mintstair.request.EndpointList;
 
-/** Drives one view step by step in virtual time, in the place of the connection, and records what it emits. */
+/** Drives one view step by step in virtual time, in place of the connection, and records its updates. */
 final class ViewDriver {
     static final ViewLimits SMALL_LIMITS = new ViewLimits(60, 200, 300, 5, 10_000, 2_000);
     static final int SERVERS = 3;
@@ -29,7 +29,7 @@
     long nowMicros = 1_000_000_000;
     final RegistryView view;
     final List<ViewUpdate> updates = new ArrayList<>();
-    /** The calls of the last step. */
+    /** The calls of the last step, in order. */
     List<RegistryCall> calls = List.of();
 
     private ViewDriver(RegistryView view) {
@@ -44,7 +44,7 @@
         return new ViewDriver(new PollView(RegistryFixtures.KEYS, limits, ViewTimeouts.DEFAULT, SERVERS, 1));
     }
 
-    /** A position in the history of the usual cluster and term. */
+    /** Returns a position in the history of the default cluster and term. */
     static RegistryPosition at(long revision) {
         return new RegistryPosition(CLUSTER_ID, revision, TERM);
     }
@@ -74,7 +74,7 @@
         return lastCall().callId();
     }
 
-    /** A complete view of these entries and a watch that passed its first progress check; returns the watch's call. */
+    /** Completes a read of these entries and a watch's first progress check; returns the call id of the watch. */
     long goLive(long revision, RegistryEntry... entries) {
         start(null);
         on(new RegistryEvent.Page(lastCallId(), at(revision), List.of(entries), false));
@@ -86,7 +86,7 @@
         return watch;
     }
 
-    /** Lets time pass until the view makes a call other than a cancellation. */
+    /** Advances the time until the view makes a call other than a cancellation. Fails if there is none in 100 ticks. */
     RegistryCall awaitCall() {
         for (int i = 0; i < 100; i++) {
             nowMicros = Math.max(nowMicros, view.wakeAt());
@@ -95,7 +95,7 @@
                 return lastCall();
             }
         }
-        throw new AssertionError("no call");
+        throw new AssertionError("the view made no call in 100 ticks");
     }
 
     Stream<ViewUpdate.Endpoints> endpointUpdates() {
@@ -104,7 +104,7 @@
                 .map(update -> (ViewUpdate.Endpoints) update);
     }
 
-    /** The recorded changes of endpoints: "a=1" for version 1 of host a, "a-" for its removal. */
+    /** Returns the recorded endpoint changes: "a=1" for version 1 of host a, "a-" for its removal. */
     String changes() {
         return endpointUpdates()
                 .flatMap(update -> update.list().entries().stream())
--- a/src/test/java/mintstair/registry/ViewMirror.java
+++ b/src/test/java/mintstair/registry/ViewMirror.java
@@ -11,7 +11,7 @@
 import mintstair.registry.view.ViewUpdate;
 import mintstair.request.EndpointList;
 
-/** The hosts by a view's updates, as a receiver of them has them. */
+/** A receiver of a view's updates, which keeps the hosts that these updates result in. */
 final class ViewMirror {
     private final int seed;
     private final Map<String, EndpointList.Entry> hosts = new HashMap<>();
@@ -21,12 +21,12 @@
         this.seed = seed;
     }
 
-    /** Whether there has been a whole list. */
+    /** Returns whether a complete list has been received. */
     boolean isComplete() {
         return complete;
     }
 
-    /** Applies an update, which must change something. */
+    /** Applies an update; fails if an entry of it has no effect. */
     void apply(ViewUpdate update) {
         if (!(update instanceof ViewUpdate.Endpoints endpoints)) {
             return;
@@ -38,16 +38,20 @@
         for (EndpointList.Entry entry : endpoints.list().entries()) {
             if (entry.state() == EndpointList.State.REMOVED) {
                 assertNotNull(
-                        hosts.remove(entry.host()), "removed twice or never there: " + entry.host() + ", seed " + seed);
+                        hosts.remove(entry.host()),
+                        "removed a host that is not listed: " + entry.host() + ", seed " + seed);
             } else {
-                assertNotEquals(entry, hosts.put(entry.host(), entry), "reported twice: " + entry + ", seed " + seed);
+                assertNotEquals(
+                        entry,
+                        hosts.put(entry.host(), entry),
+                        "reported without a change: " + entry + ", seed " + seed);
             }
         }
     }
 
     /**
-     * Whether the hosts are those of these entries. An entry that is not valid may be missing or have its last valid
-     * value.
+     * Returns whether the hosts are those of these entries. The host of an invalid entry may be missing or have its
+     * last valid value.
      */
     boolean matches(Map<String, RegistryEntry> entries) {
         Map<String, RegistryEntry> entriesByUid = new HashMap<>();
@@ -65,7 +69,7 @@
         return host != null && value.contains(":" + Math.round(host.startedAtMicros() / 1000.0) + "}");
     }
 
-    /** How many of the entries have no host here, as their value has not been valid. */
+    /** Returns how many of the entries have no host here, because none of their values has been valid. */
     long countMissing(Map<String, RegistryEntry> entries) {
         return entries.keySet().stream()
                 .filter(key -> !hosts.containsKey(uidOf(key)))
@@ -76,7 +80,7 @@
         return key.substring(key.lastIndexOf('/') + 1);
     }
 
-    /** The versions by host. */
+    /** Returns the versions by host. */
     @Override
     public String toString() {
         Map<String, Long> versions = new TreeMap<>();
--- a/src/test/java/mintstair/registry/ViewSimulation.java
+++ b/src/test/java/mintstair/registry/ViewSimulation.java
@@ -21,12 +21,12 @@
 import mintstair.registry.view.WatchView;
 import mintstair.standin.RegistryModel;
 
-/** One random schedule: a registry with three servers, the network, and one view, in virtual time. */
+/** Runs one random schedule of a registry with three servers, the network and one view, in virtual time. */
 final class ViewSimulation {
     private static final int STEPS = 1_000;
     private static final int SERVERS = 3;
     private static final long SETTLE_MICROS = 2_000_000;
-    private static final int KEPT_EVENTS = 20;
+    private static final int MAX_PAST_EVENTS = 20;
 
     private final int seed;
     private final boolean watched;
@@ -35,7 +35,7 @@
     private final RegistryView view;
     private final ViewMirror mirror;
     private final SimulatedServers servers;
-    /** The registry before each restore since the view last matched. */
+    /** Copies of the registry before each restore since the view last matched the registry. */
     private final List<RegistryModel> modelsBeforeRestore = new ArrayList<>();
 
     private final List<RegistryEvent> pastEvents = new ArrayList<>();
@@ -58,18 +58,18 @@
         for (int i = 0; i < 5; i++) {
             changeHosts();
         }
-        carryOut(view.start(nowMicros, null));
+        execute(view.start(nowMicros, null));
         for (int step = 0; step < STEPS; step++) {
             if (random.nextInt(250) == 0) {
                 settle();
             } else {
-                makeRandomMove();
+                takeRandomStep();
             }
         }
         settle();
     }
 
-    private void makeRandomMove() {
+    private void takeRandomStep() {
         switch (random.nextInt(24)) {
             case 0, 1, 2, 3, 4 -> changeHosts();
             case 5 -> model.compact(model.revision - random.nextInt(4));
@@ -121,12 +121,12 @@
         long until = nowMicros + micros;
         while (view.wakeAt() <= until) {
             nowMicros = Math.max(nowMicros, view.wakeAt());
-            carryOut(view.tick(nowMicros));
+            execute(view.tick(nowMicros));
         }
         nowMicros = until;
     }
 
-    /** The call in progress gets its next event, if its server is not silent. */
+    /** Delivers the next event of the call in progress, if there is one. */
     private void deliverNextEvent() {
         if (callInProgress == null) {
             return;
@@ -143,34 +143,34 @@
 
     private void deliver(RegistryEvent event) {
         pastEvents.add(event);
-        carryOut(view.on(nowMicros, event));
+        execute(view.on(nowMicros, event));
     }
 
-    /** An event of a call that is over arrives late. */
+    /** Delivers a random past event again, unless it belongs to the call in progress. */
     private void deliverLateEvent() {
         if (pastEvents.isEmpty()) {
             return;
         }
         RegistryEvent event = pastEvents.get(random.nextInt(pastEvents.size()));
         if (callInProgress == null || event.callId() != callInProgress.callId()) {
-            carryOut(view.on(nowMicros, event));
+            execute(view.on(nowMicros, event));
         }
-        pastEvents.subList(0, Math.max(0, pastEvents.size() - KEPT_EVENTS)).clear();
+        pastEvents.subList(0, Math.max(0, pastEvents.size() - MAX_PAST_EVENTS)).clear();
     }
 
-    private void carryOut(ViewStep step) {
-        step.calls().forEach(this::carryOut);
+    private void execute(ViewStep step) {
+        step.calls().forEach(this::execute);
         step.updates().forEach(mirror::apply);
         if (mirror.isComplete()) {
             assertMirrorIsOneRevision();
         }
     }
 
-    private void carryOut(RegistryCall call) {
+    private void execute(RegistryCall call) {
         if (call instanceof RegistryCall.Request request) {
-            assertNull(callInProgress, "two calls at once, seed " + seed);
+            assertNull(callInProgress, "a second call while one is in progress, seed " + seed);
             callInProgress = request;
-            servers.begin();
+            servers.beginCall();
         } else if (call instanceof RegistryCall.RequestProgress) {
             servers.requestProgress(call.callId());
         } else if (callInProgress != null && callInProgress.callId() == call.callId()) {
@@ -185,17 +185,17 @@
     private void assertMirrorIsOneRevision() {
         long revision = metrics().revision();
         boolean matches = revision <= model.revision && mirror.matches(model.at(revision));
-        // What was read before a restore stands until the restore is noticed.
+        // Entries read before a restore are reported until the view detects the restore.
         matches = matches
                 || modelsBeforeRestore.stream()
                         .anyMatch(before -> revision <= before.revision && mirror.matches(before.at(revision)));
         assertTrue(
                 matches,
-                () -> "reported is what no revision held: " + mirror + " at " + revision + ", registry "
+                () -> "the reported hosts match no revision: " + mirror + " at " + revision + ", registry "
                         + ViewMirror.describe(model.at(Math.min(revision, model.revision))) + ", seed " + seed);
     }
 
-    /** The failures end, but for one server that may stay silent and one that may keep lagging. */
+    /** Ends the failures, except those of one silent and one lagging server, and waits until the view matches. */
     private void settle() {
         servers.settle();
         long deadline = nowMicros + SETTLE_MICROS;
@@ -207,8 +207,9 @@
         }
         assertTrue(
                 isSettled(),
-                () -> "not matching in time: " + mirror + " at " + metrics() + ", registry at " + model.revision + ": "
-                        + ViewMirror.describe(model.now()) + ", call " + callInProgress + ", seed " + seed);
+                () -> "the view does not match the registry in time: " + mirror + " at " + metrics() + ", registry at "
+                        + model.revision + ": " + ViewMirror.describe(model.now()) + ", call " + callInProgress
+                        + ", seed " + seed);
         long hosts = metrics().hosts() + mirror.countMissing(model.now());
         assertEquals(model.now().size(), hosts, "seed " + seed);
         modelsBeforeRestore.clear();
--- a/src/test/java/mintstair/registry/WatchViewTest.java
+++ b/src/test/java/mintstair/registry/WatchViewTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The hard cases of a watched registry, one by one. */
+/** Tests a watched registry with failures, restores, lagging servers and invalid or oversized entries. */
 class WatchViewTest {
     private static final String SETTINGS_KEY = "reg/settings";
 
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void pagesArePinnedToTheRevisionOfTheFirstAndTheWatchContinuesFromTheNext() {
+    void pagesAreReadAtTheRevisionOfTheFirstAndTheWatchStartsAtTheNextRevision() {
         driver.start(null);
         assertEquals(0, ((RegistryCall.Read) driver.calls.get(0)).revision());
 
@@ -69,9 +69,9 @@
         assertEquals("a=1 b=2", driver.changes());
     }
 
-    /** Guards against limits that are too low for large fleets. */
+    /** Guards against default limits that are too low for large fleets. */
     @Test
-    void aThousandHostsFitIntoTheDefaultLimits() {
+    void defaultLimitsAllowAThousandHosts() {
         ViewDriver large = ViewDriver.watching(ViewLimits.DEFAULT);
         large.start(null);
         for (int page = 0; page < 3; page++) {
@@ -93,19 +93,19 @@
     }
 
     @Test
-    void compactedRevisionLeadsToAFullReadThatRemovesWhatIsMissing() {
+    void compactedRevisionLeadsToAFullReadThatRemovesMissingHosts() {
         long watch = driver.goLive(10, host("a", 1, 5, 5), host("b", 2, 6, 6));
 
         driver.on(new RegistryEvent.Compacted(watch));
         assertInstanceOf(RegistryCall.Read.class, driver.lastCall());
-        assertEquals("", driver.changes(), "the old view stands until the new one is complete");
+        assertEquals("", driver.changes(), "the old entries must remain until the read is complete");
 
         onLastPage(at(90), host("b", 3, 6, 70), host("c", 4, 80, 80));
         assertEquals("a- b=3 c=4", driver.changes());
     }
 
     @Test
-    void hostThatWasPutAgainDuringACompactionIsRemovedFirst() {
+    void hostThatWasDeletedAndPutAgainBeforeAFullReadIsRemovedFirst() {
         long watch = driver.goLive(10, host("a", 1, 5, 5));
         driver.on(new RegistryEvent.Compacted(watch));
 
@@ -115,17 +115,17 @@
     }
 
     @Test
-    void hostThatWasPutAgainWithinOneMessageIsReportedInTwoLists() {
+    void hostThatWasDeletedAndPutAgainWithinOneMessageIsReportedInTwoLists() {
         long watch = driver.goLive(90, host("a", 1, 80, 80));
 
         onChanges(watch, 92, deleted("a", 91), put(host("a", 1, 92, 92)));
 
         assertEquals("a- a=1", driver.changes());
-        assertEquals(2, driver.updates.size(), "no list has a host twice");
+        assertEquals(2, driver.updates.size(), "a list must not contain a host twice");
     }
 
     @Test
-    void laggingServerIsReplacedAndTheViewNeverGoesBack() {
+    void laggingServerIsReplacedAndTheViewKeepsItsRevision() {
         long watch = driver.goLive(50, host("a", 1, 5, 5));
         driver.on(new RegistryEvent.CallFailed(watch, Reason.BROKEN, "cut"));
         RegistryCall.Watch nextWatch = (RegistryCall.Watch) driver.awaitCall();
@@ -152,12 +152,12 @@
         assertEquals(1, driver.count("breaks_lags"));
         assertTrue(
                 driver.metrics().ageMicros() >= ViewTimeouts.DEFAULT.keepaliveTimeoutMicros(),
-                "its messages did not confirm the view");
+                "the messages of a lagging server must not confirm the view");
     }
 
     @ParameterizedTest
     @CsvSource({"30, 3", "70, 2"})
-    void registryThatWasRestoredIsReadAgain(long revision, long term) {
+    void restoredRegistryIsReadAgain(long revision, long term) {
         RegistryPosition restored = new RegistryPosition(7, revision, term);
         long watch = driver.goLive(50, host("a", 1, 5, 5));
         driver.on(new RegistryEvent.CallFailed(watch, Reason.BROKEN, "restarted"));
@@ -171,15 +171,16 @@
         assertEquals(1, driver.count("set_back"));
     }
 
-    /** The same host under other revisions of another registry is not a new incarnation of it. */
+    /** A host with the same value but other revisions in the new registry is not a new incarnation. */
     @Test
-    void registryThatWasReplacedIsReadOnceTheMajorityOfServersBelongToTheNewOne() {
+    void replacedRegistryIsReadOnceTheMajorityOfServersBelongsToTheNewOne() {
         RegistryPosition other = new RegistryPosition(8, 9, 1);
         long watch = driver.goLive(50, host("b", 2, 5, 5));
         driver.on(new RegistryEvent.CallFailed(watch, Reason.BROKEN, "replaced"));
 
         driver.on(new RegistryEvent.WatchCreated(driver.awaitCall().callId(), other));
-        assertEquals(1, driver.count("breaks_foreign"), "one server alone may be misconfigured");
+        assertEquals(
+                1, driver.count("breaks_foreign"), "a single server may be misconfigured and must not be followed");
 
         driver.on(new RegistryEvent.WatchCreated(driver.awaitCall().callId(), other));
         onLastPage(other, host("b", 2, 3, 3));
@@ -217,24 +218,24 @@
     }
 
     @Test
-    void quietWatchIsCheckedAndASilentOneIsReplacedInTime() {
+    void watchWithoutChangesIsCheckedAndASilentOneIsReplacedInTime() {
         driver.goLive(10, host("a", 1, 5, 5));
-        long quietSince = driver.nowMicros;
+        long lastChangeMicros = driver.nowMicros;
         long watch = ((RegistryCall.RequestProgress) driver.awaitCall()).callId();
 
         driver.on(new RegistryEvent.QuorumPosition(watch, at(10)));
         driver.on(new RegistryEvent.Progress(watch, at(10)));
-        assertEquals(0, driver.count("breaks"), "a watch without changes is not dead");
+        assertEquals(0, driver.count("breaks"), "a watch without changes must not be replaced");
 
         assertInstanceOf(RegistryCall.RequestProgress.class, driver.awaitCall());
         assertInstanceOf(RegistryCall.Watch.class, driver.awaitCall());
         assertEquals(1, driver.count("breaks_silent"));
-        long tookMicros = driver.nowMicros - quietSince;
-        assertTrue(tookMicros < 1_500_000, "took " + tookMicros);
+        long elapsedMicros = driver.nowMicros - lastChangeMicros;
+        assertTrue(elapsedMicros < 1_500_000, "replaced after " + elapsedMicros + " us");
     }
 
     @Test
-    void unreadableValueKeepsTheLastValidOne() {
+    void invalidValueDoesNotReplaceTheLastValidOne() {
         long watch = driver.goLive(10, host("a", 1, 5, 5));
 
         onChanges(watch, 11, put(entry(hostKey("a"), "{\"uid\":", 5, 11)));
@@ -245,7 +246,7 @@
     }
 
     @Test
-    void unreadableValuesAreCountedWithoutFloodingTheLog() {
+    void invalidValuesAreCountedWithoutFloodingTheLog() {
         long watch = driver.goLive(10, host("a", 1, 5, 5));
         onChanges(watch, 11, put(entry(hostKey("a"), "{\"uid\":", 5, 11)));
         driver.updates.clear();
@@ -260,13 +261,13 @@
         long lines = driver.updates.stream()
                 .filter(update -> update instanceof ViewUpdate.LogLine)
                 .count();
-        assertTrue(lines > 1 && lines <= 8, lines + " lines in half a second");
+        assertTrue(lines > 1 && lines <= 8, lines + " log lines in half a second");
         onChanges(watch, 20_000, put(host("a", 9, 5, 20_000)));
         assertTrue(driver.changes().endsWith("a=9"), driver.changes());
     }
 
     @Test
-    void keysValuesAndHostsBeyondTheirLimitsAreLeftOutAndCounted() {
+    void entriesBeyondTheLimitsAreLeftOutAndCounted() {
         long watch = driver.goLive(10, host("a", 1, 5, 5));
 
         onChanges(
@@ -283,7 +284,7 @@
                 .mapToObj(i -> put(host("h" + i, i, 20, 20)))
                 .toArray(EntryChange[]::new);
         onChanges(watch, 20, many);
-        assertEquals(8, driver.count("overflown"), "hosts that never were valid count for the limit too");
+        assertEquals(8, driver.count("overflown"), "hosts without a valid value count towards the limit too");
     }
 
     @Test
@@ -302,7 +303,7 @@
     }
 
     @Test
-    void snapshotServesAtOnceWithItsAgeAndIsContinuedWithoutAFullRead() {
+    void snapshotIsReportedAtStartWithItsAgeAndContinuedWithoutAFullRead() {
         long confirmedAt = driver.nowMicros - 90_000_000;
         driver.start(new Snapshot("reg/", 7, 50, 3, confirmedAt, List.of(host("a", 1, 5, 5))));
         assertTrue(((ViewUpdate.Endpoints) driver.updates.get(0)).cached());
@@ -314,7 +315,7 @@
         long watch = driver.lastCallId();
         driver.on(new RegistryEvent.WatchCreated(watch, at(60)));
         onChanges(watch, 60, deleted("a", 55), put(host("b", 2, 56, 56)));
-        assertEquals("", driver.changes(), "no part of the list while the view catches up");
+        assertEquals("", driver.changes(), "no endpoints must be reported while the view catches up");
 
         driver.on(new RegistryEvent.QuorumPosition(watch, at(60)));
         driver.on(new RegistryEvent.Progress(watch, at(60)));
@@ -324,7 +325,7 @@
     }
 
     @Test
-    void repeatedAndUnorderedChangesDoNotSetTheViewBack() {
+    void repeatedAndUnorderedChangesDoNotRevertTheView() {
         long watch = driver.goLive(10, host("a", 1, 5, 5));
 
         onChanges(watch, 12, put(host("a", 2, 5, 12)));
