--- a/src/main/java/mintstair/registry/view/RegistryKeys.java
+++ b/src/main/java/mintstair/registry/view/RegistryKeys.java
@@ -5,7 +5,7 @@
 
 /**
  * The layout of the registry's keys: the prefix followed by {@code FRONT/hosts/UID} for a host of a front, and by
- * {@code settings} for the settings. In a key, each character of ISO 8859-1 is one byte, see {@link RegistryEntry}.
+ * {@code settings} for the settings. A key has each byte as one character of ISO 8859-1, see {@link RegistryEntry}.
  * Immutable.
  */
 public final class RegistryKeys {
