--- a/src/main/java/mintstair/decision/AttemptOutcome.java
+++ b/src/main/java/mintstair/decision/AttemptOutcome.java
@@ -18,7 +18,7 @@
     CANCELLED,
     /** It ended before it was sent. */
     NOT_SENT,
-    /** The replica rejected a read because it is too far behind. */
+    /** A write reached a host that is not the primary, or a read one that lags too far behind: nothing was executed. */
     MISDIRECTED;
 
     /** Returns whether it is certain that the host did not execute the request. */
